--- a/fuzz/control.cpp
+++ b/fuzz/control.cpp
@@ -89,7 +89,7 @@
   config::ValidationContext site_ = make_site();
   config_versions::VersionTracker tracker_;
   config_versions::Actions actions_;
-  config_versions::Nanos now_ = 1;
+  TimePoint now_ = 1;
 };
 
 void feed_frames(std::string_view bytes, CheckedTracker& tracker) {
--- a/include/gorsebeam/actions.h
+++ b/include/gorsebeam/actions.h
@@ -15,7 +15,7 @@
 struct StartAttempt {
   std::string request_id;
   EndpointId endpoint = 0;
-  Nanos timeout = 0;  ///< From now.
+  Duration timeout{};  ///< From now.
 };
 
 /// Checks an endpoint; ends in one HealthCheckResult.
@@ -41,7 +41,7 @@
 /// The final answer to a request: rejected, and safe to send again.
 struct RejectRequest {
   std::string request_id;
-  Nanos retry_after = 0;  ///< 0: no advice.
+  Duration retry_after{};  ///< 0: no advice.
   AnswerReason reason = AnswerReason::OutOfTime;
 };
 
@@ -53,7 +53,7 @@
 
 /// Asks for a TimerExpired at `at`. Replaces the timer set before.
 struct SetTimer {
-  Nanos at = 0;
+  TimePoint at{};
 };
 
 /// Asks discovery for the endpoint list and its changes.
--- a/include/gorsebeam/events.h
+++ b/include/gorsebeam/events.h
@@ -18,7 +18,7 @@
   GroupId group = 0;
   std::string zone;
   EndpointStatus status = EndpointStatus::Up;
-  Nanos started_at = 0;            ///< The last start of its process; 0: long ago.
+  TimePoint started_at{};          ///< The last start of its process; 0: long ago.
   bool listed_as_primary = false;  ///< As the list has it, which may be old.
   double weight = 1;               ///< Relative capacity.
 };
@@ -42,18 +42,18 @@
   std::size_t class_index = 0;  ///< Into `Settings::classes`.
   std::optional<std::size_t> tenant;
   std::optional<std::uint64_t> session;
-  Nanos deadline = 0;  ///< When the client stops waiting.
+  TimePoint deadline{};  ///< When the client stops waiting.
   GroupId group = 0;
   /// SessionTokenSource::Client: how long ago the session's last write was committed; 0: no write.
-  std::optional<Nanos> session_token_age;
+  std::optional<Duration> session_token_age;
   bool is_client_retry = false;
-  std::uint32_t max_attempts = 0;    ///< The limit of its contract; 0: the settings' limit.
-  Nanos rate_limit_retry_after = 0;  ///< Above 0: over its rate limit, and when the next one fits.
+  std::uint32_t max_attempts = 0;     ///< The limit of its contract; 0: the settings' limit.
+  Duration rate_limit_retry_after{};  ///< Above 0: over its rate limit, and when the next one fits.
 };
 
 /// What an endpoint reports of itself, in a response or to a health check.
 struct LoadReport {
-  std::optional<Nanos> replication_position;
+  std::optional<ReplicationPosition> replication_position;
   std::optional<bool> is_primary;
 };
 
@@ -64,11 +64,12 @@
   EndpointId endpoint = 0;
   AttemptStatus status = AttemptStatus::Ok;
   bool request_finished = false;  ///< The request has its final answer.
-  Nanos elapsed = 0;              ///< Since the attempt started.
+  Duration elapsed{};             ///< Since the attempt started.
   Role role = Role::Unknown;
-  std::optional<Nanos> replication_position;  ///< Of a write that succeeded: its commit.
+  std::optional<ReplicationPosition>
+      replication_position;  ///< Of a write that succeeded: its commit.
   /// Of a write whose commit is later than the endpoint's replication position.
-  std::optional<Nanos> commit_position;
+  std::optional<ReplicationPosition> commit_position;
   LoadReport load_report;
 };
 
@@ -76,7 +77,7 @@
 struct HealthCheckResult {
   EndpointId endpoint = 0;
   bool succeeded = false;
-  Nanos elapsed = 0;
+  Duration elapsed{};
   LoadReport load_report;
 };
 
--- a/include/gorsebeam/router.h
+++ b/include/gorsebeam/router.h
@@ -27,13 +27,13 @@
 
   /// Handles one event at the time `now` and appends what is to be done to `actions`, in order.
   /// `now` must not be before that of the last call.
-  void handle(Nanos now, const Event& event, std::vector<Action>& actions);
+  void handle(TimePoint now, const Event& event, std::vector<Action>& actions);
 
   /// Whether an attempt that was decided may still be written to its endpoint. A connection can
   /// come up long after the decision, so this is asked again right before the write. False if the
   /// request has ended, the endpoint is leaving, the time for a retry is over, or the evidence that
   /// the endpoint is current has expired; the attempt then ends as AttemptStatus::NotSent.
-  [[nodiscard]] bool is_attempt_allowed(Nanos now, const std::string& request_id,
+  [[nodiscard]] bool is_attempt_allowed(TimePoint now, const std::string& request_id,
                                         EndpointId endpoint);
 
   /// Whether a health check that was decided may still be written to its endpoint.
--- a/include/gorsebeam/settings.h
+++ b/include/gorsebeam/settings.h
@@ -14,14 +14,14 @@
 struct RequestClass {
   std::string name;
   ConsistencyLevel consistency = ConsistencyLevel::Eventual;
-  Nanos max_staleness = 0;          ///< BoundedStaleness only: the oldest data a read may see.
-  Nanos latency_objective = 0;      ///< An answer within this time has its full value. Above 0.
-  Nanos deadline = 0;               ///< How long clients wait. At least `latency_objective`.
+  Duration max_staleness{};         ///< BoundedStaleness only: the oldest data a read may see.
+  Duration latency_objective{};     ///< An answer within this time has its full value. Above 0.
+  Duration deadline{};              ///< How long clients wait. At least `latency_objective`.
   double priority_weight = 1;       ///< The value of an answer within the latency objective.
   double late_weight_fraction = 0;  ///< The fraction of that value which a later answer keeps.
   Idempotency idempotency = Idempotency::Idempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::All;
-  Nanos deduplication_window = 0;  ///< IdempotencyKey only: how long repeats are dropped.
+  Duration deduplication_window{};  ///< IdempotencyKey only: how long repeats are dropped.
 };
 
 /// A customer with a quota.
@@ -38,19 +38,19 @@
 
   std::uint32_t router_index = 0;  ///< This router's number among `router_count`.
   std::uint32_t router_count = 1;
-  std::string zone;            ///< This router's zone.
-  Nanos clock_resolution = 1;  ///< The shortest time between two rounds of events.
+  std::string zone;                 ///< This router's zone.
+  Duration clock_resolution = 1ns;  ///< The shortest time between two rounds of events.
 
   DiscoveryMode discovery_mode = DiscoveryMode::Push;
-  Nanos max_list_age = 0;  ///< Poll only: how old a list may grow without being asked for.
+  Duration max_list_age{};  ///< Poll only: how old a list may grow without being asked for.
   ListedRole listed_role = ListedRole::None;
 
   SessionTokenSource session_token_source = SessionTokenSource::Router;
   /// A response counts as known this long after it was written, even if it was lost on the way.
   /// Empty: it counts once it has arrived.
-  std::optional<Nanos> responses_known_after;
+  std::optional<Duration> responses_known_after;
   StalenessCheck staleness_check = StalenessCheck::None;
-  Nanos staleness_check_timeout = 0;  ///< How long an endpoint that waits does so.
+  Duration staleness_check_timeout{};  ///< How long an endpoint that waits does so.
 
   LoadReportSource load_report_source = LoadReportSource::None;
   bool load_reports_hold_positions = false;  ///< Reports contain a replication position.
@@ -61,20 +61,20 @@
   bool cancellation_allowed = false;
   bool hedging_allowed = false;      ///< A second copy of a late read may be sent in parallel.
   bool retry_after_allowed = false;  ///< A rejection may say when to come back.
-  Nanos max_retry_after = 0;
+  Duration max_retry_after{};
   std::uint32_t max_attempts = 1;  ///< Per request, the first one included. At least 1.
-  Nanos connect_timeout = 0;
+  Duration connect_timeout{};
 
-  Nanos response_slack = 0;  ///< A final answer still counts this long after the deadline.
-  Nanos drain_grace = 0;     ///< How long after a drain notice attempts may still start.
+  Duration response_slack{};  ///< A final answer still counts this long after the deadline.
+  Duration drain_grace{};     ///< How long after a drain notice attempts may still start.
   /// Only endpoints listed as draining are off limits; one listed as removed may still serve.
   bool only_draining_is_binding = false;
 
-  Nanos slow_start_duration = 0;           ///< A started endpoint has full capacity after this.
+  Duration slow_start_duration{};          ///< A started endpoint has full capacity after this.
   double slow_start_initial_capacity = 1;  ///< The fraction that it starts with, in (0, 1].
   /// An endpoint in slow start that gets more than `overload_factor` times its present capacity for
   /// `overload_duration` fails.
-  Nanos overload_duration = 0;
+  Duration overload_duration{};
   double overload_factor = 1;
 };
 
--- /dev/null
+++ b/include/gorsebeam/time.h
@@ -0,0 +1,65 @@
+/// Time as all modules express it: durations, points in time and replication positions.
+///
+/// Integers stand for time only where a wire, a file or GLib dictates them; they are converted
+/// where they are parsed or written.
+#pragma once
+
+#include <chrono>
+
+namespace gorsebeam {
+
+using namespace std::chrono_literals;  // units of constants: 150ms
+
+using Duration = std::chrono::nanoseconds;
+
+/// The clock of the embedding program, which never goes back. The library does not read it: each
+/// event comes with its time. The gateway and the simulator's adapter both count from the Unix
+/// epoch.
+struct Clock {
+  using duration = Duration;
+  using rep = duration::rep;
+  using period = duration::period;
+  using time_point = std::chrono::time_point<Clock>;
+
+  static constexpr bool is_steady = true;
+};
+
+/// A point in time. The default is the epoch, which stands for "long ago".
+using TimePoint = Clock::time_point;
+
+/// A point in time that does not come.
+constexpr TimePoint kNever = TimePoint::max();
+
+/// Tag of the time scale of replication positions.
+struct ReplicationLog;
+
+/// How far an endpoint has applied its group's log: the time up to which it has applied all
+/// commits. A type of its own, so that a position is not taken for the time at which it was read.
+using ReplicationPosition = std::chrono::time_point<ReplicationLog, Duration>;
+
+/// The position of an endpoint that has applied all commits up to `time`.
+constexpr ReplicationPosition position_at(TimePoint time) {
+  return ReplicationPosition(time.time_since_epoch());
+}
+
+/// The time up to which an endpoint at `position` has applied all commits.
+constexpr TimePoint time_of(ReplicationPosition position) {
+  return TimePoint(position.time_since_epoch());
+}
+
+/// Nanoseconds as a floating-point number, for estimates.
+constexpr double to_double(Duration duration) {
+  return static_cast<double>(duration.count());
+}
+
+/// The duration of a number of nanoseconds, rounded toward zero.
+constexpr Duration to_duration(double nanoseconds) {
+  return Duration(static_cast<Duration::rep>(nanoseconds));
+}
+
+/// The quotient of two durations, which the operator would round down.
+constexpr double ratio(Duration dividend, Duration divisor) {
+  return to_double(dividend) / to_double(divisor);
+}
+
+}  // namespace gorsebeam
--- a/include/gorsebeam/types.h
+++ b/include/gorsebeam/types.h
@@ -1,14 +1,12 @@
-/// Identifiers, time and enumerations that settings, events and actions share.
+/// Identifiers and enumerations that settings, events and actions share.
 #pragma once
 
+#include "gorsebeam/time.h"
+
 #include <cstdint>
 
 namespace gorsebeam {
 
-/// A duration or a point in time, in nanoseconds. Points in time are on the caller's clock, which
-/// never goes back; the gateway and the simulator's adapter both use Unix time.
-using Nanos = std::int64_t;
-
 /// Identifies an endpoint: a data host as a primary or a replica of one group. The same at every
 /// router, and kept over restarts of the host's process. The largest value is reserved.
 using EndpointId = std::uint32_t;
--- a/src/config/conversion.cpp
+++ b/src/config/conversion.cpp
@@ -7,9 +7,6 @@
 
 using google::protobuf::RepeatedPtrField;
 
-constexpr Nanos kNanosPerMillisecond = 1'000'000;
-constexpr Nanos kNanosPerSecond = 1'000'000'000;
-
 EndpointStatus to_status(pb::Member::State state) {
   switch (state) {
   case pb::Member::DRAINING:
@@ -41,7 +38,7 @@
   listed.endpoint.listed_as_primary = member.role() == pb::Member::PRIMARY;
   listed.endpoint.status = to_status(member.state());
   listed.endpoint.weight = member.size() != 0 ? member.size() : 1;
-  listed.endpoint.started_at = static_cast<Nanos>(member.started_unix_s()) * kNanosPerSecond;
+  listed.endpoint.started_at = TimePoint(std::chrono::seconds(member.started_unix_s()));
   return listed;
 }
 
@@ -54,8 +51,7 @@
     proxy::TeamContract& contract = result.teams[team.name()];
     contract.groups.insert(team.group().begin(), team.group().end());
     for (const pb::ServiceClass& service_class : team.class_()) {
-      const Nanos max_wait =
-          static_cast<Nanos>(service_class.longest_wait_ms()) * kNanosPerMillisecond;
+      const Duration max_wait = std::chrono::milliseconds(service_class.longest_wait_ms());
       contract.classes[classes.at(service_class.name())] = {max_wait, service_class.tries()};
     }
     if (!team.has_budget())
@@ -87,7 +83,8 @@
     member.set_role(endpoint.listed_as_primary ? pb::Member::PRIMARY : pb::Member::REPLICA);
     member.set_state(to_state(endpoint.status));
     member.set_size(endpoint.weight);
-    member.set_started_unix_s(static_cast<std::uint64_t>(endpoint.started_at / kNanosPerSecond));
+    member.set_started_unix_s(
+        static_cast<std::uint64_t>(endpoint.started_at.time_since_epoch() / 1s));
   }
 }
 
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -18,7 +18,7 @@
 using settings::JsonObjectReader;
 
 /// Of the protocol on sockets, where responses may be lost on the way.
-constexpr Nanos kResponsesKnownAfter = 100'000'000;
+constexpr Duration kResponsesKnownAfter = 100ms;
 
 std::uint64_t parse_seed(const std::string& text) {
   constexpr int kHexadecimal = 16;
--- a/src/config_versions/configuration.h
+++ b/src/config_versions/configuration.h
@@ -2,6 +2,8 @@
 /// control service, decoded and checked one by one.
 #pragma once
 
+#include "gorsebeam/time.h"
+
 #include <array>
 #include <cstddef>
 #include <cstdint>
@@ -12,9 +14,6 @@
 
 namespace gorsebeam::config_versions {
 
-/// Nanoseconds of a clock that never goes back.
-using Nanos = std::int64_t;
-
 /// The resource types of the control service; their order is that of every array of types.
 enum class ResourceType : std::size_t { Contracts, Members, Limits };
 
@@ -46,7 +45,7 @@
   std::uint64_t content_hash = 0;
   /// `kFileSource`, or the address of the control service.
   std::string source = kFileSource;
-  Nanos accepted_at = 0;
+  TimePoint accepted_at{};
 
   [[nodiscard]] bool is_from_file() const { return source == kFileSource; }
 };
--- a/src/config_versions/stream_backoff.cpp
+++ b/src/config_versions/stream_backoff.cpp
@@ -18,13 +18,13 @@
   return random_ * 0x2545F4914F6CDD1DULL;
 }
 
-Nanos StreamBackoff::next_delay(Nanos first_bound, Nanos max_bound) {
+Duration StreamBackoff::next_delay(Duration first_bound, Duration max_bound) {
   const int doublings = std::min(failures_, kMaxDoublings);
   ++failures_;
-  const bool exceeds_max = first_bound > max_bound >> doublings;
-  const Nanos bound = exceeds_max ? max_bound : first_bound << doublings;
-  const auto choices = static_cast<std::uint64_t>(std::max<Nanos>(bound, 1) + 1);
-  return static_cast<Nanos>(draw() % choices);
+  const bool exceeds_max = first_bound > max_bound / (std::int64_t{1} << doublings);
+  const Duration bound = exceeds_max ? max_bound : first_bound * (std::int64_t{1} << doublings);
+  const auto choices = static_cast<std::uint64_t>(std::max(bound, Duration(1ns)).count() + 1);
+  return Duration(draw() % choices);
 }
 
 }  // namespace gorsebeam::config_versions
--- a/src/config_versions/stream_backoff.h
+++ b/src/config_versions/stream_backoff.h
@@ -14,7 +14,7 @@
 
   /// Returns the delay after one more failure, from 0 to the doubled `first_bound`, which never
   /// exceeds `max_bound`.
-  [[nodiscard]] Nanos next_delay(Nanos first_bound, Nanos max_bound);
+  [[nodiscard]] Duration next_delay(Duration first_bound, Duration max_bound);
 
   /// Makes the next bound the first one again.
   void reset() { failures_ = 0; }
--- a/src/config_versions/stream_lifecycle.cpp
+++ b/src/config_versions/stream_lifecycle.cpp
@@ -8,12 +8,12 @@
 StreamLifecycle::StreamLifecycle(StreamSettings settings, std::uint64_t seed)
     : settings_(std::move(settings)), backoff_(seed) {}
 
-void StreamLifecycle::start(Nanos now, Actions& actions) {
+void StreamLifecycle::start(TimePoint now, Actions& actions) {
   if (!settings_.addresses.empty())
     enter_connecting(now, actions);
 }
 
-void StreamLifecycle::update_settings(Nanos now, StreamSettings settings, Actions& actions) {
+void StreamLifecycle::update_settings(TimePoint now, StreamSettings settings, Actions& actions) {
   const bool addresses_changed = settings.addresses != settings_.addresses;
   settings_ = std::move(settings);
   if (!addresses_changed)
@@ -31,7 +31,7 @@
   backoff_.reset();
 }
 
-void StreamLifecycle::enter_connecting(Nanos now, Actions& actions) {
+void StreamLifecycle::enter_connecting(TimePoint now, Actions& actions) {
   address_ = settings_.addresses[next_address_ % settings_.addresses.size()];
   ++next_address_;
   state_ = State::Connecting;
@@ -39,31 +39,31 @@
   actions.emplace_back(OpenStream{address_});
 }
 
-void StreamLifecycle::enter_streaming(Nanos now) {
+void StreamLifecycle::enter_streaming(TimePoint now) {
   state_ = State::Streaming;
   deadline_ = kNever;
   last_received_at_ = now;
   ping_sent_ = false;
 }
 
-void StreamLifecycle::enter_backing_off(Nanos now) {
+void StreamLifecycle::enter_backing_off(TimePoint now) {
   state_ = State::BackingOff;
   deadline_ = now + backoff_.next_delay(settings_.reconnect_first, settings_.reconnect_max);
 }
 
-bool StreamLifecycle::on_opened(Nanos now) {
+bool StreamLifecycle::on_opened(TimePoint now) {
   if (state_ != State::Connecting)
     return false;
   enter_streaming(now);
   return true;
 }
 
-void StreamLifecycle::on_bytes_received(Nanos now) {
+void StreamLifecycle::on_bytes_received(TimePoint now) {
   last_received_at_ = now;
   ping_sent_ = false;
 }
 
-void StreamLifecycle::on_lost(Nanos now, const StreamError& error, Actions& actions) {
+void StreamLifecycle::on_lost(TimePoint now, const StreamError& error, Actions& actions) {
   if (state_ != State::Connecting && state_ != State::Streaming)
     return;
   actions.emplace_back(StreamLost{error.message});
@@ -77,14 +77,14 @@
     actions.emplace_back(StreamRestored{});
 }
 
-Nanos StreamLifecycle::next_deadline() const {
+TimePoint StreamLifecycle::next_deadline() const {
   if (state_ != State::Streaming)
     return deadline_;
-  const Nanos allowed_silence = ping_sent_ ? 2 * settings_.silence : settings_.silence;
+  const Duration allowed_silence = ping_sent_ ? 2 * settings_.silence : settings_.silence;
   return last_received_at_ + allowed_silence;
 }
 
-void StreamLifecycle::on_timer(Nanos now, Actions& actions) {
+void StreamLifecycle::on_timer(TimePoint now, Actions& actions) {
   switch (state_) {
   case State::Disabled:
     return;
@@ -99,15 +99,15 @@
   }
 }
 
-void StreamLifecycle::check_connect_timeout(Nanos now, Actions& actions) {
+void StreamLifecycle::check_connect_timeout(TimePoint now, Actions& actions) {
   if (now < deadline_)
     return;
   actions.emplace_back(CloseStream{});
   on_lost(now, {StreamError::Code::ConnectTimeout, "it did not come up in time"}, actions);
 }
 
-void StreamLifecycle::check_silence(Nanos now, Actions& actions) {
-  const Nanos silent_for = now - last_received_at_;
+void StreamLifecycle::check_silence(TimePoint now, Actions& actions) {
+  const Duration silent_for = now - last_received_at_;
   if (!ping_sent_ && silent_for >= settings_.silence) {
     ping_sent_ = true;
     actions.emplace_back(SendPing{});
--- a/src/config_versions/version_tracker.cpp
+++ b/src/config_versions/version_tracker.cpp
@@ -75,14 +75,14 @@
   return std::nullopt;
 }
 
-void VersionTracker::start(Nanos now, Actions& actions) {
+void VersionTracker::start(TimePoint now, Actions& actions) {
   apply(now, actions);
   actions.pop_back();  // the snapshot on disk already holds this
   stream_.start(now, actions);
 }
 
 std::optional<ValidationError>
-VersionTracker::replace_file_versions(Nanos now, FileVersions versions, Actions& actions) {
+VersionTracker::replace_file_versions(TimePoint now, FileVersions versions, Actions& actions) {
   Bodies bodies = running_bodies();
   std::array<bool, kResourceTypeCount> replaces{};
   for (std::size_t i = 0; i < kResourceTypeCount; ++i) {
@@ -113,7 +113,7 @@
   return std::nullopt;
 }
 
-void VersionTracker::update_settings(Nanos now, Settings settings, Actions& actions) {
+void VersionTracker::update_settings(TimePoint now, Settings settings, Actions& actions) {
   settings_ = std::move(settings);
   stream_.update_settings(now, settings_.stream, actions);
   drop_pending_without_stream();
@@ -129,7 +129,7 @@
     state.pending.reset();
 }
 
-void VersionTracker::on_stream_opened(Nanos now, Actions& actions) {
+void VersionTracker::on_stream_opened(TimePoint now, Actions& actions) {
   if (!stream_.on_opened(now))
     return;
   for (const ResourceType type : kResourceTypes) {
@@ -140,18 +140,19 @@
   }
 }
 
-void VersionTracker::on_bytes_received(Nanos now) {
+void VersionTracker::on_bytes_received(TimePoint now) {
   stream_.on_bytes_received(now);
 }
 
-void VersionTracker::on_stream_lost(Nanos now, const StreamError& error, Actions& actions) {
+void VersionTracker::on_stream_lost(TimePoint now, const StreamError& error, Actions& actions) {
   stream_.on_lost(now, error, actions);
   drop_pending_without_stream();
 }
 
 // ---- responses
 
-void VersionTracker::on_response(Nanos now, const DiscoveryResponse& response, Actions& actions) {
+void VersionTracker::on_response(TimePoint now, const DiscoveryResponse& response,
+                                 Actions& actions) {
   if (!stream_.is_streaming())
     return;
   stream_.on_bytes_received(now);
@@ -189,7 +190,7 @@
 
 // Accepts the response at once if it is valid with what runs and what is pending; otherwise keeps
 // it pending if another type may still bring what it refers to, or rejects it.
-void VersionTracker::wait_for_dependency(Nanos now, const DiscoveryResponse& response,
+void VersionTracker::wait_for_dependency(TimePoint now, const DiscoveryResponse& response,
                                          Actions& actions) {
   TypeState& state = state_of(*response.type);
   state.pending = PendingDependency{response, now + settings_.dependency_timeout, ""};
@@ -223,7 +224,7 @@
 }
 
 // Accepts the largest set of pending responses that is valid with what runs, as a whole.
-void VersionTracker::accept_pending(Nanos now, Actions& actions) {
+void VersionTracker::accept_pending(TimePoint now, Actions& actions) {
   for (const TypeSet types : kTypeSetsLargestFirst) {
     if (!is_pending(types) || validator_(bodies_with_pending(types)))
       continue;
@@ -234,7 +235,7 @@
   }
 }
 
-bool VersionTracker::accept_all(Nanos now, TypeSet types, Actions& actions) {
+bool VersionTracker::accept_all(TimePoint now, TypeSet types, Actions& actions) {
   bool content_changed = false;
   for (const ResourceType type : kResourceTypes) {
     if (!contains(types, index_of(type)))
@@ -248,7 +249,7 @@
 }
 
 // Returns whether the content that runs has changed.
-bool VersionTracker::accept(Nanos now, ResourceType type, const DiscoveryResponse& response,
+bool VersionTracker::accept(TimePoint now, ResourceType type, const DiscoveryResponse& response,
                             Actions& actions) {
   const bool content_changed = replace_running(now, state_of(type), response, actions);
   stream_.on_response_accepted(actions);
@@ -259,8 +260,8 @@
 }
 
 // Returns whether the content that runs has changed.
-bool VersionTracker::replace_running(Nanos now, TypeState& state, const DiscoveryResponse& response,
-                                     Actions& actions) {
+bool VersionTracker::replace_running(TimePoint now, TypeState& state,
+                                     const DiscoveryResponse& response, Actions& actions) {
   Version& running = state.accepted.running;
   const bool content_changed = !is_running(running, response);
   const bool was_from_file = running.is_from_file();
@@ -292,21 +293,22 @@
 // ---- putting versions in force
 
 // Responses of a burst are applied together: only the last of each type matters.
-void VersionTracker::schedule_apply(Nanos now, Actions& actions) {
+void VersionTracker::schedule_apply(TimePoint now, Actions& actions) {
   apply_pending_ = true;
-  if (last_applied_at_ < 0 || is_apply_due(now))
+  if (!last_applied_at_ || is_apply_due(now))
     apply(now, actions);
 }
 
-bool VersionTracker::is_apply_due(Nanos now) const {
-  return apply_pending_ && now - last_applied_at_ >= settings_.apply_interval;
+bool VersionTracker::is_apply_due(TimePoint now) const {
+  return apply_pending_ &&
+         now - last_applied_at_.value_or(TimePoint(-1ns)) >= settings_.apply_interval;
 }
 
-void VersionTracker::apply(Nanos now, Actions& actions) {
+void VersionTracker::apply(TimePoint now, Actions& actions) {
   ApplyConfiguration configuration{running_bodies(), {}};
   for (std::size_t i = 0; i < kResourceTypeCount; ++i) {
     const std::uint64_t hash = types_[i].accepted.running.content_hash;
-    configuration.changed[i] = last_applied_at_ < 0 || hash != applied_hashes_[i];
+    configuration.changed[i] = !last_applied_at_ || hash != applied_hashes_[i];
     applied_hashes_[i] = hash;
   }
   apply_pending_ = false;
@@ -317,17 +319,18 @@
 
 // ---- time
 
-Nanos VersionTracker::next_deadline() const {
-  Nanos deadline = stream_.next_deadline();
+TimePoint VersionTracker::next_deadline() const {
+  TimePoint deadline = stream_.next_deadline();
   if (apply_pending_)
-    deadline = std::min(deadline, last_applied_at_ + settings_.apply_interval);
+    deadline =
+        std::min(deadline, last_applied_at_.value_or(TimePoint(-1ns)) + settings_.apply_interval);
   for (const TypeState& state : types_)
     if (state.pending)
       deadline = std::min(deadline, state.pending->deadline);
   return deadline;
 }
 
-void VersionTracker::on_timer(Nanos now, Actions& actions) {
+void VersionTracker::on_timer(TimePoint now, Actions& actions) {
   if (is_apply_due(now))
     apply(now, actions);
   reject_expired(now, actions);
@@ -335,7 +338,7 @@
   drop_pending_without_stream();
 }
 
-void VersionTracker::reject_expired(Nanos now, Actions& actions) {
+void VersionTracker::reject_expired(TimePoint now, Actions& actions) {
   for (TypeState& state : types_) {
     if (!state.pending || now < state.pending->deadline)
       continue;
--- a/src/config_versions/version_tracker.h
+++ b/src/config_versions/version_tracker.h
@@ -29,9 +29,9 @@
 struct Settings {
   StreamSettings stream;
   /// How long a response waits for another type that it refers to.
-  Nanos dependency_timeout = 3'000'000'000;
+  Duration dependency_timeout = 3s;
   /// Shortest time between two ApplyConfiguration actions that responses cause.
-  Nanos apply_interval = 50'000'000;
+  Duration apply_interval = 50ms;
   std::uint64_t seed = 1;
 };
 
@@ -49,29 +49,29 @@
   [[nodiscard]] std::optional<ValidationError> restore_snapshot(SnapshotVersions snapshot);
 
   /// Applies what there is and connects.
-  void start(Nanos now, Actions& actions);
+  void start(TimePoint now, Actions& actions);
 
   /// Takes over the operators' file, read again. It replaces versions of the file, and versions of
   /// a control service only where its generation is newer. Changes nothing on an error.
   [[nodiscard]] std::optional<ValidationError>
-  replace_file_versions(Nanos now, FileVersions versions, Actions& actions);
+  replace_file_versions(TimePoint now, FileVersions versions, Actions& actions);
 
   /// Takes over the settings, read again. A change of addresses ends the stream.
-  void update_settings(Nanos now, Settings settings, Actions& actions);
+  void update_settings(TimePoint now, Settings settings, Actions& actions);
 
-  void on_stream_opened(Nanos now, Actions& actions);
+  void on_stream_opened(TimePoint now, Actions& actions);
 
   /// Reports that anything at all came from the control service.
-  void on_bytes_received(Nanos now);
+  void on_bytes_received(TimePoint now);
 
-  void on_response(Nanos now, const DiscoveryResponse& response, Actions& actions);
-  void on_stream_lost(Nanos now, const StreamError& error, Actions& actions);
+  void on_response(TimePoint now, const DiscoveryResponse& response, Actions& actions);
+  void on_stream_lost(TimePoint now, const StreamError& error, Actions& actions);
 
   /// Call it at `next_deadline`, or at any other time.
-  void on_timer(Nanos now, Actions& actions);
+  void on_timer(TimePoint now, Actions& actions);
 
   /// The next time at which `on_timer` has an effect, or `kNever`.
-  [[nodiscard]] Nanos next_deadline() const;
+  [[nodiscard]] TimePoint next_deadline() const;
 
   [[nodiscard]] const AcceptedVersion& accepted(ResourceType type) const {
     return types_[index_of(type)].accepted;
@@ -86,7 +86,7 @@
   /// A response that is valid by itself and refers to what another type has not brought yet.
   struct PendingDependency {
     DiscoveryResponse response;
-    Nanos deadline = 0;
+    TimePoint deadline{};
     std::string missing;
   };
 
@@ -109,19 +109,19 @@
   void drop_pending_without_stream();
 
   void reject_superseded(TypeState& state, const DiscoveryResponse& successor, Actions& actions);
-  void reject_expired(Nanos now, Actions& actions);
+  void reject_expired(TimePoint now, Actions& actions);
   void reject(const DiscoveryResponse& response, const RejectionError& error, Actions& actions);
-  void wait_for_dependency(Nanos now, const DiscoveryResponse& response, Actions& actions);
-  void accept_pending(Nanos now, Actions& actions);
-  [[nodiscard]] bool accept_all(Nanos now, TypeSet types, Actions& actions);
-  [[nodiscard]] bool accept(Nanos now, ResourceType type, const DiscoveryResponse& response,
+  void wait_for_dependency(TimePoint now, const DiscoveryResponse& response, Actions& actions);
+  void accept_pending(TimePoint now, Actions& actions);
+  [[nodiscard]] bool accept_all(TimePoint now, TypeSet types, Actions& actions);
+  [[nodiscard]] bool accept(TimePoint now, ResourceType type, const DiscoveryResponse& response,
                             Actions& actions);
-  [[nodiscard]] bool replace_running(Nanos now, TypeState& state, const DiscoveryResponse& response,
-                                     Actions& actions);
+  [[nodiscard]] bool replace_running(TimePoint now, TypeState& state,
+                                     const DiscoveryResponse& response, Actions& actions);
 
-  void schedule_apply(Nanos now, Actions& actions);
-  void apply(Nanos now, Actions& actions);
-  [[nodiscard]] bool is_apply_due(Nanos now) const;
+  void schedule_apply(TimePoint now, Actions& actions);
+  void apply(TimePoint now, Actions& actions);
+  [[nodiscard]] bool is_apply_due(TimePoint now) const;
 
   Settings settings_;
   Validator validator_;
@@ -129,7 +129,7 @@
   std::array<TypeState, kResourceTypeCount> types_;
   bool apply_pending_ = false;
   /// Negative: never.
-  Nanos last_applied_at_ = -1;
+  std::optional<TimePoint> last_applied_at_;
   std::array<std::uint64_t, kResourceTypeCount> applied_hashes_{};
 };
 
--- a/src/connection_admission/connection_admission.cpp
+++ b/src/connection_admission/connection_admission.cpp
@@ -7,15 +7,15 @@
 namespace gorsebeam::connection_admission {
 namespace {
 
-constexpr Nanos kMillisecond = 1'000'000;
+constexpr Duration kMillisecond = 1ms;
 // The platform's clients may rely on 2 s while there is no shortage.
-constexpr Nanos kMinIdleTime = 2050 * kMillisecond;
-constexpr Nanos kMinUnusedTime = 200 * kMillisecond;
+constexpr Duration kMinIdleTime = 2050ms;
+constexpr Duration kMinUnusedTime = 200ms;
 // On the recorded days nine in ten further requests came sooner than this.
-constexpr Nanos kMinIdleTimeAfterOneRequest = 100 * kMillisecond;
-constexpr Nanos kMinIdleTimeForReplacement = 50 * kMillisecond;
-constexpr Nanos kBusyInterval = 50 * kMillisecond;
-constexpr Nanos kCalmInterval = 200 * kMillisecond;
+constexpr Duration kMinIdleTimeAfterOneRequest = 100ms;
+constexpr Duration kMinIdleTimeForReplacement = 50ms;
+constexpr Duration kBusyInterval = 50ms;
+constexpr Duration kCalmInterval = 200ms;
 
 bool closes_before(const IdleConnection& left, const IdleConnection& right) {
   return std::tuple(left.answered_requests > 0, left.idle_since, left.index) <
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-std::vector<std::size_t> rank_replaceable(std::vector<IdleConnection> idle, Nanos now) {
+std::vector<std::size_t> rank_replaceable(std::vector<IdleConnection> idle, TimePoint now) {
   std::sort(idle.begin(), idle.end(), closes_before);
   std::vector<std::size_t> ranked;
   for (const IdleConnection& connection : idle) {
@@ -38,14 +38,14 @@
   return ranked;
 }
 
-std::vector<CloseCandidate> rank_retirable(std::vector<IdleConnection> idle, Nanos now,
+std::vector<CloseCandidate> rank_retirable(std::vector<IdleConnection> idle, TimePoint now,
                                            std::size_t connected, std::size_t max_connections) {
   std::sort(idle.begin(), idle.end(), closes_before);
   std::vector<CloseCandidate> unused;
   std::vector<CloseCandidate> long_idle;
   std::vector<CloseCandidate> used_once;
   for (const IdleConnection& connection : idle) {
-    const Nanos idle_time = now - connection.idle_since;
+    const Duration idle_time = now - connection.idle_since;
     const std::size_t answered = connection.answered_requests;
     if (answered == 0 && connected >= max_connections && idle_time >= kMinUnusedTime)
       unused.push_back({connection.index, 0});
@@ -60,7 +60,7 @@
   return ranked;
 }
 
-Nanos retirement_interval(std::size_t connected, std::size_t max_connections) {
+Duration retirement_interval(std::size_t connected, std::size_t max_connections) {
   return connected > max_connections / 2 ? kBusyInterval : kCalmInterval;
 }
 
--- a/src/connection_admission/connection_admission.h
+++ b/src/connection_admission/connection_admission.h
@@ -16,7 +16,7 @@
 /// A connection between two requests.
 struct IdleConnection {
   std::size_t index = 0;              ///< Chosen by the caller, who gets it back.
-  Nanos idle_since = 0;               ///< When its state last changed, on the clock of `now`.
+  TimePoint idle_since{};             ///< When its state last changed, on the clock of `now`.
   std::size_t answered_requests = 0;  ///< Requests answered on it; 2 stands for 2 or more.
 };
 
@@ -31,7 +31,7 @@
 /// idle. A connection whose state changed within the last 50 ms is left out, as a request may be on
 /// its way.
 [[nodiscard]] std::vector<std::size_t> rank_replaceable(std::vector<IdleConnection> idle,
-                                                        Nanos now);
+                                                        TimePoint now);
 
 /// Ranks the connections that may be closed at any time, out of `connected` with a maximum of
 /// `max_connections`. In order:
@@ -41,11 +41,11 @@
 /// Clients that ask once and stay must not use up the capacity of others, and clients may often
 /// open fewer connections than this gateway accepts.
 [[nodiscard]] std::vector<CloseCandidate> rank_retirable(std::vector<IdleConnection> idle,
-                                                         Nanos now, std::size_t connected,
+                                                         TimePoint now, std::size_t connected,
                                                          std::size_t max_connections);
 
 /// Nanoseconds until `rank_retirable` is to be called again: 50 ms while more than half of the
 /// capacity is in use, 200 ms otherwise.
-[[nodiscard]] Nanos retirement_interval(std::size_t connected, std::size_t max_connections);
+[[nodiscard]] Duration retirement_interval(std::size_t connected, std::size_t max_connections);
 
 }  // namespace gorsebeam::connection_admission
--- a/src/connection_pool/connection_pool.cpp
+++ b/src/connection_pool/connection_pool.cpp
@@ -48,7 +48,7 @@
 }
 
 void ConnectionPool::start_attempt(AttemptId attempt, EndpointId endpoint, proxy::ClientCall& call,
-                                   Nanos deadline) {
+                                   TimePoint deadline) {
   PendingUse use;
   use.attempt = attempt;
   use.call = &call;
@@ -100,10 +100,10 @@
 // the loop closes them too.
 PooledConnection* ConnectionPool::acquire_idle(EndpointConnections& endpoint) {
   // The timer that retires a connection may be late after a pause of the loop.
-  const Nanos max_idle_time = std::min(idle_lifetime_.max_idle_time(), retirement_age(limits_));
+  const Duration max_idle_time = std::min(idle_lifetime_.max_idle_time(), retirement_age(limits_));
   while (!endpoint.idle.empty()) {
     PooledConnection* const connection = endpoint.idle.back();
-    const Nanos idle_time = net::now() - connection->idle_since();
+    const Duration idle_time = net::now() - connection->idle_since();
     if (connection->is_idle_and_silent() && idle_time < max_idle_time) {
       endpoint.idle.pop_back();
       return connection;
@@ -145,7 +145,7 @@
   return found != endpoints_.end() && found->second.address == address;
 }
 
-void ConnectionPool::record_idle_use(Nanos idle_time, bool broke) {
+void ConnectionPool::record_idle_use(Duration idle_time, bool broke) {
   idle_lifetime_.record_use(idle_time, broke);
 }
 
@@ -203,7 +203,7 @@
   erase_if_unused(endpoint);
   discarded_.push_back(std::move(found->second));
   connections_.erase(found);
-  deletion_timer_.after(0);
+  deletion_timer_.after(0ms);
 }
 
 }  // namespace gorsebeam::connection_pool
--- a/src/connection_pool/connection_pool.h
+++ b/src/connection_pool/connection_pool.h
@@ -34,7 +34,7 @@
   void add_endpoint(EndpointId endpoint, const std::string& address) override;
   void remove_endpoint(EndpointId endpoint) override;
   void start_attempt(proxy::AttemptId attempt, EndpointId endpoint, proxy::ClientCall& call,
-                     Nanos deadline) override;
+                     TimePoint deadline) override;
   /// Ends after `PoolLimits::connect_timeout` at the latest.
   void start_health_check(EndpointId endpoint) override;
   void read_pending() override;
@@ -59,7 +59,7 @@
 
   [[nodiscard]] bool is_current_address(EndpointId endpoint,
                                         const std::string& address) const override;
-  void record_idle_use(Nanos idle_time, bool broke) override;
+  void record_idle_use(Duration idle_time, bool broke) override;
   void complete_use(EndpointId endpoint, const PendingUse& use,
                     const proxy::UpstreamResponse& response) override;
   void add_idle(PooledConnection& connection) override;
--- a/src/connection_pool/idle_lifetime_estimator.cpp
+++ b/src/connection_pool/idle_lifetime_estimator.cpp
@@ -8,7 +8,7 @@
 namespace gorsebeam::connection_pool {
 namespace {
 
-constexpr Nanos kFirstIntervalEnd = 25'000'000;  // a shorter idle time counts as none
+constexpr Duration kFirstIntervalEnd = 25ms;  // a shorter idle time counts as none
 constexpr double kMinSamples = 8;
 // The share of broken uses above that of connections that were not idle.
 constexpr double kMaxExcessFailureRatio = 0.1;
@@ -16,16 +16,16 @@
 
 }  // namespace
 
-std::size_t IdleLifetimeEstimator::interval_of(Nanos idle_time) {
+std::size_t IdleLifetimeEstimator::interval_of(Duration idle_time) {
   std::size_t interval = 0;
-  for (Nanos end = kFirstIntervalEnd; interval + 1 < kIntervals && idle_time >= end; end *= 2)
+  for (Duration end = kFirstIntervalEnd; interval + 1 < kIntervals && idle_time >= end; end *= 2)
     ++interval;
   return interval;
 }
 
 void IdleLifetimeEstimator::decay() {
-  const Nanos now = net::now();
-  const double kept = std::exp(-static_cast<double>(now - decayed_at_) / kDecayTime);
+  const TimePoint now = net::now();
+  const double kept = std::exp(-to_double(now - decayed_at_) / kDecayTime);
   for (Interval& interval : intervals_) {
     interval.uses *= kept;
     interval.broken *= kept;
@@ -33,7 +33,7 @@
   decayed_at_ = now;
 }
 
-void IdleLifetimeEstimator::record_use(Nanos idle_time, bool broke) {
+void IdleLifetimeEstimator::record_use(Duration idle_time, bool broke) {
   decay();
   Interval& interval = intervals_[interval_of(idle_time)];
   interval.uses += 1;
@@ -41,19 +41,19 @@
     interval.broken += 1;
 }
 
-Nanos IdleLifetimeEstimator::max_idle_time() {
+Duration IdleLifetimeEstimator::max_idle_time() {
   decay();
   const Interval& not_idle = intervals_[0];
   const double usual_ratio = not_idle.uses > 0 ? not_idle.broken / not_idle.uses : 0;
   const double max_ratio = usual_ratio + kMaxExcessFailureRatio;
-  Nanos begin = kFirstIntervalEnd;
+  Duration begin = kFirstIntervalEnd;
   for (std::size_t i = 1; i < kIntervals; ++i) {
     const Interval& interval = intervals_[i];
     if (interval.uses >= kMinSamples && interval.broken > max_ratio * interval.uses)
       return begin;
     begin *= 2;
   }
-  return std::numeric_limits<Nanos>::max();
+  return Duration::max();
 }
 
 }  // namespace gorsebeam::connection_pool
--- a/src/connection_pool/idle_lifetime_estimator.h
+++ b/src/connection_pool/idle_lifetime_estimator.h
@@ -18,11 +18,11 @@
 public:
   /// Records one use of a connection that had been idle for `idle_time` nanoseconds, and whether
   /// the connection broke before any byte of a response.
-  void record_use(Nanos idle_time, bool broke);
+  void record_use(Duration idle_time, bool broke);
 
-  /// The idle time in nanoseconds from which a connection is not used again; the highest `Nanos`
+  /// The idle time in nanoseconds from which a connection is not used again; the highest `Duration`
   /// while no idle time fares worse than none.
-  [[nodiscard]] Nanos max_idle_time();
+  [[nodiscard]] Duration max_idle_time();
 
 private:
   /// Decayed counts of uses after idle times in one interval.
@@ -33,11 +33,11 @@
 
   static constexpr std::size_t kIntervals = 8;
 
-  [[nodiscard]] static std::size_t interval_of(Nanos idle_time);
+  [[nodiscard]] static std::size_t interval_of(Duration idle_time);
   void decay();
 
   std::array<Interval, kIntervals> intervals_;  // each reaches twice as far as the one before
-  Nanos decayed_at_ = 0;
+  TimePoint decayed_at_{};
 };
 
 }  // namespace gorsebeam::connection_pool
--- a/src/connection_pool/pool_limits.h
+++ b/src/connection_pool/pool_limits.h
@@ -8,8 +8,8 @@
 namespace gorsebeam::connection_pool {
 
 struct PoolLimits {
-  Nanos connect_timeout = 250'000'000;    ///< Of opening a connection, and of a health check.
-  Nanos keepalive = 30'000'000'000;       ///< An endpoint closes a connection idle for this long.
+  Duration connect_timeout = 250ms;       ///< Of opening a connection, and of a health check.
+  Duration keepalive = 30s;               ///< An endpoint closes a connection idle for this long.
   std::size_t connections = 400;          ///< To all endpoints together.
   std::size_t per_member = 150;           ///< To one endpoint.
   std::size_t answer_bytes = 256 * 1024;  ///< Of one response.
@@ -17,7 +17,7 @@
 };
 
 /// The idle time after which a connection is retired: well before the endpoint would close it, as a
-/// request that crosses that close ends as a reset. The highest `Nanos` if endpoints close none.
-[[nodiscard]] Nanos retirement_age(const PoolLimits& limits);
+/// request that crosses that close ends as a reset. The highest `Duration` if endpoints close none.
+[[nodiscard]] Duration retirement_age(const PoolLimits& limits);
 
 }  // namespace gorsebeam::connection_pool
--- a/src/connection_pool/pooled_connection.cpp
+++ b/src/connection_pool/pooled_connection.cpp
@@ -9,17 +9,17 @@
 namespace gorsebeam::connection_pool {
 namespace {
 
-constexpr Nanos kMaxResponseGap = 150'000'000;  // between two pieces of one response
+constexpr Duration kMaxResponseGap = 150ms;  // between two pieces of one response
 // A response up to this size is read to its end even while memory is short.
 constexpr std::size_t kMaxSmallResponse = 16 * 1024;
-constexpr Nanos kMaxKeepaliveMargin = 3'000'000'000;
+constexpr Duration kMaxKeepaliveMargin = 3s;
 
 }  // namespace
 
-Nanos retirement_age(const PoolLimits& limits) {
-  if (limits.keepalive <= 0)
-    return std::numeric_limits<Nanos>::max();
-  return limits.keepalive - std::min<Nanos>(limits.keepalive / 4, kMaxKeepaliveMargin);
+Duration retirement_age(const PoolLimits& limits) {
+  if (limits.keepalive <= 0ms)
+    return Duration::max();
+  return limits.keepalive - std::min<Duration>(limits.keepalive / 4, kMaxKeepaliveMargin);
 }
 
 proxy::UpstreamResponse response_with(AttemptStatus status) {
@@ -88,17 +88,17 @@
 // by now the endpoint may be draining, the time for a retry be over, or the evidence that the
 // endpoint is current have expired.
 void PooledConnection::write_request() {
-  const Nanos left = use_.deadline - net::now();
-  if (left <= 0 || !is_authorized()) {
+  const Duration left = use_.deadline - net::now();
+  if (left <= 0ms || !is_authorized()) {
     net::log({"attempt_not_written",
               {{"endpoint", std::to_string(endpoint_)},
-               {"reason", left <= 0 ? "out_of_time" : "not_allowed"}}});
+               {"reason", left <= 0ms ? "out_of_time" : "not_allowed"}}});
     complete_use(response_with(AttemptStatus::NotSent), AfterUse::Keep);
     return;
   }
   state_ = State::Writing;
   response_started_ = false;
-  if (idle_since_ > 0)
+  if (idle_since_ > TimePoint{})
     idle_time_ = net::now() - idle_since_;
   timer_.at(use_.deadline);
   stream_->write(use_.is_health_check ? protocol_->probe()
@@ -223,8 +223,8 @@
 void PooledConnection::complete_use(const proxy::UpstreamResponse& response, AfterUse after_use,
                                     std::size_t used) {
   const PendingUse use = std::exchange(use_, PendingUse{});
-  const Nanos idle_time = std::exchange(idle_time_, 0);
-  if (idle_time > 0)
+  const Duration idle_time = std::exchange(idle_time_, 0ms);
+  if (idle_time > 0ms)
     owner_.record_idle_use(idle_time, after_use == AfterUse::Broken && !response_started_);
   in_use_ = false;
   timer_.stop();
@@ -253,7 +253,7 @@
     return;
   }
   idle_since_ = net::now();
-  if (owner_.limits().keepalive > 0)
+  if (owner_.limits().keepalive > 0ms)
     timer_.after(retirement_age(owner_.limits()));
   owner_.add_idle(*this);
 }
--- a/src/connection_pool/pooled_connection.h
+++ b/src/connection_pool/pooled_connection.h
@@ -20,7 +20,7 @@
 struct PendingUse {
   proxy::AttemptId attempt = 0;       ///< 0: none.
   proxy::ClientCall* call = nullptr;  ///< Borrowed; null for a health check and once detached.
-  Nanos deadline = 0;                 ///< The use ends by then.
+  TimePoint deadline{};               ///< The use ends by then.
   bool is_health_check = false;
 };
 
@@ -39,7 +39,7 @@
     [[nodiscard]] virtual bool is_current_address(EndpointId endpoint,
                                                   const std::string& address) const = 0;
     /// A use of a connection that had been idle for `idle_time` ended; `broke` without a response.
-    virtual void record_idle_use(Nanos idle_time, bool broke) = 0;
+    virtual void record_idle_use(Duration idle_time, bool broke) = 0;
     /// The one end of a use.
     virtual void complete_use(EndpointId endpoint, const PendingUse& use,
                               const proxy::UpstreamResponse& response) = 0;
@@ -71,7 +71,7 @@
   [[nodiscard]] EndpointId endpoint() const { return endpoint_; }
 
   /// When it was last added to the idle connections; 0: never.
-  [[nodiscard]] Nanos idle_since() const { return idle_since_; }
+  [[nodiscard]] TimePoint idle_since() const { return idle_since_; }
 
   /// Starts a use, of a connection that is idle or still being opened and has none.
   void assign(const PendingUse& use);
@@ -121,8 +121,8 @@
   PendingUse use_;
   bool in_use_ = false;
   bool response_started_ = false;  // some bytes of the response have arrived
-  Nanos idle_since_ = 0;
-  Nanos idle_time_ = 0;  // before the use in hand; 0: a new connection
+  TimePoint idle_since_{};
+  Duration idle_time_{};  // before the use in hand; 0: a new connection
 };
 
 }  // namespace gorsebeam::connection_pool
--- a/src/control_plane/control_plane_client.cpp
+++ b/src/control_plane/control_plane_client.cpp
@@ -13,22 +13,19 @@
 namespace gorsebeam::control_plane {
 namespace {
 
-using config_versions::Nanos;
 using config_versions::ResourceType;
 using config_versions::StreamError;
 using config_versions::ValidationError;
 using snapshot_store::SnapshotError;
 
-constexpr Nanos kNanosPerMs = 1'000'000;
-
 config_versions::StreamSettings make_stream_settings(const config::pb::ControlService& service) {
   config_versions::StreamSettings settings;
   settings.addresses.assign(service.address().begin(), service.address().end());
   if (service.reconnect_most_ms() != 0)
-    settings.reconnect_max = service.reconnect_most_ms() * kNanosPerMs;
+    settings.reconnect_max = std::chrono::milliseconds(service.reconnect_most_ms());
   settings.reconnect_first = std::min(settings.reconnect_first, settings.reconnect_max);
   if (service.silence_ms() != 0)
-    settings.silence = service.silence_ms() * kNanosPerMs;
+    settings.silence = std::chrono::milliseconds(service.silence_ms());
   settings.connect_timeout = std::min(settings.connect_timeout, settings.silence);
   return settings;
 }
@@ -38,7 +35,7 @@
   config_versions::Settings settings;
   settings.stream = make_stream_settings(service);
   if (service.hold_ms() != 0)
-    settings.dependency_timeout = service.hold_ms() * kNanosPerMs;
+    settings.dependency_timeout = std::chrono::milliseconds(service.hold_ms());
   settings.seed = seed;
   return settings;
 }
@@ -217,8 +214,8 @@
     }
   }
   executing_ = false;
-  const Nanos deadline = tracker_.next_deadline();
-  if (!stopped_ && deadline != config_versions::kNever)
+  const TimePoint deadline = tracker_.next_deadline();
+  if (!stopped_ && deadline != kNever)
     timer_.at(deadline);
 }
 
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -7,8 +7,6 @@
 namespace gorsebeam::discovery {
 namespace {
 
-constexpr Nanos kNanosPerMillisecond = 1'000'000;
-
 EndpointStatus read_status(const settings::JsonObjectReader& entry) {
   return entry.read_enum<EndpointStatus>("phase", {{"ready", EndpointStatus::Up},
                                                    {"draining", EndpointStatus::Draining},
@@ -25,7 +23,7 @@
     entry.throw_invalid("host_port", "an address and a port");
   endpoint.group = static_cast<GroupId>(entry.read_integer("cell", 0));
   endpoint.zone = entry.read_string("locality", "");
-  endpoint.started_at = entry.read_integer("up_since_ms", 0) * kNanosPerMillisecond;
+  endpoint.started_at = TimePoint(std::chrono::milliseconds(entry.read_integer("up_since_ms", 0)));
   endpoint.listed_as_primary = entry.read_string("part", "") == "master";
   endpoint.weight = entry.read_number("size", 1);
   return listed;
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -15,7 +15,6 @@
 constexpr std::size_t kMaxHeadSize = 16 * 1024;
 constexpr std::size_t kMaxChunkSizeLine = 64;
 constexpr std::size_t kMaxLoggedStatusLine = 80;
-constexpr Nanos kNanosPerMillisecond = 1'000'000;
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kVersion = "HTTP/1.1 ";
@@ -92,7 +91,7 @@
 }
 
 void EndpointWatch::check_silence() {
-  const Nanos last_progress_at = last_progress_at_;
+  const TimePoint last_progress_at = last_progress_at_;
   read_pending();
   const bool is_still_open = stream_ && stream_->open();
   if (is_still_open && last_progress_at_ == last_progress_at)
@@ -116,7 +115,7 @@
   const bool has_unread = stream_ && stream_->readable();
   net::log({"endpoint_watch_closed",
             {{"reason", reason},
-             {"idle_ms", std::to_string((net::now() - last_progress_at_) / kNanosPerMillisecond)},
+             {"idle_ms", std::to_string((net::now() - last_progress_at_) / 1ms)},
              {"unread", has_unread ? "yes" : "no"}}});
   stop();
   reconnect_at_ = net::now() + reconnect_backoff_.next_delay(end);
--- a/src/discovery/endpoint_watch.h
+++ b/src/discovery/endpoint_watch.h
@@ -41,7 +41,7 @@
   void change_address(const std::string& address);
 
 private:
-  static constexpr Nanos kNotReconnecting = std::numeric_limits<Nanos>::max();
+  static constexpr TimePoint kNotReconnecting = TimePoint::max();
 
   /// What of the HTTP response is read next.
   enum class ResponseState { Head, PlainBody, ChunkedBody };
@@ -69,14 +69,14 @@
   std::shared_ptr<net::Stream> stream_;
   net::Timer silence_timer_;
   net::Timer reconnect_timer_;
-  Nanos reconnect_at_ = kNotReconnecting;
+  TimePoint reconnect_at_ = kNotReconnecting;
   ReconnectBackoff reconnect_backoff_;
   RevisionFilter revision_filter_;
   JsonObjectSplitter body_;
   ResponseState response_state_ = ResponseState::Head;
   ListOrder next_list_ = ListOrder::FirstOfWatch;
-  Nanos last_progress_at_ = 0;  // when it was opened or last received something
-  bool is_reading_ = false;     // `received` is on the stack
+  TimePoint last_progress_at_{};  // when it was opened or last received something
+  bool is_reading_ = false;       // `received` is on the stack
 };
 
 }  // namespace gorsebeam::discovery
--- a/src/discovery/reconnect_backoff.h
+++ b/src/discovery/reconnect_backoff.h
@@ -41,28 +41,28 @@
 class ReconnectBackoff {
 public:
   /// After a watch's last byte: what it misses counts as notified.
-  static constexpr Nanos kNotifiedAfter = 6'000'000'000;
+  static constexpr Duration kNotifiedAfter = 6s;
   /// Silence of an open watch that breaks it: an empty line is due every 2 s.
-  static constexpr Nanos kSilenceTimeout = 2'500'000'000;
+  static constexpr Duration kSilenceTimeout = 2500ms;
   /// Silence of a call to a shared service that was not answered yet: it may be queued.
-  static constexpr Nanos kFirstAnswerTimeout = 5'000'000'000;
+  static constexpr Duration kFirstAnswerTimeout = 5s;
   /// The part of kNotifiedAfter that is left for the call itself.
-  static constexpr Nanos kCallReserve = 1'500'000'000;
+  static constexpr Duration kCallReserve = 1500ms;
   /// Allowed for one call to a shared service; with many gateways one took 49 to 84 ms.
-  static constexpr Nanos kCallDuration = 50'000'000;
+  static constexpr Duration kCallDuration = 50ms;
   /// The bound of each delay with a local agent.
-  static constexpr Nanos kAgentBackoffMax = 50'000'000;
+  static constexpr Duration kAgentBackoffMax = 50ms;
   /// The least first bound with a shared service, which few gateways cannot overload.
-  static constexpr Nanos kMinSharedBackoffMax = 250'000'000;
+  static constexpr Duration kMinSharedBackoffMax = 250ms;
 
   /// `gateways` share the service, if it is shared.
   ReconnectBackoff(std::uint32_t gateways, DiscoveryService service, std::uint64_t seed);
 
   /// How long a watch may stay silent from now on.
-  [[nodiscard]] Nanos silence_timeout() const;
+  [[nodiscard]] Duration silence_timeout() const;
 
   /// The delay from now, above 0, until the watch that ended is opened again.
-  [[nodiscard]] Nanos next_delay(WatchEnd end);
+  [[nodiscard]] Duration next_delay(WatchEnd end);
 
   /// A list arrived.
   void record_list();
@@ -73,8 +73,8 @@
 private:
   std::mt19937_64 random_;
   DiscoveryService service_;
-  Nanos first_bound_;
-  Nanos bound_;                 // of the next delay
+  Duration first_bound_;
+  Duration bound_;              // of the next delay
   bool list_received_ = false;  // since the last delay
 };
 
--- a/src/discovery/revision_filter.h
+++ b/src/discovery/revision_filter.h
@@ -45,7 +45,7 @@
     std::uint64_t epoch = 0;
     std::int64_t revision = 0;
     EndpointStatus status = EndpointStatus::Up;
-    Nanos started_at = 0;
+    TimePoint started_at{};
     bool left_out = false;  ///< Removed because a complete list did not name it.
   };
 
--- a/src/frontend/client_connection.cpp
+++ b/src/frontend/client_connection.cpp
@@ -12,10 +12,9 @@
 namespace gorsebeam::frontend {
 namespace {
 
-constexpr Nanos kSecond = 1'000'000'000;
-constexpr Nanos kMaxMessageDelay = 5 * kSecond / 2;  // an error or a close is due 3 s after connect
-constexpr Nanos kMaxAnswerDelay = 5 * kSecond;       // longer than any deadline
-constexpr std::size_t kMaxMessagesPerTurn = 16;      // of one connection in a turn of the loop
+constexpr Duration kMaxMessageDelay = 5s / 2;    // an error or a close is due 3 s after connect
+constexpr Duration kMaxAnswerDelay = 5s;         // longer than any deadline
+constexpr std::size_t kMaxMessagesPerTurn = 16;  // of one connection in a turn of the loop
 constexpr std::size_t kMessageSlack = 1024;
 
 // Bytes that are read behind a pending request while memory is short.
@@ -52,8 +51,8 @@
         process_input_guarded();
       }) {}
 
-Nanos ClientConnection::earliest_arrival() const {
-  return read_from_ > 0 ? read_from_ : net::earliest_arrival();
+TimePoint ClientConnection::earliest_arrival() const {
+  return read_from_.value_or(net::earliest_arrival());
 }
 
 bool ClientConnection::is_idle() const {
@@ -75,7 +74,7 @@
   if (stream_->input().size() > max_size)
     stream_->pause_reading(is_busy_ ? net::PeerCloseWatch::On : net::PeerCloseWatch::Off);
   process_input();
-  read_from_ = 0;
+  read_from_.reset();
   if (stream_->open() && !is_busy_)
     frontend_.enforce_buffer_limit();
 }
@@ -98,7 +97,7 @@
   while (!is_busy_ && state_ == State::Open && stream_->open() && stream_->all_written()) {
     if (messages == kMaxMessagesPerTurn) {
       stream_->pause_reading();
-      resume_timer_.after(0);
+      resume_timer_.after(0ms);
       is_processing_ = false;
       return;
     }
@@ -142,7 +141,7 @@
   request_size_ = size;
   if (frontend_.is_stopping()) {
     net::log({"request_rejected", {{"request", request.id}, {"reason", "shutdown"}}});
-    reject(0);
+    reject(0ms);
     is_starting_ = false;
     return true;
   }
@@ -166,10 +165,10 @@
     process_input();
 }
 
-const char* ClientConnection::overdue_reason(Nanos now) const {
+const char* ClientConnection::overdue_reason(TimePoint now) const {
   if (is_busy_)
     return nullptr;
-  const Nanos waited = now - last_progress_at_;
+  const Duration waited = now - last_progress_at_;
   if (!stream_->all_written())
     return waited > kMaxAnswerDelay ? "an answer was not taken" : nullptr;
   if (waited <= kMaxMessageDelay)
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -48,10 +48,10 @@
   [[nodiscard]] std::size_t answered_count() const { return answered_count_; }
 
   /// The earliest time at which the message that is parsed now can have arrived.
-  [[nodiscard]] Nanos earliest_arrival() const;
+  [[nodiscard]] TimePoint earliest_arrival() const;
 
   /// When it last made progress: was accepted, sent a message, was answered or received an answer.
-  [[nodiscard]] Nanos last_progress_at() const { return last_progress_at_; }
+  [[nodiscard]] TimePoint last_progress_at() const { return last_progress_at_; }
 
   /// Buffered bytes that closing it would free; none while a request is pending.
   [[nodiscard]] std::size_t reclaimable_bytes() const {
@@ -60,7 +60,7 @@
 
   /// Why it is to be closed: nothing sent, an incomplete message, an answer not received. Null
   /// where it is not overdue.
-  [[nodiscard]] const char* overdue_reason(Nanos now) const;
+  [[nodiscard]] const char* overdue_reason(TimePoint now) const;
 
   /// Closes it; the reason is sent in the protocol's form if it can be sent at once.
   void reject_and_close(const char* reason);
@@ -121,7 +121,8 @@
 
   std::string request_id_;
   std::string end_reason_;  ///< As the socket reported it; empty: it did not.
-  Nanos read_from_ = 0;     ///< Of the bytes that are being handled; 0: they were read before.
+  std::optional<TimePoint>
+      read_from_;  ///< Of the bytes that are being handled; empty: they were read before.
   std::size_t request_size_ = 0;
   State state_ = State::Open;
   bool is_busy_ = false;        ///< A request is pending.
@@ -130,7 +131,7 @@
   bool is_over_limit_ = false;
   bool has_sent_message_ = false;  ///< Something that the client sent was parsed.
   std::size_t answered_count_ = 0;
-  Nanos last_progress_at_ = 0;
+  TimePoint last_progress_at_{};
   net::Timer resume_timer_;
 };
 
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -8,9 +8,8 @@
 namespace gorsebeam::frontend {
 namespace {
 
-constexpr Nanos kSecond = 1'000'000'000;
-constexpr Nanos kStopSweepInterval = kSecond / 20;
-constexpr Nanos kMaxLinger = kSecond / 4;  // a client hangs up long before
+constexpr Duration kStopSweepInterval = 50ms;
+constexpr Duration kMaxLinger = 250ms;  // a client hangs up long before
 
 }  // namespace
 
@@ -24,7 +23,7 @@
         stop_accepting();
       }),
       maintenance_timer_([this] {
-        const Nanos now = net::now();
+        const TimePoint now = net::now();
         close_overdue(now);
         close_surplus(now);
         maintenance_timer_.after(
@@ -114,7 +113,7 @@
   return false;
 }
 
-void Frontend::close_overdue(Nanos now) {
+void Frontend::close_overdue(TimePoint now) {
   std::vector<std::pair<const char*, ClientConnection*>> overdue;
   for (const auto& [connection, owned] : connections_)
     if (const char* reason = connection->overdue_reason(now))
@@ -123,7 +122,7 @@
     connection->reject_and_close(reason);
 }
 
-void Frontend::close_surplus(Nanos now) {
+void Frontend::close_surplus(TimePoint now) {
   const IdleConnections idle = idle_connections();
   const std::vector<connection_admission::CloseCandidate> candidates =
       connection_admission::rank_retirable(idle.descriptions, now, connections_.size(),
@@ -174,7 +173,7 @@
 }
 
 void Frontend::close_expired_lingering() {
-  const Nanos now = net::now();
+  const TimePoint now = net::now();
   while (!lingering_.empty() && now - lingering_.front()->last_progress_at() >= kMaxLinger)
     lingering_.front()->close(CloseReason::Idle);
   if (!lingering_.empty())
@@ -189,7 +188,7 @@
     return;
   removed_.push_back(std::move(found->second));
   connections_.erase(found);
-  removal_timer_.after(0);
+  removal_timer_.after(0ms);
   resume_listening();
 }
 
@@ -202,7 +201,7 @@
     return;
   removed_.push_back(std::move(*found));
   lingering_.erase(found);
-  removal_timer_.after(0);
+  removal_timer_.after(0ms);
 }
 
 void Frontend::stop_accepting() {
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -57,7 +57,7 @@
   }
 
   /// The earliest time at which the connection that is accepted now can have come.
-  [[nodiscard]] Nanos earliest_accept_arrival() const { return listener_->earliest_arrival(); }
+  [[nodiscard]] TimePoint earliest_accept_arrival() const { return listener_->earliest_arrival(); }
 
   proxy::RequestBroker& broker() { return broker_; }
 
@@ -94,8 +94,8 @@
 
   /// Retires one idle connection in favour of a new one; false where there is none.
   bool retire_for_new();
-  void close_overdue(Nanos now);
-  void close_surplus(Nanos now);
+  void close_overdue(TimePoint now);
+  void close_surplus(TimePoint now);
   void close_expired_lingering();
   void remove_lingering(ClientConnection* connection);
   void resume_listening();
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -17,11 +17,10 @@
 namespace gorsebeam::gateway {
 namespace {
 
-constexpr Nanos kMillisecond = 1'000'000;
 // After SIGTERM new connections still arrive for up to 0.4 s.
-constexpr Nanos kAcceptAfterStop = 550 * kMillisecond;
-constexpr Nanos kMinShutdownDeadline = 3000 * kMillisecond;
-constexpr Nanos kDrainCheckInterval = 20 * kMillisecond;
+constexpr Duration kAcceptAfterStop = 550ms;
+constexpr Duration kMinShutdownDeadline = 3000ms;
+constexpr Duration kDrainCheckInterval = 20ms;
 
 using sql_classifier::SqlClassifier;
 
@@ -65,7 +64,7 @@
   const bool serves_mongo = plan_.file.gateway.has_mongo();
   ResourceShare share =
       compute_share(plan_.config.max_sockets, plan_.config.memory_mb, serves_mongo ? 2 : 1);
-  if (profile.settings.connect_timeout > 0)
+  if (profile.settings.connect_timeout > 0ms)
     share.pool.connect_timeout = profile.settings.connect_timeout;
   share.pool.keepalive = profile.keepalive;
   const std::uint64_t seed = plan_.config.seed;
@@ -120,7 +119,7 @@
   net::log({"shutdown_started", {}});
   control_plane_->stop();
   stop_accepting_timer_.after(kAcceptAfterStop);
-  Nanos deadline = kMinShutdownDeadline;
+  Duration deadline = kMinShutdownDeadline;
   for (const RequestClass& request_class : plan_.config.profile.settings.classes)
     deadline = std::max(deadline, request_class.deadline);
   shutdown_deadline_timer_.after(deadline + kAcceptAfterStop);
@@ -130,7 +129,7 @@
   postgres_->frontend().stop_accepting();
   if (mongo_)
     mongo_->frontend().stop_accepting();
-  drain_timer_.after(0);
+  drain_timer_.after(0ms);
 }
 
 void Gateway::quit_when_drained() {
--- a/src/grpc/session.cpp
+++ b/src/grpc/session.cpp
@@ -12,7 +12,6 @@
 
 using Code = SessionError::Code;
 
-constexpr std::int64_t kSecond = 1'000'000'000;
 constexpr std::uint32_t kReceiveWindowBytes = 1 << 20;
 constexpr std::size_t kMaxLoggedValueBytes = 300;  // of a peer's header value
 constexpr std::size_t kHeaderOverheadBytes = 32;   // RFC 9113, section 6.5.2
@@ -72,7 +71,7 @@
       ++session.data_frames_;
       return 0;
     }
-    if (session.now_ - session.second_started_at_ >= kSecond) {
+    if (session.now_ - session.second_started_at_ >= 1s) {
       session.second_started_at_ = session.now_;
       session.control_frames_ = 0;
       session.previous_data_frames_ = std::exchange(session.data_frames_, 0);
@@ -210,7 +209,7 @@
     error_ = SessionError{code, message};
 }
 
-void Session::receive(std::string_view bytes, std::int64_t now) {
+void Session::receive(std::string_view bytes, TimePoint now) {
   if (error_)
     return;
   now_ = now;
--- a/src/grpc/session.h
+++ b/src/grpc/session.h
@@ -4,6 +4,7 @@
 /// Sources: RFC 9113 (HTTP/2); "gRPC over HTTP2" of the gRPC documentation.
 #pragma once
 
+#include "gorsebeam/time.h"
 #include "message_framing.h"
 
 #include <cstddef>
@@ -60,7 +61,7 @@
   Session& operator=(const Session&) = delete;
 
   /// Processes bytes of the peer. `now` is in nanoseconds; it counts floods by the second.
-  void receive(std::string_view bytes, std::int64_t now);
+  void receive(std::string_view bytes, TimePoint now);
 
   /// Extracts the next whole message into `message`; returns false if there is none. Call it after
   /// `receive` until then.
@@ -108,8 +109,8 @@
   int data_frames_ = 0;
   /// Data frames of the second before, as the control frames that they bring may come late.
   int previous_data_frames_ = 0;
-  std::int64_t now_ = 0;
-  std::int64_t second_started_at_ = 0;
+  TimePoint now_{};
+  TimePoint second_started_at_{};
 
   /// The first error found while nghttp2 processed bytes.
   std::optional<SessionError> error_;
--- a/src/inventory/endpoint_list_builder.cpp
+++ b/src/inventory/endpoint_list_builder.cpp
@@ -111,7 +111,7 @@
   if (auto error = parser.parse_number("started", 0, kMaxStartSeconds, started_seconds))
     return error;
   endpoint.weight = weight;
-  endpoint.started_at = static_cast<Nanos>(started_seconds * kNanosPerSecond);
+  endpoint.started_at = TimePoint(to_duration(started_seconds * kNanosPerSecond));
   return std::nullopt;
 }
 
--- a/src/leases/lease_client.cpp
+++ b/src/leases/lease_client.cpp
@@ -16,18 +16,20 @@
     : settings_(std::move(settings)), holder_(std::move(holder)), zone_(std::move(zone)),
       random_(settings_.random_seed) {}
 
-Nanos LeaseClient::draw_request_interval() {
-  const Nanos lease = settings_.lease_duration;
-  return std::uniform_int_distribution<Nanos>(lease / 5, lease / 4)(random_);
+Duration LeaseClient::draw_request_interval() {
+  const Duration lease = settings_.lease_duration;
+  return Duration(std::uniform_int_distribution<Duration::rep>((lease / 5).count(),
+                                                               (lease / 4).count())(random_));
 }
 
-void LeaseClient::start(Nanos now) {
-  const Nanos max_delay = settings_.lease_duration / 4;
-  next_request_at_ = now + std::uniform_int_distribution<Nanos>(0, max_delay)(random_);
+void LeaseClient::start(TimePoint now) {
+  const Duration max_delay = settings_.lease_duration / 4;
+  next_request_at_ =
+      now + Duration(std::uniform_int_distribution<Duration::rep>(0, max_delay.count())(random_));
   deadline_ = next_request_at_;
 }
 
-void LeaseClient::tick(Nanos now, ClientActions& actions) {
+void LeaseClient::tick(TimePoint now, ClientActions& actions) {
   expire_leases(now, actions);
   if (state_ == State::Active && now >= next_request_at_)
     send_request(now, actions);
@@ -36,7 +38,7 @@
     deadline_ = std::min(deadline_, lease.expires_at);
 }
 
-void LeaseClient::expire_leases(Nanos now, ClientActions& actions) {
+void LeaseClient::expire_leases(TimePoint now, ClientActions& actions) {
   for (auto at = held_leases_.begin(); at != held_leases_.end();) {
     const auto& [role, lease] = *at;
     if (now < lease.expires_at) {
@@ -48,7 +50,7 @@
   }
 }
 
-void LeaseClient::send_request(Nanos now, ClientActions& actions) {
+void LeaseClient::send_request(TimePoint now, ClientActions& actions) {
   ++last_request_;
   unanswered_requests_[last_request_] = now;
   if (unanswered_requests_.size() > kMaxUnansweredRequests)
@@ -57,7 +59,7 @@
   actions.emplace_back(LeaseRequest{holder_, zone_, last_request_, last_response_, false});
 }
 
-void LeaseClient::handle_response(Nanos now, const LeaseResponse& response,
+void LeaseClient::handle_response(TimePoint now, const LeaseResponse& response,
                                   ClientActions& actions) {
   const auto request = unanswered_requests_.find(response.request_number);
   const bool is_addressed_here = response.holder == holder_ && state_ == State::Active;
@@ -66,8 +68,8 @@
       response.request_number <= last_response_)
     return;
   last_response_ = response.request_number;
-  const Nanos sent_at = request->second;
-  const Nanos expires_at = sent_at + settings_.lease_duration - settings_.max_clock_drift();
+  const TimePoint sent_at = request->second;
+  const TimePoint expires_at = sent_at + settings_.lease_duration - settings_.max_clock_drift();
   unanswered_requests_.erase(unanswered_requests_.begin(), std::next(request));
   HeldLeases new_leases;
   if (now < expires_at)
@@ -77,7 +79,8 @@
   deadline_ = std::min(deadline_, now < expires_at ? expires_at : now);
 }
 
-void LeaseClient::replace_held_leases(Nanos now, HeldLeases new_leases, ClientActions& actions) {
+void LeaseClient::replace_held_leases(TimePoint now, HeldLeases new_leases,
+                                      ClientActions& actions) {
   const auto holds = [](const HeldLeases& leases, const std::string& role, FencingToken token) {
     const auto found = leases.find(role);
     return found != leases.end() && found->second.token == token;
@@ -100,13 +103,13 @@
   for (const auto& [role, lease] : held_leases_)
     actions.emplace_back(LeaseLost{role, lease.token, LossReason::Released});
   held_leases_.clear();
-  deadline_ = kNoDeadline;
-  next_request_at_ = kNoDeadline;
+  deadline_ = kNever;
+  next_request_at_ = kNever;
   ++last_request_;
   actions.emplace_back(LeaseRequest{holder_, zone_, last_request_, last_response_, true});
 }
 
-std::optional<FencingToken> LeaseClient::valid_token(Nanos now, const std::string& role) const {
+std::optional<FencingToken> LeaseClient::valid_token(TimePoint now, const std::string& role) const {
   const auto found = held_leases_.find(role);
   if (found == held_leases_.end() || now >= found->second.expires_at)
     return std::nullopt;
--- a/src/leases/lease_client.h
+++ b/src/leases/lease_client.h
@@ -43,33 +43,34 @@
 
   /// Call once. The first request follows after a random part of the interval, so that gateways
   /// that start together do not send in step.
-  void start(Nanos now);
+  void start(TimePoint now);
   /// Call at `next_deadline()`; an earlier call does no harm.
-  void tick(Nanos now, ClientActions& actions);
-  void handle_response(Nanos now, const LeaseResponse& response, ClientActions& actions);
+  void tick(TimePoint now, ClientActions& actions);
+  void handle_response(TimePoint now, const LeaseResponse& response, ClientActions& actions);
   /// Gives up all roles at once, for good.
   void leave(ClientActions& actions);
 
-  [[nodiscard]] Nanos next_deadline() const { return deadline_; }
+  [[nodiscard]] TimePoint next_deadline() const { return deadline_; }
 
   /// The token to act under; check it before every action. None: the role is not held, or its lease
   /// has expired.
-  [[nodiscard]] std::optional<FencingToken> valid_token(Nanos now, const std::string& role) const;
+  [[nodiscard]] std::optional<FencingToken> valid_token(TimePoint now,
+                                                        const std::string& role) const;
 
 private:
   enum class State { Active, Left };
 
   struct HeldLease {
     FencingToken token = 0;
-    Nanos expires_at = 0;
+    TimePoint expires_at{};
   };
 
   using HeldLeases = std::map<std::string, HeldLease>;  // By role.
 
-  [[nodiscard]] Nanos draw_request_interval();
-  void expire_leases(Nanos now, ClientActions& actions);
-  void send_request(Nanos now, ClientActions& actions);
-  void replace_held_leases(Nanos now, HeldLeases new_leases, ClientActions& actions);
+  [[nodiscard]] Duration draw_request_interval();
+  void expire_leases(TimePoint now, ClientActions& actions);
+  void send_request(TimePoint now, ClientActions& actions);
+  void replace_held_leases(TimePoint now, HeldLeases new_leases, ClientActions& actions);
 
   Settings settings_;
   std::string holder_;
@@ -77,10 +78,10 @@
   State state_ = State::Active;
   std::uint64_t last_request_ = 0;
   std::uint64_t last_response_ = 0;
-  std::map<std::uint64_t, Nanos> unanswered_requests_;  ///< When each was sent; bounded.
+  std::map<std::uint64_t, TimePoint> unanswered_requests_;  ///< When each was sent; bounded.
   HeldLeases held_leases_;
-  Nanos next_request_at_ = kNoDeadline;
-  Nanos deadline_ = kNoDeadline;
+  TimePoint next_request_at_ = kNever;
+  TimePoint deadline_ = kNever;
   std::mt19937_64 random_;
 };
 
--- a/src/leases/lease_manager.cpp
+++ b/src/leases/lease_manager.cpp
@@ -29,7 +29,7 @@
 
 // ---- Leadership
 
-void LeaseManager::start_leading(Nanos now, const LeaseTable& table) {
+void LeaseManager::start_leading(TimePoint now, const LeaseTable& table) {
   stop_leading();
   table_ = &table;
   // Earlier leaders may have renewed any lease up to this node's election, for requests that they
@@ -55,7 +55,7 @@
 
 // ---- Renewals
 
-void LeaseManager::handle_request(Nanos now, const LeaseRequest& request) {
+void LeaseManager::handle_request(TimePoint now, const LeaseRequest& request) {
   if (!is_leading() || !is_valid_name(request.holder))
     return;
   Gateway& gateway = gateways_[request.holder];
@@ -76,7 +76,7 @@
   deadline_ = std::min(deadline_, now + settings_.lease_duration / 50);
 }
 
-void LeaseManager::release_roles_of(Nanos now, const std::string& holder) {
+void LeaseManager::release_roles_of(TimePoint now, const std::string& holder) {
   pending_requests_.erase(holder);
   for (auto& [role, lease] : leases_)
     if (table_->grant_of(role).holder == holder)
@@ -84,7 +84,7 @@
   deadline_ = now;
 }
 
-void LeaseManager::handle_leadership_confirmed(Nanos now, std::uint64_t round,
+void LeaseManager::handle_leadership_confirmed(TimePoint now, std::uint64_t round,
                                                ManagerActions& actions) {
   if (!is_leading())
     return;
@@ -120,7 +120,7 @@
 
 // ---- Grants
 
-void LeaseManager::handle_grant_applied(Nanos now, const std::string& role) {
+void LeaseManager::handle_grant_applied(TimePoint now, const std::string& role) {
   const auto found = leases_.find(role);
   if (!is_leading() || found == leases_.end())
     return;
@@ -140,7 +140,7 @@
     found->second.preferred_successor = preferred_successor;
 }
 
-bool LeaseManager::is_available(Nanos now, const std::string& holder) const {
+bool LeaseManager::is_available(TimePoint now, const std::string& holder) const {
   const auto found = gateways_.find(holder);
   if (found == gateways_.end())
     return false;
@@ -149,7 +149,7 @@
          now - gateway.last_request_at <= settings_.lease_duration / 2;
 }
 
-std::optional<std::string> LeaseManager::least_loaded_gateway(Nanos now,
+std::optional<std::string> LeaseManager::least_loaded_gateway(TimePoint now,
                                                               const std::string& role) const {
   std::map<std::string, int> roles_by_holder;
   std::map<std::string, int> roles_by_zone;
@@ -182,7 +182,7 @@
   return best->second;
 }
 
-std::optional<std::string> LeaseManager::choose_successor(Nanos now, const std::string& role,
+std::optional<std::string> LeaseManager::choose_successor(TimePoint now, const std::string& role,
                                                           const Lease& lease) const {
   std::optional<std::string> successor = least_loaded_gateway(now, role);
   if (lease.preferred_successor.empty())
@@ -193,21 +193,22 @@
   return successor;
 }
 
-void LeaseManager::record_lapse(Nanos now, const std::string& holder) {
+void LeaseManager::record_lapse(TimePoint now, const std::string& holder) {
   FlapHistory& history = flap_histories_[gateway_name(holder)];
   history.recent_lapses = std::min(history.recent_lapses + 1, kMaxRecentLapses);
-  history.avoided_until = now + (settings_.lease_duration << history.recent_lapses);
+  history.avoided_until = now + settings_.lease_duration * (1 << history.recent_lapses);
 }
 
-void LeaseManager::propose_grant(Nanos now, const std::string& role, const std::string& successor,
-                                 Lease& lease, ManagerActions& actions) {
+void LeaseManager::propose_grant(TimePoint now, const std::string& role,
+                                 const std::string& successor, Lease& lease,
+                                 ManagerActions& actions) {
   lease.state = LeaseState::GrantProposed;
   lease.proposed_at = now;
   const FencingToken token = table_->grant_of(role).token;
   actions.emplace_back(ProposeGrant{LeaseTable::grant_command(role, successor, token)});
 }
 
-void LeaseManager::grant_if_expired(Nanos now, const std::string& role, Lease& lease,
+void LeaseManager::grant_if_expired(TimePoint now, const std::string& role, Lease& lease,
                                     ManagerActions& actions) {
   if (now < lease.expires_at) {
     deadline_ = std::min(deadline_, lease.expires_at);
@@ -235,8 +236,8 @@
 
 // ---- Time
 
-void LeaseManager::forget_silent_gateways(Nanos now) {
-  const Nanos limit = now - kForgetAfterLeases * settings_.lease_duration;
+void LeaseManager::forget_silent_gateways(TimePoint now) {
+  const TimePoint limit = now - kForgetAfterLeases * settings_.lease_duration;
   erase_if(gateways_, [&](const Gateway& gateway) {
     return gateway.last_request_at < limit;
   });
@@ -245,7 +246,7 @@
   });
 }
 
-void LeaseManager::tick(Nanos now, ManagerActions& actions) {
+void LeaseManager::tick(TimePoint now, ManagerActions& actions) {
   if (!is_leading() || now < deadline_)
     return;
   deadline_ = now + settings_.lease_duration / 4;
--- a/src/leases/lease_manager.h
+++ b/src/leases/lease_manager.h
@@ -57,24 +57,24 @@
 
   /// This node leads from now on, and `table` holds all entries that earlier leaders committed. The
   /// table is borrowed until `stop_leading`, and follows the log.
-  void start_leading(Nanos now, const LeaseTable& table);
+  void start_leading(TimePoint now, const LeaseTable& table);
   void stop_leading();
 
   [[nodiscard]] bool is_leading() const { return table_ != nullptr; }
 
-  void handle_request(Nanos now, const LeaseRequest& request);
+  void handle_request(TimePoint now, const LeaseRequest& request);
   /// `round` covers all requests that were received so far.
   void handle_confirmation_started(std::uint64_t round);
-  void handle_leadership_confirmed(Nanos now, std::uint64_t round, ManagerActions& actions);
+  void handle_leadership_confirmed(TimePoint now, std::uint64_t round, ManagerActions& actions);
   /// The grant of `role` in the table has changed.
-  void handle_grant_applied(Nanos now, const std::string& role);
+  void handle_grant_applied(TimePoint now, const std::string& role);
   /// An operator's request: the holder is no longer renewed, and the gateway named
   /// `preferred_successor` is granted the role next if it is available.
   void transfer(const std::string& role, const std::string& preferred_successor);
   /// Call at `next_deadline()`; an earlier call does no harm.
-  void tick(Nanos now, ManagerActions& actions);
+  void tick(TimePoint now, ManagerActions& actions);
 
-  [[nodiscard]] Nanos next_deadline() const { return is_leading() ? deadline_ : kNoDeadline; }
+  [[nodiscard]] TimePoint next_deadline() const { return is_leading() ? deadline_ : kNever; }
 
 private:
   enum class GatewayState {
@@ -86,13 +86,13 @@
   struct Gateway {
     GatewayState state = GatewayState::Responsive;
     std::string zone;
-    Nanos last_request_at = 0;
+    TimePoint last_request_at{};
   };
 
   /// Kept by gateway name, as incarnations differ.
   struct FlapHistory {
     int recent_lapses = 0;  ///< Leases that expired without the holder giving them up.
-    Nanos avoided_until = 0;
+    TimePoint avoided_until{};
   };
 
   enum class LeaseState {
@@ -102,36 +102,37 @@
 
   struct Lease {
     LeaseState state = LeaseState::Renewable;
-    Nanos expires_at = 0;  ///< When the holder has certainly stopped, by this node's clock.
-    Nanos proposed_at = 0;
+    TimePoint expires_at{};  ///< When the holder has certainly stopped, by this node's clock.
+    TimePoint proposed_at{};
     std::string preferred_successor;  ///< Gateway name; empty: none.
   };
 
   struct PendingRequest {
     LeaseRequest request;
-    Nanos received_at = 0;
+    TimePoint received_at{};
     std::uint64_t round = 0;  ///< That confirms it; 0: not started.
   };
 
   /// Compared field by field: flapping, roles held by the gateway, roles held in its zone, hash.
   using PlacementCost = std::tuple<bool, int, int, std::uint64_t>;
 
-  [[nodiscard]] Nanos lease_with_drift() const {
+  [[nodiscard]] Duration lease_with_drift() const {
     return settings_.lease_duration + settings_.max_clock_drift();
   }
 
-  void release_roles_of(Nanos now, const std::string& holder);
+  void release_roles_of(TimePoint now, const std::string& holder);
   [[nodiscard]] LeaseResponse renew(const PendingRequest& pending);
-  [[nodiscard]] bool is_available(Nanos now, const std::string& holder) const;
-  [[nodiscard]] std::optional<std::string> least_loaded_gateway(Nanos now,
+  [[nodiscard]] bool is_available(TimePoint now, const std::string& holder) const;
+  [[nodiscard]] std::optional<std::string> least_loaded_gateway(TimePoint now,
                                                                 const std::string& role) const;
-  [[nodiscard]] std::optional<std::string> choose_successor(Nanos now, const std::string& role,
+  [[nodiscard]] std::optional<std::string> choose_successor(TimePoint now, const std::string& role,
                                                             const Lease& lease) const;
-  void forget_silent_gateways(Nanos now);
-  void grant_if_expired(Nanos now, const std::string& role, Lease& lease, ManagerActions& actions);
-  void propose_grant(Nanos now, const std::string& role, const std::string& successor, Lease& lease,
-                     ManagerActions& actions);
-  void record_lapse(Nanos now, const std::string& holder);
+  void forget_silent_gateways(TimePoint now);
+  void grant_if_expired(TimePoint now, const std::string& role, Lease& lease,
+                        ManagerActions& actions);
+  void propose_grant(TimePoint now, const std::string& role, const std::string& successor,
+                     Lease& lease, ManagerActions& actions);
+  void record_lapse(TimePoint now, const std::string& holder);
 
   Settings settings_;
   const LeaseTable* table_ = nullptr;                       ///< Borrowed; set while leading.
@@ -139,7 +140,7 @@
   std::map<std::string, FlapHistory> flap_histories_;       ///< By gateway name.
   std::map<std::string, Lease> leases_;                     ///< By role.
   std::map<std::string, PendingRequest> pending_requests_;  ///< By holder.
-  Nanos deadline_ = kNoDeadline;
+  TimePoint deadline_ = kNever;
 };
 
 }  // namespace gorsebeam::leases
--- a/src/leases/messages.h
+++ b/src/leases/messages.h
@@ -1,19 +1,18 @@
 /// What gateways and the lease manager say to each other, and the settings and names both share.
+/// Points in time are on each gateway's own monotonic clock; those of two gateways are never
+/// compared.
 #pragma once
 
+#include "gorsebeam/time.h"
+
 #include <cstddef>
 #include <cstdint>
-#include <limits>
 #include <string>
 #include <utility>
 #include <vector>
 
 namespace gorsebeam::leases {
 
-/// Of the caller's own monotonic clock; those of two gateways are never compared.
-using Nanos = std::int64_t;
-constexpr Nanos kNoDeadline = std::numeric_limits<Nanos>::max();
-
 /// The index of the log entry that granted the role; 0: never granted.
 using FencingToken = std::uint64_t;
 
@@ -22,13 +21,13 @@
 
 struct Settings {
   std::vector<std::string> roles;  ///< At most kMaxRoles; the same at every gateway.
-  Nanos lease_duration = 3'000'000'000;
+  Duration lease_duration = 3s;
   /// How far a clock's rate may deviate from true time; below 100,000.
   std::int64_t max_clock_drift_ppm = 500;
   std::uint64_t random_seed = 1;
 
   /// The largest error of a clock over one lease.
-  [[nodiscard]] Nanos max_clock_drift() const {
+  [[nodiscard]] Duration max_clock_drift() const {
     return lease_duration / 1'000'000 * max_clock_drift_ppm;
   }
 };
--- a/src/mongo/frontend.cpp
+++ b/src/mongo/frontend.cpp
@@ -16,7 +16,6 @@
 
 using wire::Framing;
 
-constexpr Nanos kMillisecond = 1'000'000;
 constexpr std::int64_t kMaxDeadlineMs = 3'600'000;
 constexpr unsigned long long kMaxGroup = 0xffffffffU;
 
@@ -119,13 +118,13 @@
   // The message as the client sent it, except for three fields: the deadline, which is replaced; a
   // read's $readPreference, as replicas serve only reads that allow it; and a checksum, as the
   // header is another.
-  proxy::Parts body(Nanos left) override {
+  proxy::Parts body(Duration left) override {
     Message message;
     read_message(stream_->input().view(), frontend_.limits().message_bytes, message);
     const OpMsg op_msg = read_op_msg(message.payload).value_or(OpMsg{});
     const proxy::Parts kept = kept_elements(op_msg.body);
     Writer added;
-    added.large("maxTimeMS", std::max<Nanos>(left / kMillisecond, 1));
+    added.large("maxTimeMS", std::max<Duration::rep>(left / 1ms, 1));
     if (is_read_)
       added.document("$readPreference", Writer().text("mode", "primaryPreferred").take());
     const std::string& added_elements = added.elements();
@@ -149,15 +148,15 @@
     finish();
   }
 
-  void reject(Nanos retry_after) override {
+  void reject(Duration retry_after) override {
     // Drivers send a write again on the first label, which is harmless; newer ones wait on the
     // second.
     const std::string labels =
         Writer().text("0", "RetryableWriteError").text("1", "SystemOverloadedError").take();
     Writer reply = error_reply({kRateLimitExceeded, kRateLimitExceededName, "refused: try again"});
     reply.document("errorLabels", labels, kTypeArray);
-    if (retry_after > 0)
-      reply.large("retryAfterMS", retry_after / kMillisecond);
+    if (retry_after > 0ms)
+      reply.large("retryAfterMS", retry_after / 1ms);
     send_reply(reply);
     finish();
   }
@@ -263,7 +262,7 @@
     reply.small("maxBsonObjectSize", max_size);
     reply.small("maxMessageSizeBytes", max_size);
     reply.small("maxWriteBatchSize", kMaxWriteBatchSize);
-    reply.large("localTime", net::now() / kMillisecond, kTypeDate);
+    reply.large("localTime", net::now().time_since_epoch() / 1ms, kTypeDate);
     reply.small("logicalSessionTimeoutMinutes", kLogicalSessionTimeoutMinutes);
     reply.small("connectionId", 1);
     reply.small("minWireVersion", kMinWireVersion);
@@ -355,14 +354,14 @@
 
   std::optional<CommandError> admit_and_begin(std::string_view command,
                                               const RequestClass& settings, Request request) {
-    const Nanos now = net::now();
-    Nanos allowed = settings.deadline;
+    const TimePoint now = net::now();
+    Duration allowed = settings.deadline;
     if (const auto limit = find(command, "maxTimeMS")) {
       const auto limit_ms = integer(*limit);
       if (!limit_ms || *limit_ms < 0 || *limit_ms > kMaxDeadlineMs)
         return parse_error("maxTimeMS is out of range");
       if (*limit_ms > 0)  // 0 means no limit in the protocol
-        allowed = *limit_ms * kMillisecond;
+        allowed = std::chrono::milliseconds(*limit_ms);
     }
     request.deadline = earliest_arrival() + allowed;
     if (!contracts_.has_team(team_))
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -11,8 +11,6 @@
 using wire::Framing;
 
 constexpr std::size_t kMaxMessageSize = 1 << 20;
-constexpr Nanos kSecond = 1'000'000'000;
-constexpr Nanos kMillisecond = 1'000'000;
 constexpr std::int64_t kMaxUnixSeconds = 9'000'000'000;
 
 bool is_ok(std::string_view document) {
@@ -47,7 +45,7 @@
 }
 
 /// The time of the last write that a hello reply reports; nothing where it reports none.
-std::optional<Nanos> last_write_date(std::string_view hello) {
+std::optional<ReplicationPosition> last_write_date(std::string_view hello) {
   const auto last_write = find(hello, "lastWrite");
   if (!last_write || last_write->type != kTypeDocument)
     return std::nullopt;
@@ -57,7 +55,7 @@
   const auto unix_ms = static_cast<std::int64_t>(read_u64(date->value.data()));
   if (unix_ms <= 0 || unix_ms >= kMaxUnixSeconds * 1000)
     return std::nullopt;
-  return unix_ms * kMillisecond;
+  return ReplicationPosition(std::chrono::milliseconds(unix_ms));
 }
 
 /// Reads the reply to a health check.
@@ -85,8 +83,8 @@
   const auto seconds = static_cast<std::int64_t>(read_u64(time->value.data()) >> 32);
   if (seconds <= 0 || seconds > kMaxUnixSeconds)
     return;
-  answer.replication_position = seconds * kSecond;
-  answer.commit_position = (seconds + 1) * kSecond;
+  answer.replication_position = ReplicationPosition(std::chrono::seconds(seconds));
+  answer.commit_position = ReplicationPosition(std::chrono::seconds(seconds + 1));
 }
 
 class MongoUpstream : public connection_pool::UpstreamProtocol {
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -14,7 +14,7 @@
 constexpr int kBacklog = 512;
 constexpr int kMaxAcceptsPerTurn = 16;
 constexpr int kMaxAcceptsAtClose = 4 * kBacklog;
-constexpr std::int64_t kBackOff = 20'000'000;
+constexpr Duration kBackOff = 20ms;
 
 SocketHandle open_listening_socket(GSocketAddress* address, ErrorHandle& error) {
   GError* raw = nullptr;
@@ -59,8 +59,8 @@
         start_watching();
       }) {}
 
-std::int64_t Listener::earliest_arrival() const {
-  const std::int64_t of_turn = net::earliest_arrival();
+TimePoint Listener::earliest_arrival() const {
+  const TimePoint of_turn = net::earliest_arrival();
   return backlog_since_ ? std::min(*backlog_since_, of_turn) : of_turn;
 }
 
@@ -117,7 +117,7 @@
 
 gboolean Listener::on_ready(GSocket*, GIOCondition, gpointer self) {
   auto* listener = static_cast<Listener*>(self);
-  const std::int64_t earliest = listener->earliest_arrival();
+  const TimePoint earliest = listener->earliest_arrival();
   AcceptResult result = AcceptResult::Accepted;
   // The handler may pause the listener, which resets the source.
   for (int i = 0; i < kMaxAcceptsPerTurn && can_go_on(result) && listener->source_; ++i)
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -49,7 +49,7 @@
 
   /// The earliest time of `now()` at which the connection that is accepted now can have come: with
   /// more in the queue than one turn accepts, earlier than the turn itself says.
-  [[nodiscard]] std::int64_t earliest_arrival() const;
+  [[nodiscard]] TimePoint earliest_arrival() const;
 
 private:
   static gboolean on_ready(GSocket*, GIOCondition, gpointer self);
@@ -77,7 +77,7 @@
   Timer back_off_timer_;
   bool is_paused_ = false;  ///< By the owner.
   /// What the last turn left in the queue came after this.
-  std::optional<std::int64_t> backlog_since_;
+  std::optional<TimePoint> backlog_since_;
 };
 
 }  // namespace gorsebeam::net
--- a/src/net/loop_monitor.h
+++ b/src/net/loop_monitor.h
@@ -7,6 +7,8 @@
 /// All functions run on the main loop's thread.
 #pragma once
 
+#include "gorsebeam/time.h"
+
 #include <cstdint>
 
 namespace gorsebeam::net {
@@ -15,7 +17,7 @@
 enum class LoopWork { Accept, Read, Timer };
 
 /// A turn that lasts longer, or a timer that fires later than this, is logged.
-constexpr std::int64_t kLongTurn = 100'000'000;
+constexpr Duration kLongTurn = 100ms;
 
 /// The longest wait for events: so long at most a pause within a wait may go unnoticed.
 constexpr int kMaxWaitMs = 100;
@@ -37,6 +39,6 @@
 ///    what woke it may have been there for as long;
 ///  - the end of the wait before, if something was ready already when this one began.
 /// Without `observe_loop()` it is the present.
-[[nodiscard]] std::int64_t earliest_arrival();
+[[nodiscard]] TimePoint earliest_arrival();
 
 }  // namespace gorsebeam::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxVectors = 16;
 constexpr int kMaxPendingReads = 64;
 constexpr int kMaxTransientErrors = 50;
-constexpr std::int64_t kTransientRest = 5'000'000;
+constexpr Duration kTransientRest = 5ms;
 
 // The peer's end, also behind unread bytes. GLib has no name for POLLRDHUP and passes the bit on
 // to poll as it is.
@@ -60,7 +60,7 @@
   return adopt(std::move(socket), events, now());
 }
 
-std::shared_ptr<Stream> Stream::adopt(SocketHandle socket, Events& events, std::int64_t arrival) {
+std::shared_ptr<Stream> Stream::adopt(SocketHandle socket, Events& events, TimePoint arrival) {
   std::shared_ptr<Stream> stream(new Stream(std::move(socket), events));
   stream->ready_in_turn_ = turn_number();
   stream->ready_since_ = arrival;
@@ -224,7 +224,7 @@
   const std::uint64_t turn = turn_number();
   const bool goes_on = turn <= ready_in_turn_ + 1;
   const bool was_held_up = now() - ready_since_ > kMaxTimerLateness;
-  const std::int64_t arrival = net::earliest_arrival();
+  const TimePoint arrival = net::earliest_arrival();
   ready_since_ = goes_on && was_held_up ? std::min(arrival, ready_since_) : arrival;
   ready_in_turn_ = turn;
 }
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -49,7 +49,7 @@
   static std::shared_ptr<Stream> connect(const std::string& address, Events& events);
 
   /// Takes over a connected socket, whose first bytes came after `arrival` at the earliest.
-  static std::shared_ptr<Stream> adopt(SocketHandle socket, Events& events, std::int64_t arrival);
+  static std::shared_ptr<Stream> adopt(SocketHandle socket, Events& events, TimePoint arrival);
 
   /// As above, with bytes that come from now on.
   static std::shared_ptr<Stream> adopt(SocketHandle socket, Events& events);
@@ -89,7 +89,7 @@
   [[nodiscard]] bool open() const { return socket_ != nullptr; }
 
   /// The earliest time of `now()` at which what was read last can have arrived.
-  [[nodiscard]] std::int64_t input_arrival() const { return ready_since_; }
+  [[nodiscard]] TimePoint input_arrival() const { return ready_since_; }
 
 private:
   Stream(SocketHandle socket, Events& events);
@@ -127,7 +127,7 @@
   void record_ready();
 
   std::uint64_t ready_in_turn_ = 0;  ///< The last turn in which there was something to be read.
-  std::int64_t ready_since_ = 0;
+  TimePoint ready_since_{};
   Timer rest_timer_;
   int transient_errors_ = 0;  ///< In a row.
   bool connecting_ = false;
--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -15,19 +15,19 @@
 namespace gorsebeam::net {
 namespace {
 
-constexpr std::int64_t kMicrosecond = 1000;
-constexpr std::int64_t kMillisecond = 1000 * kMicrosecond;
+using std::chrono::microseconds;
+using std::chrono::milliseconds;
 
-/// Microseconds from the monotonic clock to Unix time, fixed at the first call.
-std::int64_t unix_time_offset() {
-  static const std::int64_t kOffset = g_get_real_time() - g_get_monotonic_time();
+/// From the monotonic clock to Unix time, fixed at the first call.
+microseconds unix_time_offset() {
+  static const microseconds kOffset{g_get_real_time() - g_get_monotonic_time()};
   return kOffset;
 }
 
 struct TimerQueue {
   std::map<Timer::QueueKey, Timer*> timers;
   std::uint64_t last_sequence = 0;
-  std::int64_t sockets_read_since = 0;  ///< Timers due by then have waited for a whole turn.
+  TimePoint sockets_read_since{};  ///< Timers due by then have waited for a whole turn.
 };
 
 gboolean prepare_queue(GSource*, gint* timeout_ms);
@@ -64,28 +64,28 @@
   *timeout_ms = -1;
   if (timers.empty())
     return FALSE;
-  const std::int64_t remaining = timers.begin()->first.first - now();
-  const std::int64_t rounded_up = (remaining + kMillisecond - 1) / kMillisecond;
-  *timeout_ms = static_cast<gint>(std::clamp<std::int64_t>(rounded_up, 0, G_MAXINT));
-  return remaining <= 0 ? TRUE : FALSE;
+  const Duration remaining = timers.begin()->first.first - now();
+  const auto rounded_up = std::chrono::ceil<milliseconds>(remaining).count();
+  *timeout_ms = static_cast<gint>(std::clamp<milliseconds::rep>(rounded_up, 0, G_MAXINT));
+  return remaining <= 0ms ? TRUE : FALSE;
 }
 
-void log_lateness(std::int64_t time) {
+void log_lateness(TimePoint time) {
   const auto& timers = queue().timers;
-  const std::int64_t lateness = timers.empty() ? 0 : time - timers.begin()->first.first;
+  const Duration lateness = timers.empty() ? 0ms : time - timers.begin()->first.first;
   const bool is_first_sight =
       timers.empty() || timers.begin()->first.first > queue().sockets_read_since;
   if (lateness > kLongTurn && is_first_sight)
-    log({"timers_late", {{"late_ms", std::to_string(lateness / kMillisecond)}}});
+    log({"timers_late", {{"late_ms", std::to_string(lateness / 1ms)}}});
 }
 
 // Whether a timer that is due must wait for one turn, in which the sockets are read.
-bool must_wait_for_sockets(std::int64_t due_at, std::int64_t time) {
+bool must_wait_for_sockets(TimePoint due_at, TimePoint time) {
   return due_at > queue().sockets_read_since && due_at < time - kMaxTimerLateness;
 }
 
 // The timers that fire now; late ones fire in the next turn.
-std::vector<Timer::QueueKey> select_due(std::int64_t time) {
+std::vector<Timer::QueueKey> select_due(TimePoint time) {
   std::vector<Timer::QueueKey> due;
   bool has_late = false;
   for (const auto& [key, timer] : queue().timers) {
@@ -105,7 +105,7 @@
 // sets waits for the next iteration.
 gboolean dispatch_queue(GSource*, GSourceFunc, gpointer) {
   auto& timers = queue().timers;
-  const std::int64_t time = now();
+  const TimePoint time = now();
   log_lateness(time);
   const std::vector<Timer::QueueKey> due = select_due(time);
   for (const Timer::QueueKey& key : due) {
@@ -120,13 +120,13 @@
 
 }  // namespace
 
-std::int64_t now() {
-  return (unix_time_offset() + g_get_monotonic_time()) * kMicrosecond;
+TimePoint now() {
+  return TimePoint(unix_time_offset() + microseconds(g_get_monotonic_time()));
 }
 
 Timer::Timer(std::function<void()> action) : action_(std::move(action)) {}
 
-void Timer::at(std::int64_t when) {
+void Timer::at(TimePoint when) {
   stop();
   queue_key_ = {when, ++queue().last_sequence};
   queue().timers[queue_key_] = this;
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -1,23 +1,25 @@
 /// One-shot timers on the main loop, and the gateway's clock.
 #pragma once
 
+#include "gorsebeam/time.h"
+
 #include <cstdint>
 #include <functional>
 #include <utility>
 
 namespace gorsebeam::net {
 
-/// Unix time in nanoseconds that never goes back: the wall clock is read once, at the first call,
+/// Unix time that never goes back: the wall clock is read once, at the first call,
 /// and the monotonic clock carries it on. A change of the system clock while the process runs
 /// therefore has no effect; replication positions, start times and discovery's times are Unix
 /// times and need no mapping.
-std::int64_t now();
+TimePoint now();
 
 /// A timer that is due for longer than this waits for one more turn of the loop.
-constexpr std::int64_t kMaxTimerLateness = 20'000'000;
+constexpr Duration kMaxTimerLateness = 20ms;
 
 /// All timers of the process are in one queue, and the main loop has one source for it: setting a
-/// timer does not wake the loop. Times are nanoseconds.
+/// timer does not wake the loop.
 ///
 /// A timer often stands for something that did not arrive in time. After a pause of the loop both
 /// may be there at once, the timer and what it waits for. So a timer that is late fires only after
@@ -34,9 +36,9 @@
 
   /// Sets the timer to a time of `now()`, in place of what was set before. A timer that is set
   /// while timers fire waits for the next iteration of the loop.
-  void at(std::int64_t when);
+  void at(TimePoint when);
 
-  void after(std::int64_t delay) { at(now() + delay); }
+  void after(Duration delay) { at(now() + delay); }
 
   void stop();
 
@@ -44,7 +46,7 @@
   void fire();
 
   /// Position in the queue: by time, then by the order in which timers were set.
-  using QueueKey = std::pair<std::int64_t, std::uint64_t>;
+  using QueueKey = std::pair<TimePoint, std::uint64_t>;
 
 private:
   std::function<void()> action_;
--- a/src/postgres/frontend.cpp
+++ b/src/postgres/frontend.cpp
@@ -17,7 +17,6 @@
 using sql_classifier::Effect;
 using wire::Framing;
 
-constexpr Nanos kMillisecond = 1'000'000;
 constexpr std::uint64_t kMaxDeadlineMs = 3'600'000;
 constexpr std::uint64_t kMaxTokenTimeMs = 9'000'000'000'000ULL;
 constexpr std::uint64_t kMaxGroup = 0xffffffffU;
@@ -72,10 +71,10 @@
       : ClientConnection(frontend, std::move(socket)), contracts_(contracts),
         classifier_(classifier), ready_for_query_(encode_message('Z', "I")) {}
 
-  proxy::Parts body(Nanos left) override {
+  proxy::Parts body(Duration left) override {
     // The statement stays in the input until it is answered; only the deadline is replaced.
     const std::string_view text = stream_->input().view().substr(kQueryHeaderSize, query_size_);
-    remaining_ms_ = std::to_string(std::max<Nanos>(left / kMillisecond, 1));
+    remaining_ms_ = std::to_string(std::max<Duration::rep>(left / 1ms, 1));
     return {text.substr(0, deadline_offset_), remaining_ms_,
             text.substr(deadline_offset_ + deadline_size_)};
   }
@@ -86,8 +85,8 @@
     finish(parts);
   }
 
-  void reject(Nanos retry_after) override {
-    const std::string wait_ms = retry_after > 0 ? std::to_string(retry_after / kMillisecond) : "";
+  void reject(Duration retry_after) override {
+    const std::string wait_ms = retry_after > 0ms ? std::to_string(retry_after / 1ms) : "";
     finish({encode_error("ERROR", kTooManyConnections, "refused: try again", wait_ms),
             ready_for_query_});
   }
@@ -239,7 +238,7 @@
       return error;
     Request request = make_request(statement, settings);
     request.class_index = request_class->second;
-    request.deadline = earliest_arrival() + static_cast<Nanos>(*deadline_ms) * kMillisecond;
+    request.deadline = earliest_arrival() + std::chrono::milliseconds(*deadline_ms);
     request.group = static_cast<GroupId>(*group);
     const auto decision = contracts_.admit(team_, net::now(), request);
     if (decision != proxy::ContractEnforcer::Decision::Admitted)
@@ -283,7 +282,7 @@
       request.session = session_of(statement.key);
     if (const auto after_ms = parse_whole_number(statement.after, kMaxTokenTimeMs))
       request.session_token_age =
-          std::max<Nanos>(0, net::now() - static_cast<Nanos>(*after_ms) * kMillisecond);
+          std::max(Duration{}, net::now() - TimePoint(std::chrono::milliseconds(*after_ms)));
     request.is_client_retry = statement.retry == "1";
     return request;
   }
--- a/src/postgres/load_report.cpp
+++ b/src/postgres/load_report.cpp
@@ -10,7 +10,7 @@
 namespace gorsebeam::postgres {
 namespace {
 
-constexpr Nanos kMaxClockSkew = 2'000'000'000;
+constexpr Duration kMaxClockSkew = 2s;
 constexpr double kNanosPerMs = 1e6;
 constexpr double kMsPerSecond = 1000;
 constexpr double kMaxPositionSeconds = 1e11;  // a report's position below this is in seconds
@@ -25,15 +25,16 @@
   return value;
 }
 
-std::optional<Nanos> position_at(double unix_ms) {
-  if (unix_ms < 0 || unix_ms * kNanosPerMs > static_cast<double>(net::now() + kMaxClockSkew))
+std::optional<ReplicationPosition> position_at(double unix_ms) {
+  if (unix_ms < 0 ||
+      unix_ms * kNanosPerMs > to_double((net::now() + kMaxClockSkew).time_since_epoch()))
     return std::nullopt;
-  return static_cast<Nanos>(std::floor(unix_ms * kNanosPerMs));
+  return ReplicationPosition(to_duration(std::floor(unix_ms * kNanosPerMs)));
 }
 
 /// A report's position is a Unix time in seconds, while an answer's is in milliseconds. A value too
 /// large to be seconds is read as milliseconds.
-std::optional<Nanos> report_position_at(double value) {
+std::optional<ReplicationPosition> report_position_at(double value) {
   return position_at(value < kMaxPositionSeconds ? value * kMsPerSecond : value);
 }
 
@@ -54,7 +55,7 @@
 
 }  // namespace
 
-std::optional<Nanos> parse_position(std::string_view text) {
+std::optional<ReplicationPosition> parse_position(std::string_view text) {
   const auto unix_ms = parse_number(text);
   return unix_ms ? position_at(*unix_ms) : std::nullopt;
 }
--- a/src/proxy/contract_enforcer.cpp
+++ b/src/proxy/contract_enforcer.cpp
@@ -5,7 +5,8 @@
 
 namespace gorsebeam::proxy {
 
-void ContractEnforcer::replace_contracts(std::shared_ptr<const ContractSet> contracts, Nanos now) {
+void ContractEnforcer::replace_contracts(std::shared_ptr<const ContractSet> contracts,
+                                         TimePoint now) {
   contracts_ = std::move(contracts);
   buckets_.replace_rates(contracts_->rates, now);
 }
@@ -14,7 +15,7 @@
   return contracts_->teams.empty() || contracts_->teams.count(team) > 0;
 }
 
-ContractEnforcer::Decision ContractEnforcer::admit(const std::string& team, Nanos now,
+ContractEnforcer::Decision ContractEnforcer::admit(const std::string& team, TimePoint now,
                                                    Request& request) {
   if (contracts_->teams.empty())
     return Decision::Admitted;
@@ -28,7 +29,7 @@
   if (!contract.groups.empty() && contract.groups.count(request.group) == 0)
     return Decision::GroupNotAllowed;
   request.max_attempts = policy->second.max_attempts;
-  if (policy->second.deadline > 0)
+  if (policy->second.deadline > 0ms)
     request.deadline = std::min(request.deadline, now + policy->second.deadline);
   request.rate_limit_retry_after = buckets_.try_acquire(team, now);
   return Decision::Admitted;
--- a/src/proxy/contract_enforcer.h
+++ b/src/proxy/contract_enforcer.h
@@ -16,7 +16,7 @@
 
 /// The limits of one request class in one team's contract.
 struct ClassPolicy {
-  Nanos deadline = 0;              ///< The longest wait of a request; 0: as the request asks.
+  Duration deadline{};             ///< The longest wait of a request; 0: as the request asks.
   std::uint32_t max_attempts = 0;  ///< Attempts a request gets; 0: as the settings say.
 };
 
@@ -42,7 +42,7 @@
 
   /// Puts `contracts`, which is not null, in force at `now`. Token buckets carry over as
   /// `rate_limit::TokenBuckets::replace_rates` says.
-  void replace_contracts(std::shared_ptr<const ContractSet> contracts, Nanos now);
+  void replace_contracts(std::shared_ptr<const ContractSet> contracts, TimePoint now);
 
   /// Request classes by name, valid until the next `replace_contracts`.
   [[nodiscard]] const std::map<std::string, std::size_t>& classes() const {
@@ -55,7 +55,7 @@
   /// Decides on a request by its class and group. If it is admitted, writes the limits of the
   /// contract into `request` and takes a token from the team's bucket: a request over the rate
   /// limit is still admitted and carries `rate_limit_retry_after`, by which the router rejects it.
-  [[nodiscard]] Decision admit(const std::string& team, Nanos now, Request& request);
+  [[nodiscard]] Decision admit(const std::string& team, TimePoint now, Request& request);
 
 private:
   std::shared_ptr<const ContractSet> contracts_ = std::make_shared<ContractSet>();
--- a/src/proxy/interfaces.h
+++ b/src/proxy/interfaces.h
@@ -39,8 +39,9 @@
 struct UpstreamResponse {
   AttemptStatus status = AttemptStatus::ConnectFailed;
   Role role = Role::Unknown;
-  std::optional<Nanos> replication_position;
-  std::optional<Nanos> commit_position;  ///< Of a write, where it is not the replication position.
+  std::optional<ReplicationPosition> replication_position;
+  std::optional<ReplicationPosition>
+      commit_position;  ///< Of a write, where it is not the replication position.
   LoadReport load_report;
   Parts value;  ///< With `Ok`, the response body; valid only during the call that passes it.
 };
@@ -60,14 +61,14 @@
   /// The request body for an endpoint that is to finish within `left` nanoseconds. May be called
   /// once per attempt until the request is complete. The parts are valid until the next call of
   /// this object.
-  virtual Parts body(Nanos left) = 0;
+  virtual Parts body(Duration left) = 0;
 
   /// Final answer: the response body, valid only during the call.
   virtual void respond(const Parts& value) = 0;
 
   /// Final answer: the request did not run and may be sent again, after `retry_after` nanoseconds
   /// if that is above 0.
-  virtual void reject(Nanos retry_after) = 0;
+  virtual void reject(Duration retry_after) = 0;
 
   /// Final answer: the request failed, and it may have run.
   virtual void fail() = 0;
@@ -97,7 +98,7 @@
   /// Sends the body of `call` to `endpoint`. Ends in one `RequestBroker::complete_attempt`, at the
   /// time `deadline` at the latest. `call` is borrowed until then, or until `detach_call`.
   virtual void start_attempt(AttemptId attempt, EndpointId endpoint, ClientCall& call,
-                             Nanos deadline) = 0;
+                             TimePoint deadline) = 0;
 
   /// Checks `endpoint`. Ends in one `RequestBroker::complete_health_check` within a timeout of the
   /// upstream's own.
--- a/src/proxy/invariant_guard.cpp
+++ b/src/proxy/invariant_guard.cpp
@@ -43,7 +43,7 @@
 }
 
 std::optional<Violation> InvariantGuard::check_attempt(const RequestHistory& request,
-                                                       EndpointId endpoint, Nanos now) const {
+                                                       EndpointId endpoint, TimePoint now) const {
   if (const auto violation = check_endpoint(endpoint))
     return violation;
   if (endpoints_.at(endpoint).group != request.group)
@@ -59,7 +59,7 @@
   return std::nullopt;
 }
 
-bool InvariantGuard::allows_repeat(const RequestHistory& request, Nanos now) const {
+bool InvariantGuard::allows_repeat(const RequestHistory& request, TimePoint now) const {
   if (!request.may_have_run_since)
     return true;
   const RequestClass& request_class = settings_.classes.at(request.class_index);
--- a/src/proxy/invariant_guard.h
+++ b/src/proxy/invariant_guard.h
@@ -39,7 +39,7 @@
   bool is_open = false;  ///< Neither answered, nor has its client left.
   std::uint32_t written_attempts = 0;
   std::uint32_t in_flight = 0;  ///< Written, and their end is not known.
-  std::optional<Nanos>
+  std::optional<TimePoint>
       may_have_run_since;  ///< When the first attempt that may have run was written.
 };
 
@@ -59,7 +59,7 @@
 
   /// Whether an attempt of the request may be written to the endpoint now.
   [[nodiscard]] std::optional<Violation> check_attempt(const RequestHistory& request,
-                                                       EndpointId endpoint, Nanos now) const;
+                                                       EndpointId endpoint, TimePoint now) const;
 
   /// Whether the request may be rejected, which promises that it is safe to send again.
   [[nodiscard]] std::optional<Violation> check_rejection(const RequestHistory& request) const;
@@ -76,7 +76,7 @@
     bool is_leaving = false;
   };
 
-  [[nodiscard]] bool allows_repeat(const RequestHistory& request, Nanos now) const;
+  [[nodiscard]] bool allows_repeat(const RequestHistory& request, TimePoint now) const;
 
   const Settings& settings_;
   std::map<EndpointId, ListedEndpointState> endpoints_;
--- a/src/proxy/request_broker.cpp
+++ b/src/proxy/request_broker.cpp
@@ -13,15 +13,13 @@
 namespace gorsebeam::proxy {
 namespace {
 
-constexpr Nanos kNanosPerMillisecond = 1'000'000;
-
 // How old an unread response may be when something is decided: what a response tells counts as
 // known 0.1 s after it was written.
-constexpr Nanos kMaxResponseDelay = 40 * kNanosPerMillisecond;
+constexpr Duration kMaxResponseDelay = 40ms;
 
 // How old the list may be on which something is decided or sent. Well within the grace period of a
 // drain, and long enough for a call on the source to cost little beside the requests.
-constexpr Nanos kMaxListDelay = 20 * kNanosPerMillisecond;
+constexpr Duration kMaxListDelay = 20ms;
 
 void log_failed_attempt(const AttemptResult& result) {
   net::log({"attempt_failed",
@@ -29,7 +27,7 @@
              {"attempt", std::to_string(result.attempt)},
              {"endpoint", std::to_string(result.endpoint)},
              {"status", logging::name_of(result.status)},
-             {"elapsed_ms", std::to_string(result.elapsed / kNanosPerMillisecond)}}});
+             {"elapsed_ms", std::to_string(result.elapsed / 1ms)}}});
 }
 
 }  // namespace
@@ -144,7 +142,7 @@
     return false;
   Attempt& attempt = found->second;
   PendingRequest& request = pending_requests_.at(attempt.request_id);
-  const Nanos now = net::now();
+  const TimePoint now = net::now();
   // A list that was read just now has not reached the router, and a client that left not the
   // frontend.
   if (!list_events_.empty() && guard_.check_endpoint(attempt.endpoint))
@@ -243,7 +241,7 @@
 }
 
 void RequestBroker::refresh_endpoint_list() {
-  const Nanos now = net::now();
+  const TimePoint now = net::now();
   if (list_source_ == nullptr || now - list_refreshed_at_ < kMaxListDelay)
     return;
   list_refreshed_at_ = now;
@@ -252,11 +250,11 @@
   list_source_->read_pending();
   --open_batches_;
   if (!list_events_.empty() && !dispatching_)
-    list_timer_.after(0);
+    list_timer_.after(0ms);
 }
 
 void RequestBroker::refresh_responses() {
-  const Nanos now = net::now();
+  const TimePoint now = net::now();
   const bool is_held_up = now - net::earliest_arrival() > kMaxResponseDelay;
   if (!is_held_up || now - responses_refreshed_at_ < kMaxResponseDelay)
     return;
@@ -308,7 +306,7 @@
   if (found == pending_requests_.end())
     return;
   PendingRequest& request = found->second;
-  const Nanos now = net::now();
+  const TimePoint now = net::now();
   const std::uint32_t number = request.started_attempts++;
   // Whatever the router decides, a complete request gets no further attempt, and no two attempts of
   // a request are in flight at once.
@@ -319,8 +317,8 @@
   const AttemptId attempt = next_attempt_++;
   attempts_[attempt] = {action.request_id, number, action.endpoint, now, std::nullopt};
   request.current_attempt = attempt;
-  Nanos deadline = request.deadline;
-  if (action.timeout > 0)
+  TimePoint deadline = request.deadline;
+  if (action.timeout > 0ms)
     deadline = std::min(now + action.timeout, deadline);
   upstream_->start_attempt(attempt, action.endpoint, *request.call, deadline);
 }
@@ -367,7 +365,7 @@
   net::log({"request_rejected",
             {{"request", action.request_id},
              {"reason", logging::name_of(action.reason)},
-             {"retry_after_ms", std::to_string(action.retry_after / kNanosPerMillisecond)}}});
+             {"retry_after_ms", std::to_string(action.retry_after / 1ms)}}});
   call->reject(action.retry_after);
 }
 
--- a/src/proxy/request_broker.h
+++ b/src/proxy/request_broker.h
@@ -105,8 +105,8 @@
     ClientCall* call = nullptr;  ///< Null once the request is complete.
     std::uint32_t started_attempts = 0;
     AttemptId current_attempt = kNoAttempt;
-    Nanos deadline = 0;
-    Nanos begun_at = 0;
+    TimePoint deadline{};
+    TimePoint begun_at{};
     RequestHistory history;
   };
 
@@ -116,8 +116,8 @@
     std::string request_id;
     std::uint32_t number = 0;  ///< Counted from 0 for each request.
     EndpointId endpoint = 0;
-    Nanos started_at = 0;
-    std::optional<Nanos> written_at;
+    TimePoint started_at{};
+    std::optional<TimePoint> written_at;
   };
 
   /// Passes all waiting events to the router and performs its actions. Does nothing while a batch
@@ -169,8 +169,8 @@
   Upstream* upstream_ = nullptr;
   net::Timer timer_;
   EndpointListSource* list_source_ = nullptr;
-  Nanos list_refreshed_at_ = 0;
-  Nanos responses_refreshed_at_ = 0;
+  TimePoint list_refreshed_at_{};
+  TimePoint responses_refreshed_at_{};
   std::deque<EndpointList> list_events_;
   net::Timer list_timer_;  // hands over what was read outside of a dispatch
   std::deque<Event> events_;
@@ -180,7 +180,7 @@
   PendingRequests pending_requests_;
   std::unordered_map<AttemptId, Attempt> attempts_;
   EndpointDirectory directory_;
-  std::map<EndpointId, Nanos> health_checks_;  // when each that is in flight was started
+  std::map<EndpointId, TimePoint> health_checks_;  // when each that is in flight was started
   AttemptId next_attempt_ = kNoAttempt + 1;
   std::size_t open_requests_ = 0;
 };
--- a/src/raft/node.cpp
+++ b/src/raft/node.cpp
@@ -14,7 +14,7 @@
   persisted_log_index_ = state_.last_log_index();
 }
 
-void Node::start(Nanos now, Actions& actions) {
+void Node::start(TimePoint now, Actions& actions) {
   if (state_was_empty_)
     return become_recovering(now, actions);
   if (state_.snapshot.index > 0)
@@ -70,14 +70,14 @@
   actions.push_back(PersistState{issued_persist_, state_});
 }
 
-void Node::handle_persisted(Nanos now, std::uint64_t number, Actions& actions) {
+void Node::handle_persisted(TimePoint now, std::uint64_t number, Actions& actions) {
   persisted_number_ = std::max(persisted_number_, std::min(number, issued_persist_));
   while (!pending_persists_.empty() && pending_persists_.front().number <= persisted_number_) {
     persisted_log_index_ = pending_persists_.front().last_log_index;
     pending_persists_.pop_front();
   }
   if (storage_failed_)
-    persist_retry_at_ = kNoDeadline;
+    persist_retry_at_ = kNever;
   storage_failed_ = false;
   std::vector<HeldMessage> still_held;
   for (HeldMessage& held : held_messages_) {
@@ -94,7 +94,7 @@
   persist_if_changed(actions);
 }
 
-void Node::handle_persist_failure(Nanos now, Actions& actions) {
+void Node::handle_persist_failure(TimePoint now, Actions& actions) {
   storage_failed_ = true;
   // What they commit the node to may never reach the storage. Others repeat their requests.
   held_messages_.clear();
@@ -114,7 +114,7 @@
 
 // ---- Role transitions
 
-void Node::change_role(Nanos now, Role role, const std::string& leader, Actions& actions) {
+void Node::change_role(TimePoint now, Role role, const std::string& leader, Actions& actions) {
   role_ = role;
   leader_ = leader;
   if (role != Role::Leader)
@@ -124,19 +124,20 @@
   actions.push_back(RoleChanged{role_, state_.current_term, leader_});
 }
 
-void Node::reset_election_timer(Nanos now) {
-  const Nanos shortest = settings_.min_election_timeout;
-  deadline_ = now + std::uniform_int_distribution<Nanos>(shortest, 2 * shortest)(random_);
+void Node::reset_election_timer(TimePoint now) {
+  const Duration shortest = settings_.min_election_timeout;
+  deadline_ = now + Duration(std::uniform_int_distribution<Duration::rep>(
+                        shortest.count(), 2 * shortest.count())(random_));
 }
 
-void Node::become_recovering(Nanos now, Actions& actions) {
+void Node::become_recovering(TimePoint now, Actions& actions) {
   heartbeat_round_ = random_();  // Tells replies to this start from replies to earlier ones.
   change_role(now, Role::Recovering, "", actions);
   send_to_others(RecoveryQuery{heartbeat_round_}, actions);
   deadline_ = now + settings_.heartbeat_interval;
 }
 
-void Node::become_follower(Nanos now, Term term, const std::string& leader, Actions& actions) {
+void Node::become_follower(TimePoint now, Term term, const std::string& leader, Actions& actions) {
   if (term == state_.current_term && role_ == Role::Follower && leader == leader_)
     return;
   if (term > state_.current_term) {
@@ -147,7 +148,7 @@
   change_role(now, Role::Follower, leader, actions);
 }
 
-void Node::become_pre_candidate(Nanos now, Actions& actions) {
+void Node::become_pre_candidate(TimePoint now, Actions& actions) {
   change_role(now, Role::PreCandidate, "", actions);
   const Index last = state_.last_log_index();
   for (const std::string& name : settings_.voters) {
@@ -159,7 +160,7 @@
   }
 }
 
-void Node::become_candidate(Nanos now, Actions& actions) {
+void Node::become_candidate(TimePoint now, Actions& actions) {
   ++state_.current_term;
   state_.voted_for = settings_.self;
   state_changed_ = true;
@@ -186,7 +187,7 @@
   return votes >= (is_first_term ? settings_.voters.size() : majority());
 }
 
-void Node::advance_election(Nanos now, Actions& actions) {
+void Node::advance_election(TimePoint now, Actions& actions) {
   if (!has_election_quorum())
     return;
   if (role_ == Role::PreCandidate)
@@ -195,7 +196,7 @@
     become_leader(now, actions);
 }
 
-void Node::become_leader(Nanos now, Actions& actions) {
+void Node::become_leader(TimePoint now, Actions& actions) {
   change_role(now, Role::Leader, settings_.self, actions);
   for (const std::string& name : settings_.voters) {
     if (name == settings_.self)
@@ -215,7 +216,7 @@
 
 // ---- Time
 
-void Node::tick(Nanos now, Actions& actions) {
+void Node::tick(TimePoint now, Actions& actions) {
   if (now >= persist_retry_at_) {
     persist_retry_at_ = now + settings_.min_election_timeout;
     state_changed_ = true;
@@ -225,7 +226,7 @@
   persist_if_changed(actions);
 }
 
-void Node::handle_deadline(Nanos now, Actions& actions) {
+void Node::handle_deadline(TimePoint now, Actions& actions) {
   if (role_ == Role::Recovering) {
     send_to_others(RecoveryQuery{heartbeat_round_}, actions);
     deadline_ = now + settings_.heartbeat_interval;
@@ -245,7 +246,7 @@
     become_pre_candidate(now, actions);
 }
 
-bool Node::has_active_quorum(Nanos now) const {
+bool Node::has_active_quorum(TimePoint now) const {
   std::size_t active = 1;
   for (const auto& [name, progress] : progress_)
     if (now - progress.last_response_at <= settings_.min_election_timeout)
@@ -253,7 +254,7 @@
   return active >= majority();
 }
 
-void Node::send_heartbeats(Nanos now, Actions& actions) {
+void Node::send_heartbeats(TimePoint now, Actions& actions) {
   ++heartbeat_round_;
   for (auto& [name, progress] : progress_) {
     progress.entries_in_flight = false;  // Lost or late: send them again.
--- a/src/raft/node.h
+++ b/src/raft/node.h
@@ -35,6 +35,8 @@
 #include "raft/messages.h"
 #include "raft/persistent_state.h"
 
+#include "gorsebeam/time.h"
+
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -49,15 +51,12 @@
 
 namespace gorsebeam::raft {
 
-using Nanos = std::int64_t;
-constexpr Nanos kNoDeadline = std::numeric_limits<Nanos>::max();
-
 struct Settings {
   std::string self;
   std::vector<std::string> voters;  ///< 3, 5 or 7 unique names, `self` among them.
-  Nanos heartbeat_interval = 200'000'000;
+  Duration heartbeat_interval = 200ms;
   /// Each election timeout is drawn from this value to its double.
-  Nanos min_election_timeout = 1'000'000'000;
+  Duration min_election_timeout = 1s;
   std::size_t max_log_entries = 256;
   std::size_t max_entries_per_message = 64;
   std::uint64_t random_seed = 1;
@@ -125,15 +124,15 @@
   Node(Settings settings, std::optional<PersistentState> stored);
 
   /// Call once, before any other event.
-  void start(Nanos now, Actions& actions);
-  void handle_message(Nanos now, const Message& message, Actions& actions);
+  void start(TimePoint now, Actions& actions);
+  void handle_message(TimePoint now, const Message& message, Actions& actions);
   /// The write `number` and all earlier ones are on stable storage.
-  void handle_persisted(Nanos now, std::uint64_t number, Actions& actions);
-  void handle_persist_failure(Nanos now, Actions& actions);
+  void handle_persisted(TimePoint now, std::uint64_t number, Actions& actions);
+  void handle_persist_failure(TimePoint now, Actions& actions);
   /// Call at `next_deadline()`; an earlier call does no harm.
-  void tick(Nanos now, Actions& actions);
+  void tick(TimePoint now, Actions& actions);
 
-  [[nodiscard]] Nanos next_deadline() const { return std::min(deadline_, persist_retry_at_); }
+  [[nodiscard]] TimePoint next_deadline() const { return std::min(deadline_, persist_retry_at_); }
 
   /// Appends a command and returns its index. None: the node does not lead, or the log is full.
   std::optional<Index> propose(std::string command, Actions& actions);
@@ -162,7 +161,7 @@
     Index next_index = 1;
     Index match_index = 0;
     std::uint64_t acknowledged_round = 0;
-    Nanos last_response_at = 0;
+    TimePoint last_response_at{};
     std::uint64_t matched_in_round = 0;  ///< The round whose response set `match_index`.
     bool entries_in_flight = false;
     bool counts_for_quorum = true;  ///< False after it regressed.
@@ -189,10 +188,10 @@
   }
 
   [[nodiscard]] bool is_voter(const std::string& name) const;
-  [[nodiscard]] bool has_heard_from_leader(Nanos now) const;
+  [[nodiscard]] bool has_heard_from_leader(TimePoint now) const;
   [[nodiscard]] bool is_log_up_to_date(Index last_log_index, Term last_log_term) const;
   [[nodiscard]] bool has_election_quorum() const;
-  [[nodiscard]] bool has_active_quorum(Nanos now) const;
+  [[nodiscard]] bool has_active_quorum(TimePoint now) const;
 
   // Sending and persisting (node.cpp).
   [[nodiscard]] Message make_message(const std::string& to, MessageBody body) const;
@@ -203,32 +202,32 @@
   void truncate_log_from(Index first);
 
   // Role transitions (node.cpp).
-  void change_role(Nanos now, Role role, const std::string& leader, Actions& actions);
-  void become_recovering(Nanos now, Actions& actions);
-  void become_follower(Nanos now, Term term, const std::string& leader, Actions& actions);
-  void become_pre_candidate(Nanos now, Actions& actions);
-  void become_candidate(Nanos now, Actions& actions);
-  void become_leader(Nanos now, Actions& actions);
-  void advance_election(Nanos now, Actions& actions);
-  void reset_election_timer(Nanos now);
-  void handle_deadline(Nanos now, Actions& actions);
-  void send_heartbeats(Nanos now, Actions& actions);
+  void change_role(TimePoint now, Role role, const std::string& leader, Actions& actions);
+  void become_recovering(TimePoint now, Actions& actions);
+  void become_follower(TimePoint now, Term term, const std::string& leader, Actions& actions);
+  void become_pre_candidate(TimePoint now, Actions& actions);
+  void become_candidate(TimePoint now, Actions& actions);
+  void become_leader(TimePoint now, Actions& actions);
+  void advance_election(TimePoint now, Actions& actions);
+  void reset_election_timer(TimePoint now);
+  void handle_deadline(TimePoint now, Actions& actions);
+  void send_heartbeats(TimePoint now, Actions& actions);
 
   // Messages (node_messages.cpp).
   void handle_recovery_query(const Message& message, const RecoveryQuery& query, Actions& actions);
-  void handle_recovery_reply(Nanos now, const Message& message, const RecoveryReply& reply,
+  void handle_recovery_reply(TimePoint now, const Message& message, const RecoveryReply& reply,
                              Actions& actions);
-  void handle_pre_vote_request(Nanos now, const Message& message, const PreVoteRequest& request,
+  void handle_pre_vote_request(TimePoint now, const Message& message, const PreVoteRequest& request,
                                Actions& actions);
-  void handle_pre_vote_granted(Nanos now, const Message& message, Actions& actions);
-  void handle_in_current_term(Nanos now, const Message& message, Actions& actions);
+  void handle_pre_vote_granted(TimePoint now, const Message& message, Actions& actions);
+  void handle_in_current_term(TimePoint now, const Message& message, Actions& actions);
   void reject_stale_message(const Message& message, Actions& actions);
-  void handle_vote_request(Nanos now, const Message& message, const VoteRequest& request,
+  void handle_vote_request(TimePoint now, const Message& message, const VoteRequest& request,
                            Actions& actions);
-  void handle_vote_response(Nanos now, const Message& message, const VoteResponse& response,
+  void handle_vote_response(TimePoint now, const Message& message, const VoteResponse& response,
                             Actions& actions);
   /// False: the message is not one that this node may accept from a leader.
-  bool accept_leader(Nanos now, const Message& message, Actions& actions);
+  bool accept_leader(TimePoint now, const Message& message, Actions& actions);
   void append_entries(const Message& message, const AppendEntriesRequest& request,
                       Actions& actions);
   /// False: the request contradicts the committed log.
@@ -238,7 +237,7 @@
 
   // Replication by the leader (node_replication.cpp).
   void send_entries(const std::string& name, Progress& progress, Actions& actions);
-  void handle_append_response(Nanos now, const Message& message,
+  void handle_append_response(TimePoint now, const Message& message,
                               const AppendEntriesResponse& response, Actions& actions);
   void record_match(const std::string& name, Progress& progress,
                     const AppendEntriesResponse& response, Actions& actions);
@@ -254,8 +253,8 @@
   std::string leader_;
   Index commit_index_ = 0;
   Index last_applied_ = 0;
-  Nanos deadline_ = kNoDeadline;  ///< Election timeout, next heartbeat or next recovery query.
-  Nanos leader_heard_at_ = -kNoDeadline;
+  TimePoint deadline_ = kNever;  ///< Election timeout, next heartbeat or next recovery query.
+  TimePoint leader_heard_at_ = TimePoint(-Duration::max());
   /// Recovering: who has empty state; PreCandidate and Candidate: who granted its vote.
   std::map<std::string, bool> responses_;
   std::map<std::string, Progress> progress_;  ///< Only of a leader.
@@ -264,7 +263,7 @@
 
   bool state_changed_ = false;  ///< Since the last PersistState.
   bool storage_failed_ = false;
-  Nanos persist_retry_at_ = kNoDeadline;
+  TimePoint persist_retry_at_ = kNever;
   std::uint64_t issued_persist_ = 0;
   std::uint64_t persisted_number_ = 0;
   std::uint64_t own_vote_persist_ = 0;  ///< The write that holds the vote for this node itself.
--- a/src/raft/node_messages.cpp
+++ b/src/raft/node_messages.cpp
@@ -13,13 +13,13 @@
 }
 
 // Leader stickiness (thesis, 4.2.3): a node that was cut off must not unseat a sound leader.
-bool Node::has_heard_from_leader(Nanos now) const {
+bool Node::has_heard_from_leader(TimePoint now) const {
   if (role_ == Role::Leader)
     return true;
   return !leader_.empty() && now - leader_heard_at_ < settings_.min_election_timeout;
 }
 
-void Node::handle_message(Nanos now, const Message& message, Actions& actions) {
+void Node::handle_message(TimePoint now, const Message& message, Actions& actions) {
   if (message.to != settings_.self || message.from == settings_.self || !is_voter(message.from))
     return;
   if (const auto* query = std::get_if<RecoveryQuery>(&message.body))
@@ -54,7 +54,7 @@
   send(make_message(message.from, RecoveryReply{query.attempt, has_empty_state}), actions);
 }
 
-void Node::handle_recovery_reply(Nanos now, const Message& message, const RecoveryReply& reply,
+void Node::handle_recovery_reply(TimePoint now, const Message& message, const RecoveryReply& reply,
                                  Actions& actions) {
   if (role_ != Role::Recovering || reply.attempt != heartbeat_round_)
     return;
@@ -74,8 +74,8 @@
 
 // ---- Elections
 
-void Node::handle_pre_vote_request(Nanos now, const Message& message, const PreVoteRequest& request,
-                                   Actions& actions) {
+void Node::handle_pre_vote_request(TimePoint now, const Message& message,
+                                   const PreVoteRequest& request, Actions& actions) {
   const bool granted = message.term > state_.current_term && !has_heard_from_leader(now) &&
                        !storage_failed_ &&
                        is_log_up_to_date(request.last_log_index, request.last_log_term);
@@ -87,7 +87,7 @@
   send_after_persist(std::move(response), actions);
 }
 
-void Node::handle_pre_vote_granted(Nanos now, const Message& message, Actions& actions) {
+void Node::handle_pre_vote_granted(TimePoint now, const Message& message, Actions& actions) {
   if (role_ != Role::PreCandidate || message.term != state_.current_term + 1)
     return;
   responses_[message.from] = true;
@@ -104,7 +104,7 @@
     send(make_message(message.from, AppendEntriesResponse{}), actions);
 }
 
-void Node::handle_in_current_term(Nanos now, const Message& message, Actions& actions) {
+void Node::handle_in_current_term(TimePoint now, const Message& message, Actions& actions) {
   if (const auto* vote = std::get_if<VoteRequest>(&message.body))
     return handle_vote_request(now, message, *vote, actions);
   if (const auto* vote_response = std::get_if<VoteResponse>(&message.body))
@@ -123,7 +123,7 @@
     handle_append_response(now, message, *append_response, actions);
 }
 
-void Node::handle_vote_request(Nanos now, const Message& message, const VoteRequest& request,
+void Node::handle_vote_request(TimePoint now, const Message& message, const VoteRequest& request,
                                Actions& actions) {
   const bool can_vote = state_.voted_for.empty() || state_.voted_for == message.from;
   const bool granted = can_vote && !storage_failed_ && role_ == Role::Follower &&
@@ -138,7 +138,7 @@
   send_after_persist(make_message(message.from, VoteResponse{granted}), actions);
 }
 
-void Node::handle_vote_response(Nanos now, const Message& message, const VoteResponse& response,
+void Node::handle_vote_response(TimePoint now, const Message& message, const VoteResponse& response,
                                 Actions& actions) {
   if (!response.granted || role_ != Role::Candidate)
     return;
@@ -148,7 +148,7 @@
 
 // ---- A follower's side of replication
 
-bool Node::accept_leader(Nanos now, const Message& message, Actions& actions) {
+bool Node::accept_leader(TimePoint now, const Message& message, Actions& actions) {
   if (role_ == Role::Leader)
     return false;  // Two leaders of one term: a fault that this node cannot resolve.
   become_follower(now, message.term, message.from, actions);
--- a/src/raft/node_replication.cpp
+++ b/src/raft/node_replication.cpp
@@ -57,7 +57,7 @@
   return heartbeat_round_;
 }
 
-void Node::handle_append_response(Nanos now, const Message& message,
+void Node::handle_append_response(TimePoint now, const Message& message,
                                   const AppendEntriesResponse& response, Actions& actions) {
   const auto found = progress_.find(message.from);
   if (role_ != Role::Leader || found == progress_.end() ||
--- a/src/rate_limit/token_buckets.cpp
+++ b/src/rate_limit/token_buckets.cpp
@@ -8,13 +8,13 @@
 constexpr double kNanosPerSecond = 1e9;
 }
 
-double TokenBuckets::tokens_at(const Bucket& bucket, Nanos now) {
+double TokenBuckets::tokens_at(const Bucket& bucket, TimePoint now) {
   const double added =
-      static_cast<double>(now - bucket.updated_at) / kNanosPerSecond * bucket.rate.per_second;
+      to_double(now - bucket.updated_at) / kNanosPerSecond * bucket.rate.per_second;
   return std::min(bucket.rate.burst, bucket.tokens + added);
 }
 
-void TokenBuckets::replace_rates(const std::map<std::string, Rate>& rates, Nanos now) {
+void TokenBuckets::replace_rates(const std::map<std::string, Rate>& rates, TimePoint now) {
   std::map<std::string, Bucket> buckets;
   for (const auto& [team, rate] : rates) {
     Bucket bucket{rate, rate.burst, now};
@@ -26,19 +26,19 @@
   buckets_ = std::move(buckets);
 }
 
-Nanos TokenBuckets::try_acquire(const std::string& team, Nanos now) {
+Duration TokenBuckets::try_acquire(const std::string& team, TimePoint now) {
   const auto found = buckets_.find(team);
   if (found == buckets_.end())
-    return 0;
+    return 0ms;
   Bucket& bucket = found->second;
   bucket.tokens = tokens_at(bucket, now);
   bucket.updated_at = now;
   if (bucket.tokens >= 1) {
     bucket.tokens -= 1;
-    return 0;
+    return 0ms;
   }
   const double seconds = (1 - bucket.tokens) / bucket.rate.per_second;
-  return std::max<Nanos>(1, static_cast<Nanos>(seconds * kNanosPerSecond));
+  return std::max<Duration>(1ns, to_duration(seconds * kNanosPerSecond));
 }
 
 }  // namespace gorsebeam::rate_limit
--- a/src/rate_limit/token_buckets.h
+++ b/src/rate_limit/token_buckets.h
@@ -22,11 +22,11 @@
 public:
   /// Replaces all rates. A team that already has a bucket keeps its tokens, at most the new burst;
   /// a new team starts with a full bucket.
-  void replace_rates(const std::map<std::string, Rate>& rates, Nanos now);
+  void replace_rates(const std::map<std::string, Rate>& rates, TimePoint now);
 
   /// Takes one token from the team's bucket. Returns 0 on success, and for a team without a rate;
   /// otherwise takes nothing and returns how long, in nanoseconds, until one token is available.
-  [[nodiscard]] Nanos try_acquire(const std::string& team, Nanos now);
+  [[nodiscard]] Duration try_acquire(const std::string& team, TimePoint now);
 
   /// Number of buckets held.
   [[nodiscard]] std::size_t size() const { return buckets_.size(); }
@@ -35,11 +35,11 @@
   struct Bucket {
     Rate rate;
     double tokens = 0;
-    Nanos updated_at = 0;
+    TimePoint updated_at{};
   };
 
   /// Tokens in `bucket` at `now`, at most its burst.
-  [[nodiscard]] static double tokens_at(const Bucket& bucket, Nanos now);
+  [[nodiscard]] static double tokens_at(const Bucket& bucket, TimePoint now);
 
   std::map<std::string, Bucket> buckets_;
 };
--- a/src/router/attempt_observer.cpp
+++ b/src/router/attempt_observer.cpp
@@ -8,7 +8,7 @@
 namespace gorsebeam::router {
 
 void AttemptObserver::record_answer(EndpointState& endpoint, const AttemptResult& result) {
-  const Nanos now = state_.event.now;
+  const TimePoint now = state_.event.now;
   // Reads that began before a handover end with the old role. Each would send all that waits to an
   // endpoint that has turned writes away since, until their attempts are used up.
   if (result.role == Role::Replica)
@@ -24,14 +24,15 @@
 }
 
 void AttemptObserver::record_load_report(EndpointState& endpoint, const LoadReport& report) {
-  const Nanos now = state_.event.now;
+  const TimePoint now = state_.event.now;
   state_.outliers.record_connection_use(endpoint);
   if (report.replication_position)
     advance_replication_position(state_.endpoints, endpoint, *report.replication_position, now);
   if (!report.is_primary)
     return;
   // A primary's position is the present, so it dates the report.
-  const Nanos dated = report.replication_position.value_or(now - kUndatedRoleAge);
+  const TimePoint dated =
+      report.replication_position ? time_of(*report.replication_position) : now - kUndatedRoleAge;
   state_.roles.record_role_evidence(endpoint,
                                     {*report.is_primary, dated, RoleEvidence::Source::Report});
 }
@@ -73,15 +74,15 @@
 void AttemptObserver::record_success(EndpointState& endpoint, const PendingRequest& request,
                                      const UpstreamAttempt& attempt, const AttemptResult& result) {
   if (!attempt.is_overdue)
-    state_.classes.record_answer(request.request.class_index, static_cast<double>(result.elapsed));
+    state_.classes.record_answer(request.request.class_index, to_double(result.elapsed));
   if (!state_.event.is_after_stall())
     record_load(endpoint, objective_fraction(request, result.elapsed));
   OutlierEjector::record_success(endpoint);
   // The endpoint checked the read itself, so its answer proves the position that the read needed.
-  const Nanos required = attempt.required_position;
+  const ReplicationPosition required = attempt.required_position;
   if (is_read(request) && state_.settings.staleness_check != StalenessCheck::None &&
-      required != kUnknown) {
-    const Nanos shown_at = required > endpoint.position ? attempt.sent_at : kUnknown;
+      required != kUnknownPosition) {
+    const TimePoint shown_at = required > endpoint.position ? attempt.sent_at : kUnknown;
     advance_replication_position(state_.endpoints, endpoint, required, shown_at);
   }
   state_.outliers.record_answer(endpoint, attempt);
@@ -97,7 +98,7 @@
                                         {false, state_.event.now, RoleEvidence::Source::Answer});
     return;
   }
-  if (attempt.required_position == kUnknown)
+  if (attempt.required_position == kUnknownPosition)
     return;
   endpoint.stale_before = std::max(endpoint.stale_before, attempt.required_position);
   state_.health_checks.check(endpoint);
@@ -152,9 +153,8 @@
   return state_.class_of(request).consistency != ConsistencyLevel::Write;
 }
 
-double AttemptObserver::objective_fraction(const PendingRequest& request, Nanos elapsed) const {
-  return static_cast<double>(elapsed) /
-         static_cast<double>(state_.class_of(request).latency_objective);
+double AttemptObserver::objective_fraction(const PendingRequest& request, Duration elapsed) const {
+  return ratio(elapsed, state_.class_of(request).latency_objective);
 }
 
 void AttemptObserver::record_health_check(EndpointState& endpoint,
@@ -187,7 +187,7 @@
   for (UpstreamAttempt& attempt : request.attempts) {
     if (!attempt.in_flight || attempt.is_overdue)
       continue;
-    const Nanos age = state_.event.now - attempt.sent_at;
+    const Duration age = state_.event.now - attempt.sent_at;
     if (age < retries_.overdue_after(request, attempt.endpoint))
       continue;
     attempt.is_overdue = true;
--- a/src/router/attempt_observer.h
+++ b/src/router/attempt_observer.h
@@ -38,7 +38,7 @@
   void record_silence(EndpointState& endpoint);
   void record_load(EndpointState& endpoint, double objective_fraction);
   [[nodiscard]] bool is_read(const PendingRequest& request) const;
-  [[nodiscard]] double objective_fraction(const PendingRequest& request, Nanos elapsed) const;
+  [[nodiscard]] double objective_fraction(const PendingRequest& request, Duration elapsed) const;
 
   RouterState& state_;
   RetryPolicy& retries_;
--- a/src/router/class_statistics.cpp
+++ b/src/router/class_statistics.cpp
@@ -10,7 +10,7 @@
 
 ClassStatistics::ClassStatistics(const std::vector<RequestClass>& classes) {
   for (const RequestClass& request_class : classes) {
-    const auto objective = static_cast<double>(request_class.latency_objective);
+    const auto objective = to_double(request_class.latency_objective);
     rows_.push_back({objective / kInitialObjectiveFraction, 0});
   }
 }
--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -15,7 +15,7 @@
 constexpr int kExtraHealthChecks = 4;
 
 // The shortest time between two writes sent to find a group's primary.
-constexpr Nanos kDiscoveryGap = kHealthCheckGap;
+constexpr Duration kDiscoveryGap = kHealthCheckGap;
 
 }  // namespace
 
@@ -35,8 +35,8 @@
   const bool is_bounded = request_class.consistency == ConsistencyLevel::BoundedStaleness;
   ReplicaGroup& group = state_.group_of(request);
   if (is_bounded) {
-    const Nanos now = state_.event.now;
-    const Nanos previous = std::exchange(group.last_bounded_read_at, now);
+    const TimePoint now = state_.event.now;
+    const TimePoint previous = std::exchange(group.last_bounded_read_at, now);
     group.sparse_bounded_reads = previous < now - request_class.max_staleness;
   }
   const bool needs_proof = is_bounded || request_class.consistency == ConsistencyLevel::Session;
@@ -45,7 +45,7 @@
 }
 
 void Dispatcher::dispatch(PendingRequest& request) {
-  const Nanos now = state_.event.now;
+  const TimePoint now = state_.event.now;
   if (request.is_closed || (now < request.retry_not_before && now < request.give_up_at))
     return;
   if (request.in_flight > 0) {
@@ -93,7 +93,7 @@
 // primary once waiting longer would miss the latency objective.
 void Dispatcher::wait_for_proof(PendingRequest& request) {
   const bool proof_may_come = request_proofs(request);
-  const auto work = static_cast<Nanos>(2 * state_.usual_time(request));
+  const Duration work = to_duration(2 * state_.usual_time(request));
   if (proof_may_come && state_.event.now < request.objective_at - work)
     return;
   const ReplicaGroup& group = state_.group_of(request);
@@ -139,18 +139,19 @@
 }
 
 bool Dispatcher::can_catch_up(const EndpointState& endpoint, const PendingRequest& request) const {
-  if (endpoint.position == kUnknown)
+  if (endpoint.position == kUnknownPosition)
     return false;
   if (endpoint.is_ejected)
     return !endpoint.needs_recovery_attempt;
-  const Nanos now = state_.event.now;
-  const Nanos required = required_position(state_.class_of(request), request, now);
+  const TimePoint now = state_.event.now;
+  const ReplicationPosition required = required_position(state_.class_of(request), request, now);
   // Behind by more than the time left, it does not catch up before the latency objective.
-  return required != kUnknown && required < endpoint.position + request.objective_at - now;
+  return required != kUnknownPosition &&
+         required < endpoint.position + (request.objective_at - now);
 }
 
 bool Dispatcher::is_proof_requested(const ReplicaGroup& group) const {
-  const Nanos now = state_.event.now;
+  const TimePoint now = state_.event.now;
   const auto is_being_checked = [this, now](EndpointId id) {
     const EndpointState& endpoint = state_.endpoints.at(id);
     return endpoint.has_health_check && now - endpoint.last_health_check_at < 2 * kSweepInterval;
@@ -184,7 +185,7 @@
     if (reports_hold_roles || endpoint.is_ejected)
       state_.health_checks.check(endpoint, 2 * kHealthCheckGap, HealthCheckBudget::Exempt);
   }
-  const Nanos now = state_.event.now;
+  const TimePoint now = state_.event.now;
   const bool reports_may_tell =
       reports_hold_roles && state_.settings.load_report_source != LoadReportSource::None;
   if (reports_may_tell && now - request.arrived_at < kHealthCheckGap)
@@ -207,7 +208,7 @@
 
 bool Dispatcher::can_try_discovery(const PendingRequest& request, EndpointState& endpoint) {
   const ReplicaGroup& group = state_.group_of(request);
-  const Nanos now = state_.event.now;
+  const TimePoint now = state_.event.now;
   const EndpointId id = endpoint.listing.id;
   const bool is_primary = group.primary == id;
   // After an attempt an endpoint may have the request again if it has shown since that it is the
@@ -256,7 +257,7 @@
   const bool is_recovery = kind == AttemptKind::Recovery;
   if (is_recovery)
     endpoint->has_recovery_attempt = true;
-  const Nanos now = state_.event.now;
+  const TimePoint now = state_.event.now;
   UpstreamAttempt attempt;
   attempt.endpoint = id;
   attempt.sent_at = now;
--- a/src/router/endpoint_list_updater.cpp
+++ b/src/router/endpoint_list_updater.cpp
@@ -7,12 +7,12 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr Nanos kPollRetryGap = 1000 * kMillisecond;  // until a failed poll is repeated
+constexpr Duration kPollRetryGap = 1000ms;  // until a failed poll is repeated
 
 }  // namespace
 
 void EndpointListUpdater::apply(const EndpointList& list) {
-  const Nanos now = state_.event.now;
+  const TimePoint now = state_.event.now;
   const bool polls = state_.settings.discovery_mode == DiscoveryMode::Poll;
   if (list.kind == EndpointList::Kind::Failed) {
     if (polls)
@@ -40,14 +40,14 @@
   if (is_new && entry.status == EndpointStatus::Removed)
     return;
   EndpointState& endpoint = state_.endpoints.obtain(entry.id);
-  const Nanos previous_start = endpoint.listing.started_at;
+  const TimePoint previous_start = endpoint.listing.started_at;
   const bool was_listed_as_primary = endpoint.listing.listed_as_primary;
   endpoint.listing = entry;
   std::vector<EndpointId>& ids = state_.endpoints.group(entry.group).endpoints;
   if (is_new)
     ids.insert(std::lower_bound(ids.begin(), ids.end(), entry.id), entry.id);
   const bool has_restarted = is_new || entry.started_at != previous_start;
-  if (entry.started_at > 0 && has_restarted)
+  if (entry.started_at > TimePoint{} && has_restarted)
     endpoint.warming_since = std::max(endpoint.warming_since, entry.started_at);
   if (entry.status != EndpointStatus::Up) {
     mark_leaving(endpoint, entry.status);
@@ -69,7 +69,8 @@
       state_.endpoints.group_of(endpoint).primary)
     return;
   const bool is_cached = kind == EndpointList::Kind::Cached;
-  const Nanos dated = is_cached ? kUnknown + 1 : state_.event.now - kUndatedRoleAge;
+  const TimePoint dated =
+      is_cached ? TimePoint(kUnknown + 1ns) : state_.event.now - kUndatedRoleAge;
   state_.roles.record_role_evidence(endpoint, {true, dated, RoleEvidence::Source::Report});
 }
 
--- a/src/router/endpoint_selection.cpp
+++ b/src/router/endpoint_selection.cpp
@@ -107,7 +107,7 @@
   if (request_class.consistency != ConsistencyLevel::BoundedStaleness)
     return false;
   return endpoint.position_shown_at == kUnknown ||
-         endpoint.position_shown_at - endpoint.position <= request_class.max_staleness;
+         endpoint.position_shown_at - time_of(endpoint.position) <= request_class.max_staleness;
 }
 
 // Deviates from the base design where an even split leaves the replica with the long reads, or the
@@ -156,7 +156,7 @@
 
 bool EndpointSelector::can_recover(const EndpointState& endpoint,
                                    const PendingRequest& request) const {
-  const Nanos now = state_.event.now;
+  const TimePoint now = state_.event.now;
   if (!endpoint.is_ejected || endpoint.has_health_check || endpoint.has_recovery_attempt ||
       now < endpoint.next_recovery_at || !endpoint.is_usable())
     return false;
@@ -220,7 +220,8 @@
 std::optional<EndpointId>
 EndpointSelector::most_advanced(const PendingRequest& request,
                                 const std::vector<EndpointId>& candidates) {
-  const Nanos required = required_position(state_.class_of(request), request, state_.event.now);
+  const ReplicationPosition required =
+      required_position(state_.class_of(request), request, state_.event.now);
   std::optional<EndpointId> best;
   for (const EndpointId id : candidates) {
     EndpointState& endpoint = state_.endpoints.at(id);
--- a/src/router/endpoint_table.cpp
+++ b/src/router/endpoint_table.cpp
@@ -6,7 +6,7 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr Nanos kForgetAfter = 60'000 * kMillisecond;  // a removed endpoint may come back sooner
+constexpr Duration kForgetAfter = 60'000ms;  // a removed endpoint may come back sooner
 
 }  // namespace
 
@@ -50,7 +50,7 @@
   return std::nullopt;
 }
 
-void EndpointTable::forget_removed(Nanos now, const std::set<EndpointId>& in_use) {
+void EndpointTable::forget_removed(TimePoint now, const std::set<EndpointId>& in_use) {
   for (auto it = endpoints_.begin(); it != endpoints_.end();) {
     const auto& [id, endpoint] = *it;
     if (endpoint.removed_at == kNever || now - endpoint.removed_at < kForgetAfter ||
--- a/src/router/endpoint_table.h
+++ b/src/router/endpoint_table.h
@@ -15,34 +15,37 @@
 namespace gorsebeam::router {
 
 /// The first pause before an ejected endpoint gets a recovery attempt.
-constexpr Nanos kInitialRecoveryBackoff = 500 * kMillisecond;
+constexpr Duration kInitialRecoveryBackoff = 500ms;
 
 /// What is known of one endpoint. A new one starts ejected: a fresh router has heard of none.
 struct EndpointState {
   Endpoint listing;               ///< The newest entry of the endpoint list.
   bool is_leaving = false;        ///< The list says that it drains or was removed.
-  Nanos removed_at = kNever;      ///< When the list said that it was removed.
-  Nanos position = kUnknown;      ///< It has applied at least up to here. Never falls.
-  Nanos stale_before = kUnknown;  ///< A misdirected read showed that it had not applied this yet.
-  int consecutive_failures = 0;   ///< Timeouts, or connections that failed at once.
-  double error_ratio = 0;         ///< The recent share of errors among its answers.
-  bool is_ejected = true;         ///< Gets no reads until it answers.
+  TimePoint removed_at = kNever;  ///< When the list said that it was removed.
+  ReplicationPosition position =
+      kUnknownPosition;  ///< It has applied at least up to here. Never falls.
+  ReplicationPosition stale_before =
+      kUnknownPosition;          ///< A misdirected read showed that it had not applied this yet.
+  int consecutive_failures = 0;  ///< Timeouts, or connections that failed at once.
+  double error_ratio = 0;        ///< The recent share of errors among its answers.
+  bool is_ejected = true;        ///< Gets no reads until it answers.
   bool needs_recovery_attempt = false;  ///< Ejected for what a health check does not disprove.
-  int connection_breaks = 0;  ///< Connections refused or broken in a row, with no answer between.
-  Nanos first_break_at = 0;   ///< The first of them.
-  bool may_have_restarted = false;                   ///< Several such.
-  Nanos ejected_at = kNever;                         ///< When it was last ejected.
-  bool has_recovery_attempt = false;                 ///< One is in flight.
-  bool has_health_check = false;                     ///< One is in flight.
-  Nanos next_recovery_at = 0;                        ///< No recovery attempt before this.
-  Nanos recovery_backoff = kInitialRecoveryBackoff;  ///< The next pause; doubles with each failure.
-  Nanos last_answer_at = 0;                          ///< When it last answered an attempt.
-  Nanos last_health_check_at = kUnknown;             ///< When the last one was sent.
-  Nanos position_shown_at = kUnknown;                ///< When it last showed a position.
-  Nanos role_evidence_at = kUnknown;   ///< The date of the newest evidence of its role.
-  Nanos denied_primary_at = kUnknown;  ///< When it last answered that it is a replica.
-  Nanos warming_since = kUnknown;      ///< When its slow start began.
-  FadingLoad load;                     ///< Of its own answers.
+  int connection_breaks = 0;   ///< Connections refused or broken in a row, with no answer between.
+  TimePoint first_break_at{};  ///< The first of them.
+  bool may_have_restarted = false;    ///< Several such.
+  TimePoint ejected_at = kNever;      ///< When it was last ejected.
+  bool has_recovery_attempt = false;  ///< One is in flight.
+  bool has_health_check = false;      ///< One is in flight.
+  TimePoint next_recovery_at{};       ///< No recovery attempt before this.
+  Duration recovery_backoff =
+      kInitialRecoveryBackoff;                ///< The next pause; doubles with each failure.
+  TimePoint last_answer_at{};                 ///< When it last answered an attempt.
+  TimePoint last_health_check_at = kUnknown;  ///< When the last one was sent.
+  TimePoint position_shown_at = kUnknown;     ///< When it last showed a position.
+  TimePoint role_evidence_at = kUnknown;      ///< The date of the newest evidence of its role.
+  TimePoint denied_primary_at = kUnknown;     ///< When it last answered that it is a replica.
+  TimePoint warming_since = kUnknown;         ///< When its slow start began.
+  FadingLoad load;                            ///< Of its own answers.
 
   /// Whether requests and health checks may be sent to it at all.
   [[nodiscard]] bool is_usable() const {
@@ -54,15 +57,15 @@
 struct ReplicaGroup {
   std::vector<EndpointId> endpoints;  ///< Sorted.
   std::optional<EndpointId> primary;  ///< By the newest evidence.
-  Nanos primary_evidence_at =
+  TimePoint primary_evidence_at =
       kUnknown;                      ///< The date of that evidence; stays when it is unknown again.
   bool primary_suspected = false;    ///< It failed to answer: writes wait.
   bool sparse_bounded_reads = true;  ///< They come further apart than a proof holds.
-  Nanos last_bounded_read_at = kUnknown;
-  bool is_dispatchable = false;        ///< Evidence may release requests that wait.
-  Nanos last_discovery_at = kUnknown;  ///< When a write was last sent to find the primary.
-  Nanos last_dispatch_at = 0;          ///< Dispatches are spaced: requests may wait in thousands.
-  std::set<std::uint64_t> waiting;     ///< Sequence numbers of requests with no attempt in flight.
+  TimePoint last_bounded_read_at = kUnknown;
+  bool is_dispatchable = false;            ///< Evidence may release requests that wait.
+  TimePoint last_discovery_at = kUnknown;  ///< When a write was last sent to find the primary.
+  TimePoint last_dispatch_at{};     ///< Dispatches are spaced: requests may wait in thousands.
+  std::set<std::uint64_t> waiting;  ///< Sequence numbers of requests with no attempt in flight.
 };
 
 /// Owns all endpoint states and groups. Bounded by the listed endpoints, those removed within the
@@ -114,7 +117,7 @@
 
   /// Forgets endpoints that were removed a minute ago, except those `in_use`. Bounds memory and the
   /// work for each request: endpoints are replaced all day, each under a new id.
-  void forget_removed(Nanos now, const std::set<EndpointId>& in_use);
+  void forget_removed(TimePoint now, const std::set<EndpointId>& in_use);
 
   /// Forgets a group without endpoints and waiting requests. Bounds memory: clients may name groups
   /// that no list ever held, and groups come and go.
--- a/src/router/event_context.h
+++ b/src/router/event_context.h
@@ -12,8 +12,8 @@
 
 /// Owned by the router's state and updated with each event; other modules hold a reference.
 struct EventContext {
-  Nanos now = 0;
-  Nanos stalled_at = kNever;  ///< When a timer last came far too late.
+  TimePoint now{};
+  TimePoint stalled_at = kNever;  ///< When a timer last came far too late.
   std::vector<Action>* actions =
       nullptr;  ///< The caller's list; set only while an event is handled.
 
--- a/src/router/health_check_scheduler.cpp
+++ b/src/router/health_check_scheduler.cpp
@@ -19,13 +19,13 @@
   budget_ = std::min(budget_ + share, kMaxBudget);
 }
 
-bool HealthCheckScheduler::check(EndpointState& endpoint, Nanos gap, HealthCheckBudget budget) {
+bool HealthCheckScheduler::check(EndpointState& endpoint, Duration gap, HealthCheckBudget budget) {
   const bool limited = budget == HealthCheckBudget::Limited;
   if (!settings_.health_checks_allowed || endpoint.has_health_check || !endpoint.is_usable())
     return false;
   if (limited && budget_ < 1)
     return false;
-  const Nanos last = endpoint.last_health_check_at;
+  const TimePoint last = endpoint.last_health_check_at;
   if (last != kUnknown && event_.now - last < gap)
     return false;
   if (limited)
@@ -54,9 +54,9 @@
   if (!settings_.load_reports_hold_positions || group.primary == endpoint.listing.id ||
       endpoint.is_ejected)
     return;
-  const Nanos max_staleness = request_class.max_staleness;
-  const bool is_old =
-      endpoint.position == kUnknown || event_.now - endpoint.position > max_staleness / 2;
+  const Duration max_staleness = request_class.max_staleness;
+  const bool is_old = endpoint.position == kUnknownPosition ||
+                      event_.now - time_of(endpoint.position) > max_staleness / 2;
   const bool is_bounded = request_class.consistency == ConsistencyLevel::BoundedStaleness;
   if (is_bounded && !group.sparse_bounded_reads && is_old)
     check(endpoint, max_staleness / 3);
--- a/src/router/health_check_scheduler.h
+++ b/src/router/health_check_scheduler.h
@@ -10,7 +10,7 @@
 namespace gorsebeam::router {
 
 /// The shortest time between two health checks of one endpoint.
-constexpr Nanos kHealthCheckGap = 100 * kMillisecond;
+constexpr Duration kHealthCheckGap = 100ms;
 
 /// Whether a health check counts against the budget.
 enum class HealthCheckBudget {
@@ -32,7 +32,7 @@
 
   /// Sends a health check if one is allowed, none is in flight and the last is at least `gap` ago.
   /// Returns whether it was sent.
-  bool check(EndpointState& endpoint, Nanos gap = kHealthCheckGap,
+  bool check(EndpointState& endpoint, Duration gap = kHealthCheckGap,
              HealthCheckBudget budget = HealthCheckBudget::Limited);
 
   /// Keeps the group of a read known: checks ejected endpoints until they answer, and refreshes
--- a/src/router/load_estimator.cpp
+++ b/src/router/load_estimator.cpp
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-FadingLoad& FadingLoad::fade(Nanos now) {
-  const double kept = std::exp(-static_cast<double>(now - faded_at_) / kFadeTime);
+FadingLoad& FadingLoad::fade(TimePoint now) {
+  const double kept = std::exp(-to_double(now - faded_at_) / kFadeTime);
   sum_ *= kept;
   count_ *= kept;
   faded_at_ = now;
@@ -27,12 +27,12 @@
   count_ += 1;
 }
 
-FadingLoad& LatencyLoadEstimator::pool(const std::string& zone, Role role, Nanos now) {
+FadingLoad& LatencyLoadEstimator::pool(const std::string& zone, Role role, TimePoint now) {
   return pools_[{zone, role}].fade(now);
 }
 
 void LatencyLoadEstimator::record(FadingLoad& own, FadingLoad& pool, double objective_fraction,
-                                  Nanos now) {
+                                  TimePoint now) {
   own.fade(now).add(objective_fraction);
   pool.fade(now).add(objective_fraction);
 }
@@ -46,7 +46,7 @@
   return target * (own.count() + kOwnPriorCount) / (own.sum() + kOwnPriorCount * pool_mean + 1e-9);
 }
 
-double LatencyLoadEstimator::role_mean(Role role, Nanos now, const FadingLoad& excluded) {
+double LatencyLoadEstimator::role_mean(Role role, TimePoint now, const FadingLoad& excluded) {
   double sum = -excluded.sum();
   double count = -excluded.count();
   for (auto& [key, pool] : pools_) {
--- a/src/router/load_estimator.h
+++ b/src/router/load_estimator.h
@@ -18,7 +18,7 @@
 class FadingLoad {
 public:
   /// Fades all samples up to `now`.
-  FadingLoad& fade(Nanos now);
+  FadingLoad& fade(TimePoint now);
 
   /// Adds a sample at the time of the last `fade`. Capped: late is late.
   void add(double objective_fraction);
@@ -33,7 +33,7 @@
 private:
   double sum_ = 0;
   double count_ = 0;
-  Nanos faded_at_ = 0;
+  TimePoint faded_at_{};
 };
 
 /// Holds the pooled load for each zone and role. Bounded by the zones that the list names.
@@ -43,10 +43,10 @@
   static constexpr double kNoAnswer = 2;
 
   /// The pool of a zone and a role, faded to `now`.
-  [[nodiscard]] FadingLoad& pool(const std::string& zone, Role role, Nanos now);
+  [[nodiscard]] FadingLoad& pool(const std::string& zone, Role role, TimePoint now);
 
   /// Adds a sample to an endpoint's own load and to its pool.
-  static void record(FadingLoad& own, FadingLoad& pool, double objective_fraction, Nanos now);
+  static void record(FadingLoad& own, FadingLoad& pool, double objective_fraction, TimePoint now);
 
   /// `target` divided by the estimated load: above 1 for an endpoint with room. Both loads must be
   /// faded to the present.
@@ -54,7 +54,7 @@
                                        double target);
 
   /// The mean load of a role over all zones, with the samples of `excluded` left out.
-  [[nodiscard]] double role_mean(Role role, Nanos now, const FadingLoad& excluded = {});
+  [[nodiscard]] double role_mean(Role role, TimePoint now, const FadingLoad& excluded = {});
 
 private:
   std::map<std::pair<std::string, Role>, FadingLoad> pools_;
--- a/src/router/outlier_ejection.cpp
+++ b/src/router/outlier_ejection.cpp
@@ -9,8 +9,8 @@
 constexpr int kConsecutiveFailures = 2;  // one timeout is chance, two are a symptom, as DESIGN says
 constexpr double kErrorSmoothing = 0.1;  // weight of a new sample: about the last ten count
 constexpr double kMaxErrorRatio = 0.25;  // an endpoint that fails more of its requests is ejected
-constexpr Nanos kMinRestartTime = 300 * kMillisecond;       // back sooner, it has not restarted
-constexpr Nanos kMaxRecoveryBackoff = 4000 * kMillisecond;  // outages last seconds to tens of them
+constexpr Duration kMinRestartTime = 300ms;       // back sooner, it has not restarted
+constexpr Duration kMaxRecoveryBackoff = 4000ms;  // outages last seconds to tens of them
 
 }  // namespace
 
@@ -47,9 +47,9 @@
 bool OutlierEjector::starts_cold(const EndpointState& endpoint, bool may_have_restarted) const {
   if (may_have_restarted)
     return true;
-  const Nanos outage = event_.now - endpoint.ejected_at;
-  const bool applied_meanwhile =
-      endpoint.position > endpoint.ejected_at && event_.now - endpoint.position < outage / 2;
+  const Duration outage = event_.now - endpoint.ejected_at;
+  const bool applied_meanwhile = endpoint.position > position_at(endpoint.ejected_at) &&
+                                 event_.now - time_of(endpoint.position) < outage / 2;
   return outage > settings_.overload_duration && endpoint.last_answer_at < endpoint.ejected_at &&
          !applied_meanwhile;
 }
--- a/src/router/rejection_policy.cpp
+++ b/src/router/rejection_policy.cpp
@@ -4,13 +4,13 @@
 namespace {
 
 // A role that is handed over, rather than lost, has a new holder sooner than this.
-constexpr Nanos kHandoverTime = 1000 * kMillisecond;
+constexpr Duration kHandoverTime = 1000ms;
 
 }  // namespace
 
 bool RejectionPolicy::reject_over_rate_limit(PendingRequest& request) const {
-  const Nanos retry_after = request.request.rate_limit_retry_after;
-  if (retry_after <= 0)
+  const Duration retry_after = request.request.rate_limit_retry_after;
+  if (retry_after <= 0ms)
     return false;
   close(request, AnswerReason::RateLimit, retry_after);
   return true;
@@ -34,15 +34,15 @@
                                             const ReplicaGroup& group) const {
   if (!request.attempts.empty() || group.primary || group.primary_evidence_at == kUnknown)
     return false;
-  const Nanos now = state_.event.now;
-  const Nanos patience = request.request.deadline - request.arrived_at - 4 * kSweepInterval;
+  const TimePoint now = state_.event.now;
+  const Duration patience = request.request.deadline - request.arrived_at - 4 * kSweepInterval;
   const bool half_is_over = 2 * (now - request.arrived_at) >= patience;
   return half_is_over && group.primary_evidence_at < now - kHandoverTime;
 }
 
 void RejectionPolicy::give_up(PendingRequest& request, AnswerReason reason) const {
   const bool advise = state_.settings.retry_after_allowed;
-  close(request, reason, advise ? state_.settings.max_retry_after : 0);
+  close(request, reason, advise ? state_.settings.max_retry_after : 0ms);
 }
 
 // Saying that a request is safe to send again must be true.
@@ -54,7 +54,8 @@
          request_class.deduplication_scope == DeduplicationScope::All;
 }
 
-void RejectionPolicy::close(PendingRequest& request, AnswerReason reason, Nanos retry_after) const {
+void RejectionPolicy::close(PendingRequest& request, AnswerReason reason,
+                            Duration retry_after) const {
   if (request.is_closed || request.in_flight > 0)
     return;
   request.is_closed = true;
--- a/src/router/rejection_policy.h
+++ b/src/router/rejection_policy.h
@@ -30,7 +30,7 @@
 
 private:
   [[nodiscard]] bool can_reject(const PendingRequest& request) const;
-  void close(PendingRequest& request, AnswerReason reason, Nanos retry_after) const;
+  void close(PendingRequest& request, AnswerReason reason, Duration retry_after) const;
 
   RouterState& state_;
   const RetryPolicy& retries_;
--- a/src/router/replication_positions.cpp
+++ b/src/router/replication_positions.cpp
@@ -4,8 +4,8 @@
 
 namespace gorsebeam::router {
 
-void advance_replication_position(EndpointTable& endpoints, EndpointState& endpoint, Nanos position,
-                                  Nanos shown_at) {
+void advance_replication_position(EndpointTable& endpoints, EndpointState& endpoint,
+                                  ReplicationPosition position, TimePoint shown_at) {
   endpoint.position_shown_at = std::max(endpoint.position_shown_at, shown_at);
   if (position <= endpoint.position)
     return;
@@ -14,28 +14,28 @@
 }
 
 bool is_known_stale(const EndpointState& endpoint) {
-  return endpoint.stale_before != kUnknown && endpoint.stale_before > endpoint.position;
+  return endpoint.stale_before != kUnknownPosition && endpoint.stale_before > endpoint.position;
 }
 
-Nanos required_position(const RequestClass& request_class, const PendingRequest& request,
-                        Nanos now) {
+ReplicationPosition required_position(const RequestClass& request_class,
+                                      const PendingRequest& request, TimePoint now) {
   switch (request_class.consistency) {
   case ConsistencyLevel::BoundedStaleness:
-    return now - request_class.max_staleness;
+    return position_at(now - request_class.max_staleness);
   case ConsistencyLevel::Session:
     return request.session_token;
   case ConsistencyLevel::Strong:
-    return request.arrived_at;
+    return position_at(request.arrived_at);
   case ConsistencyLevel::Eventual:
   case ConsistencyLevel::Write:
     break;
   }
-  return kUnknown;
+  return kUnknownPosition;
 }
 
 bool is_proven_current(const EndpointState& endpoint, const RequestClass& request_class,
-                       const PendingRequest& request, Nanos now) {
-  return endpoint.position != kUnknown &&
+                       const PendingRequest& request, TimePoint now) {
+  return endpoint.position != kUnknownPosition &&
          endpoint.position >= required_position(request_class, request, now);
 }
 
--- a/src/router/replication_positions.h
+++ b/src/router/replication_positions.h
@@ -9,19 +9,19 @@
 
 /// An endpoint showed at `shown_at` that it has applied the log up to `position`. A position holds
 /// for good once shown: it never falls.
-void advance_replication_position(EndpointTable& endpoints, EndpointState& endpoint, Nanos position,
-                                  Nanos shown_at);
+void advance_replication_position(EndpointTable& endpoints, EndpointState& endpoint,
+                                  ReplicationPosition position, TimePoint shown_at);
 
 /// Whether a misdirected read showed a need that no position has proved met since.
 [[nodiscard]] bool is_known_stale(const EndpointState& endpoint);
 
-/// The position that an endpoint must have applied to serve the request now; kUnknown: any.
-[[nodiscard]] Nanos required_position(const RequestClass& request_class,
-                                      const PendingRequest& request, Nanos now);
+/// The position that an endpoint must have applied to serve the request now; kUnknownPosition: any.
+[[nodiscard]] ReplicationPosition required_position(const RequestClass& request_class,
+                                                    const PendingRequest& request, TimePoint now);
 
 /// Whether the endpoint's position proves that it is current for the request.
 [[nodiscard]] bool is_proven_current(const EndpointState& endpoint,
                                      const RequestClass& request_class,
-                                     const PendingRequest& request, Nanos now);
+                                     const PendingRequest& request, TimePoint now);
 
 }  // namespace gorsebeam::router
--- a/src/router/request_scheduler.cpp
+++ b/src/router/request_scheduler.cpp
@@ -19,18 +19,19 @@
   state_.timers.schedule(request, next_check(request));
 }
 
-Nanos RequestScheduler::next_check(const PendingRequest& request) {
-  const Nanos now = state_.event.now;
-  const Nanos sweep = state_.timers.next_sweep(now);
+TimePoint RequestScheduler::next_check(const PendingRequest& request) {
+  const TimePoint now = state_.event.now;
+  const TimePoint sweep = state_.timers.next_sweep(now);
   const bool is_idempotent = state_.class_of(request).idempotency == Idempotency::Idempotent;
   const bool can_hedge = !request.is_closed && !request.is_hedged && is_idempotent;
-  Nanos check_at = request.in_flight == 0 ? sweep : kNever;
+  TimePoint check_at = request.in_flight == 0 ? sweep : kNever;
   for (const UpstreamAttempt& attempt : request.attempts) {
     if (!attempt.in_flight || (attempt.is_overdue && !can_hedge))
       continue;
-    const Nanos overdue_at = attempt.sent_at + retries_.overdue_after(request, attempt.endpoint);
-    const Nanos earliest = now + state_.settings.clock_resolution;
-    const Nanos at = attempt.is_overdue ? sweep : std::max(overdue_at, earliest);
+    const TimePoint overdue_at =
+        attempt.sent_at + retries_.overdue_after(request, attempt.endpoint);
+    const TimePoint earliest = now + state_.settings.clock_resolution;
+    const TimePoint at = attempt.is_overdue ? sweep : std::max(overdue_at, earliest);
     check_at = std::min(check_at, at);
   }
   return check_at;
--- a/src/router/request_scheduler.h
+++ b/src/router/request_scheduler.h
@@ -16,7 +16,7 @@
   void finish_or_rearm(PendingRequest& request);
 
 private:
-  [[nodiscard]] Nanos next_check(const PendingRequest& request);
+  [[nodiscard]] TimePoint next_check(const PendingRequest& request);
 
   RouterState& state_;
   RetryPolicy& retries_;
--- a/src/router/request_table.h
+++ b/src/router/request_table.h
@@ -18,8 +18,8 @@
 /// One attempt of a request at an endpoint.
 struct UpstreamAttempt {
   EndpointId endpoint = 0;
-  Nanos sent_at = 0;
-  Nanos required_position = kUnknown;  ///< The data that the read must see.
+  TimePoint sent_at{};
+  ReplicationPosition required_position = kUnknownPosition;  ///< The data that the read must see.
   bool in_flight = true;
   bool is_overdue = false;
   bool is_recovery = false;       ///< Sent to an ejected endpoint to see whether it answers.
@@ -30,20 +30,21 @@
 struct PendingRequest {
   Request request;
   std::uint64_t sequence = 0;  ///< By arrival.
-  Nanos arrived_at = 0;
-  Nanos objective_at = 0;          ///< An answer later than this is late.
-  Nanos give_up_at = 0;            ///< No attempt starts after this.
-  Nanos session_token = kUnknown;  ///< The position that a session read must see.
-  std::uint64_t hash_key = 0;      ///< The session's, or its own: places it among the endpoints.
-  std::uint64_t draw = 0;          ///< Its own random number.
+  TimePoint arrived_at{};
+  TimePoint objective_at{};  ///< An answer later than this is late.
+  TimePoint give_up_at{};    ///< No attempt starts after this.
+  ReplicationPosition session_token =
+      kUnknownPosition;        ///< The position that a session read must see.
+  std::uint64_t hash_key = 0;  ///< The session's, or its own: places it among the endpoints.
+  std::uint64_t draw = 0;      ///< Its own random number.
   std::vector<UpstreamAttempt> attempts;
-  Nanos may_have_run_at = kUnknown;  ///< When the first attempt that may have run was sent.
+  TimePoint may_have_run_at = kUnknown;  ///< When the first attempt that may have run was sent.
   EndpointId may_have_run_on = 0;
   bool is_closed = false;  ///< It has its final answer.
   bool is_hedged = false;
-  Nanos retry_not_before = 0;
-  Nanos check_at = kNever;  ///< When a timer looks at it next.
-  int in_flight = 0;        ///< Attempts without a result.
+  TimePoint retry_not_before{};
+  TimePoint check_at = kNever;  ///< When a timer looks at it next.
+  int in_flight = 0;            ///< Attempts without a result.
 };
 
 /// Owns the open requests. Bounded by what the embedding program leaves open.
--- a/src/router/retry_policy.cpp
+++ b/src/router/retry_policy.cpp
@@ -11,7 +11,7 @@
 // Times the median: what one answer in fifty passes where answer times are exponential.
 constexpr double kOverdueFactor = 6;
 constexpr double kHedgeShare = 0.02;  // hedges for each request: bounds the load that they add
-constexpr Nanos kRejectionBackoff = 5 * kSweepInterval;
+constexpr Duration kRejectionBackoff = 5 * kSweepInterval;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
   const bool is_ejected = state_.endpoints.at(last.endpoint).is_ejected;
   if (!is_ejected && hedge_budget_ < 1)
     return HedgeDecision::None;
-  const auto usual_time = static_cast<Nanos>(state_.usual_time(request));
+  const auto usual_time = to_duration(state_.usual_time(request));
   if (state_.event.now + usual_time > request.give_up_at)
     return HedgeDecision::None;
   return is_ejected ? HedgeDecision::Free : HedgeDecision::Budgeted;
@@ -42,19 +42,19 @@
 // Far beyond the usual for the class, and beyond what the other endpoints take now. Where all are
 // slow none is to blame, so a jam ejects no endpoint, puts no primary under suspicion, and load is
 // not driven onto the last one left.
-Nanos RetryPolicy::overdue_after(const PendingRequest& request, EndpointId id) {
+Duration RetryPolicy::overdue_after(const PendingRequest& request, EndpointId id) {
   const RequestClass& request_class = state_.class_of(request);
-  const auto objective = static_cast<double>(request_class.latency_objective);
+  const auto objective = to_double(request_class.latency_objective);
   EndpointState& endpoint = state_.endpoints.at(id);
   const bool is_primary = state_.group_of(request).primary == id;
   const Role role = is_primary ? Role::Primary : Role::Replica;
   const Role other_role = is_primary ? Role::Replica : Role::Primary;
-  const Nanos now = state_.event.now;
+  const TimePoint now = state_.event.now;
   const double peers = state_.loads.role_mean(role, now, state_.load_of(endpoint));
   const double others = std::max(peers, state_.loads.role_mean(other_role, now));
   const double limit =
       std::max(kOverdueFactor * state_.usual_time(request), objective / 4) + 2 * others * objective;
-  return static_cast<Nanos>(std::min(limit, 2.0 * static_cast<double>(request_class.deadline)));
+  return to_duration(std::min(limit, 2.0 * to_double(request_class.deadline)));
 }
 
 bool RetryPolicy::has_attempts_left(const PendingRequest& request) const {
@@ -89,7 +89,7 @@
 
 bool RetryPolicy::is_attempt_allowed(const PendingRequest& request,
                                      const EndpointState& endpoint) const {
-  const Nanos now = state_.event.now;
+  const TimePoint now = state_.event.now;
   if (request.is_closed || now >= request.request.deadline ||
       endpoint.listing.group != request.request.group)
     return false;
@@ -117,16 +117,16 @@
   return is_attempt_allowed(request, endpoint);
 }
 
-Nanos RetryPolicy::give_up_at(const PendingRequest& request) const {
-  const Nanos margin = kSweepInterval + 2 * state_.settings.clock_resolution;
-  const Nanos before_deadline = request.request.deadline - margin;
+TimePoint RetryPolicy::give_up_at(const PendingRequest& request) const {
+  const Duration margin = kSweepInterval + 2 * state_.settings.clock_resolution;
+  const TimePoint before_deadline = request.request.deadline - margin;
   if (state_.class_of(request).late_weight_fraction > 0)
     return before_deadline;
   return std::min(before_deadline, request.objective_at);  // a late answer has no value
 }
 
-Nanos RetryPolicy::retry_after_rejection(const PendingRequest& request) const {
-  return state_.event.now + (kRejectionBackoff << request.attempts.size());
+TimePoint RetryPolicy::retry_after_rejection(const PendingRequest& request) const {
+  return state_.event.now + kRejectionBackoff * (std::int64_t{1} << request.attempts.size());
 }
 
 bool RetryPolicy::may_have_run(AttemptStatus status) {
--- a/src/router/retry_policy.h
+++ b/src/router/retry_policy.h
@@ -29,7 +29,7 @@
   [[nodiscard]] HedgeDecision decide_hedge(const PendingRequest& request) const;
 
   /// The nanoseconds after which an attempt counts as a timeout of its endpoint.
-  [[nodiscard]] Nanos overdue_after(const PendingRequest& request, EndpointId id);
+  [[nodiscard]] Duration overdue_after(const PendingRequest& request, EndpointId id);
 
   /// Whether the request has attempts left, by the settings and its contract.
   [[nodiscard]] bool has_attempts_left(const PendingRequest& request) const;
@@ -46,10 +46,10 @@
                                        const EndpointState& endpoint) const;
 
   /// When an arriving request is given up.
-  [[nodiscard]] Nanos give_up_at(const PendingRequest& request) const;
+  [[nodiscard]] TimePoint give_up_at(const PendingRequest& request) const;
 
   /// The earliest retry after a primary rejected an attempt: a pause that doubles.
-  [[nodiscard]] Nanos retry_after_rejection(const PendingRequest& request) const;
+  [[nodiscard]] TimePoint retry_after_rejection(const PendingRequest& request) const;
 
   /// Whether an attempt that ended so may have had its effect without an answer.
   [[nodiscard]] static bool may_have_run(AttemptStatus status);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -25,7 +25,7 @@
       : state_(std::move(settings), seed), retries_(state_), scheduler_(state_, retries_),
         dispatcher_(state_, retries_, scheduler_), observer_(state_, retries_), updater_(state_) {}
 
-  void handle(Nanos now, const Event& event, std::vector<Action>& actions) {
+  void handle(TimePoint now, const Event& event, std::vector<Action>& actions) {
     state_.event.now = now;
     state_.event.actions = &actions;
     if (state_.timers.is_long_overdue(now))
@@ -41,7 +41,7 @@
     state_.event.actions = nullptr;
   }
 
-  bool is_attempt_allowed(Nanos now, const std::string& request_id, EndpointId endpoint_id) {
+  bool is_attempt_allowed(TimePoint now, const std::string& request_id, EndpointId endpoint_id) {
     state_.event.now = now;
     const PendingRequest* request = state_.requests.find(request_id);
     const EndpointState* endpoint = state_.endpoints.find(endpoint_id);
@@ -64,7 +64,7 @@
       return;
     PendingRequest& request = state_.requests.add(arrived);
     const RequestClass& request_class = state_.class_of(request);
-    const Nanos now = state_.event.now;
+    const TimePoint now = state_.event.now;
     request.arrived_at = now;
     request.objective_at = now + request_class.latency_objective;
     request.give_up_at = retries_.give_up_at(request);
@@ -125,7 +125,7 @@
   }
 
   void on(const TimerExpired&) {
-    const Nanos now = state_.event.now;
+    const TimePoint now = state_.event.now;
     state_.timers.record_expiry(now);
     while (const auto sequence = state_.timers.first_due(now))
       check_due_request(state_.requests.at(*sequence));
@@ -161,11 +161,11 @@
 Router::Router(Router&&) noexcept = default;
 Router& Router::operator=(Router&&) noexcept = default;
 
-void Router::handle(Nanos now, const Event& event, std::vector<Action>& actions) {
+void Router::handle(TimePoint now, const Event& event, std::vector<Action>& actions) {
   core_->handle(now, event, actions);
 }
 
-bool Router::is_attempt_allowed(Nanos now, const std::string& request_id, EndpointId endpoint) {
+bool Router::is_attempt_allowed(TimePoint now, const std::string& request_id, EndpointId endpoint) {
   return core_->is_attempt_allowed(now, request_id, endpoint);
 }
 
--- a/src/router/session_requirements.cpp
+++ b/src/router/session_requirements.cpp
@@ -7,14 +7,15 @@
 SessionRequirements::SessionRequirements(const Settings& settings)
     : settings_(settings), writes_(settings.responses_known_after) {}
 
-Nanos SessionRequirements::token_for(const Request& request, const RequestClass& request_class,
-                                     Nanos now) const {
+ReplicationPosition SessionRequirements::token_for(const Request& request,
+                                                   const RequestClass& request_class,
+                                                   TimePoint now) const {
   if (request_class.consistency != ConsistencyLevel::Session)
-    return kUnknown;
+    return kUnknownPosition;
   if (settings_.session_token_source == SessionTokenSource::Router)
-    return request.session ? writes_.required_position(*request.session, now) : kUnknown;
-  const Nanos age = request.session_token_age.value_or(0);
-  return age > 0 ? now - age : kUnknown;
+    return request.session ? writes_.required_position(*request.session, now) : kUnknownPosition;
+  const Duration age = request.session_token_age.value_or(Duration{});
+  return age > 0ns ? position_at(now - age) : kUnknownPosition;
 }
 
 bool SessionRequirements::remembers(const PendingRequest& request) const {
@@ -23,13 +24,14 @@
          settings_.session_token_source == SessionTokenSource::Router && request.request.session;
 }
 
-void SessionRequirements::record_start(const PendingRequest& request, Nanos now) {
+void SessionRequirements::record_start(const PendingRequest& request, TimePoint now) {
   if (remembers(request))
     writes_.begin_write(*request.request.session, now);
 }
 
 void SessionRequirements::record_end(const PendingRequest& request, const UpstreamAttempt& attempt,
-                                     const AttemptResult& result, bool may_have_run, Nanos now) {
+                                     const AttemptResult& result, bool may_have_run,
+                                     TimePoint now) {
   if (!remembers(request))
     return;
   WriteResult end = WriteResult::NotExecuted;
--- a/src/router/session_requirements.h
+++ b/src/router/session_requirements.h
@@ -13,16 +13,16 @@
 public:
   explicit SessionRequirements(const Settings& settings);
 
-  /// The position that a read which arrives now must see; kUnknown: any.
-  [[nodiscard]] Nanos token_for(const Request& request, const RequestClass& request_class,
-                                Nanos now) const;
+  /// The position that a read which arrives now must see; kUnknownPosition: any.
+  [[nodiscard]] ReplicationPosition
+  token_for(const Request& request, const RequestClass& request_class, TimePoint now) const;
 
   /// An attempt of the request starts.
-  void record_start(const PendingRequest& request, Nanos now);
+  void record_start(const PendingRequest& request, TimePoint now);
 
   /// An attempt ended; `may_have_run` says whether it may have run without an answer.
   void record_end(const PendingRequest& request, const UpstreamAttempt& attempt,
-                  const AttemptResult& result, bool may_have_run, Nanos now);
+                  const AttemptResult& result, bool may_have_run, TimePoint now);
 
 private:
   [[nodiscard]] bool remembers(const PendingRequest& request) const;
--- a/src/router/slow_start.cpp
+++ b/src/router/slow_start.cpp
@@ -4,11 +4,10 @@
 
 namespace gorsebeam::router {
 
-double slow_start_capacity(const EndpointState& endpoint, const Settings& settings, Nanos now) {
-  if (endpoint.warming_since == kUnknown || settings.slow_start_duration <= 0)
+double slow_start_capacity(const EndpointState& endpoint, const Settings& settings, TimePoint now) {
+  if (endpoint.warming_since == kUnknown || settings.slow_start_duration <= 0ns)
     return 1;
-  const double progress = static_cast<double>(now - endpoint.warming_since) /
-                          static_cast<double>(settings.slow_start_duration);
+  const double progress = ratio(now - endpoint.warming_since, settings.slow_start_duration);
   if (progress >= 1)
     return 1;
   const double initial = settings.slow_start_initial_capacity;
--- a/src/router/slow_start.h
+++ b/src/router/slow_start.h
@@ -8,6 +8,6 @@
 
 /// The fraction of its full capacity that the endpoint has now, in (0, 1].
 [[nodiscard]] double slow_start_capacity(const EndpointState& endpoint, const Settings& settings,
-                                         Nanos now);
+                                         TimePoint now);
 
 }  // namespace gorsebeam::router
--- a/src/router/time_points.h
+++ b/src/router/time_points.h
@@ -1,18 +1,14 @@
-/// Special points in time and units that the router's modules share.
+/// Special points in time that the router's modules share.
 #pragma once
 
-#include "gorsebeam/types.h"
-
-#include <limits>
+#include "gorsebeam/time.h"
 
 namespace gorsebeam::router {
 
-constexpr Nanos kMillisecond = 1'000'000;
-
-/// A point in time that does not come.
-constexpr Nanos kNever = std::numeric_limits<Nanos>::max();
+/// A point in time that is not known; before all others.
+constexpr TimePoint kUnknown = TimePoint::min();
 
-/// A position or a point in time that is not known; before all others.
-constexpr Nanos kUnknown = std::numeric_limits<Nanos>::min();
+/// A replication position that is not known; before all others.
+constexpr ReplicationPosition kUnknownPosition = ReplicationPosition::min();
 
 }  // namespace gorsebeam::router
--- a/src/session_tokens/session_writes.cpp
+++ b/src/session_tokens/session_writes.cpp
@@ -4,18 +4,21 @@
 
 namespace gorsebeam::session_tokens {
 
-void SessionWrites::begin_write(std::uint64_t session, Nanos now) {
+void SessionWrites::begin_write(std::uint64_t session, TimePoint now) {
   if (known_after_)
     in_flight_[session].insert(now);
 }
 
-void SessionWrites::complete_write(std::uint64_t session, Nanos started_at, WriteResult result,
-                                   std::optional<Nanos> commit_position, Nanos now) {
+void SessionWrites::complete_write(std::uint64_t session, TimePoint started_at, WriteResult result,
+                                   std::optional<ReplicationPosition> commit_position,
+                                   TimePoint now) {
   remove_in_flight(session, started_at);
   if (result == WriteResult::NotExecuted || (result == WriteResult::Unknown && !known_after_))
     return;
   // Without a known commit position the write was committed now at the latest.
-  const Nanos position = result == WriteResult::Unknown ? now : commit_position.value_or(now);
+  const ReplicationPosition position = result == WriteResult::Unknown
+                                           ? position_at(now)
+                                           : commit_position.value_or(position_at(now));
   const auto [entry, is_new] = positions_.try_emplace(session, position);
   if (is_new)
     sessions_by_age_.push_back(session);
@@ -23,7 +26,7 @@
   forget_oldest(now);
 }
 
-void SessionWrites::remove_in_flight(std::uint64_t session, Nanos started_at) {
+void SessionWrites::remove_in_flight(std::uint64_t session, TimePoint started_at) {
   const auto writes = in_flight_.find(session);
   if (writes == in_flight_.end())
     return;
@@ -34,13 +37,13 @@
     in_flight_.erase(writes);
 }
 
-void SessionWrites::forget_oldest(Nanos now) {
+void SessionWrites::forget_oldest(TimePoint now) {
   // Two steps a write bound the memory at a constant cost. A session that goes on writing keeps the
   // sessions behind it in the queue until there are more than kMaxSessions.
   constexpr int kStepsPerWrite = 2;
   for (int step = 0; step < kStepsPerWrite && !sessions_by_age_.empty(); ++step) {
     const auto oldest = positions_.find(sessions_by_age_.front());
-    if (oldest->second >= now - kRetention && sessions_by_age_.size() <= kMaxSessions)
+    if (oldest->second >= position_at(now - kRetention) && sessions_by_age_.size() <= kMaxSessions)
       return;
     forgotten_position_ = std::max(forgotten_position_, oldest->second);
     positions_.erase(oldest);
@@ -48,17 +51,18 @@
   }
 }
 
-Nanos SessionWrites::required_position(std::uint64_t session, Nanos now) const {
+ReplicationPosition SessionWrites::required_position(std::uint64_t session, TimePoint now) const {
   const auto found = positions_.find(session);
-  const Nanos completed = found == positions_.end() ? forgotten_position_ : found->second;
+  const ReplicationPosition completed =
+      found == positions_.end() ? forgotten_position_ : found->second;
   const auto writes = in_flight_.find(session);
   if (writes == in_flight_.end())
     return completed;
   // begin_write fills in_flight_ only where known_after_ has a value.
-  const Nanos known_until = now - known_after_.value_or(0);
+  const TimePoint known_until = now - known_after_.value_or(0ms);
   if (*writes->second.begin() >= known_until)
     return completed;
-  return std::max(completed, known_until);
+  return std::max(completed, position_at(known_until));
 }
 
 }  // namespace gorsebeam::session_tokens
--- a/src/session_tokens/session_writes.h
+++ b/src/session_tokens/session_writes.h
@@ -33,38 +33,39 @@
 class SessionWrites {
 public:
   /// The position of a session that has written nothing.
-  static constexpr Nanos kNoWrite = INT64_MIN;
+  static constexpr ReplicationPosition kNoWrite = ReplicationPosition::min();
   /// Sessions remembered; the oldest beyond them fold into one floor.
   static constexpr std::size_t kMaxSessions = 100'000;
   /// How long a session's position is kept at least: no replica in use lags further behind.
-  static constexpr Nanos kRetention = 60'000'000'000;
+  static constexpr Duration kRetention = 60s;
 
   /// `known_after`: how long after its start a write counts as known to the session, answered or
   /// not. Without a value a write counts only once its response came, and one that is in flight or
   /// ended without a response constrains no read.
-  explicit SessionWrites(std::optional<Nanos> known_after) : known_after_(known_after) {}
+  explicit SessionWrites(std::optional<Duration> known_after) : known_after_(known_after) {}
 
   /// Records an attempt of a write that starts at `now`.
-  void begin_write(std::uint64_t session, Nanos now);
+  void begin_write(std::uint64_t session, TimePoint now);
 
   /// Records the end of the attempt that began at `started_at`; each attempt ends once. Without a
   /// `commit_position` the write counts as committed at `now`.
-  void complete_write(std::uint64_t session, Nanos started_at, WriteResult result,
-                      std::optional<Nanos> commit_position, Nanos now);
+  void complete_write(std::uint64_t session, TimePoint started_at, WriteResult result,
+                      std::optional<ReplicationPosition> commit_position, TimePoint now);
 
   /// The position that a read of `session` at `now` must see; `kNoWrite` if it requires none. A
   /// forgotten session is held to the newest position that was forgotten.
-  [[nodiscard]] Nanos required_position(std::uint64_t session, Nanos now) const;
+  [[nodiscard]] ReplicationPosition required_position(std::uint64_t session, TimePoint now) const;
 
 private:
-  void remove_in_flight(std::uint64_t session, Nanos started_at);
-  void forget_oldest(Nanos now);
+  void remove_in_flight(std::uint64_t session, TimePoint started_at);
+  void forget_oldest(TimePoint now);
 
-  std::optional<Nanos> known_after_;
-  std::unordered_map<std::uint64_t, Nanos> positions_;  // by session; never iterated
-  std::deque<std::uint64_t> sessions_by_age_;           // in order of their first write
-  std::unordered_map<std::uint64_t, std::multiset<Nanos>> in_flight_;  // start times, by session
-  Nanos forgotten_position_ = kNoWrite;
+  std::optional<Duration> known_after_;
+  std::unordered_map<std::uint64_t, ReplicationPosition> positions_;  // by session; never iterated
+  std::deque<std::uint64_t> sessions_by_age_;  // in order of their first write
+  std::unordered_map<std::uint64_t, std::multiset<TimePoint>>
+      in_flight_;  // start times, by session
+  ReplicationPosition forgotten_position_ = kNoWrite;
 };
 
 }  // namespace gorsebeam::session_tokens
