--- a/src/settings/deployment_profile.cpp
+++ b/src/settings/deployment_profile.cpp
@@ -21,19 +21,19 @@
                                        {"mutate", ConsistencyLevel::Write}});
 }
 
-Nanos read_max_staleness(const JsonObjectReader& extra, const Json& bounds,
-                         rapidjson::SizeType index) {
+Duration read_max_staleness(const JsonObjectReader& extra, const Json& bounds,
+                            rapidjson::SizeType index) {
   if (index >= bounds.Size() || !bounds[index].IsInt64())
     extra.throw_invalid("lag_allowed", "a time for each class");
-  const Nanos max_staleness = bounds[index].GetInt64();
-  if (max_staleness < 0)
+  const Duration max_staleness(bounds[index].GetInt64());
+  if (max_staleness < 0ms)
     extra.throw_invalid("lag_allowed", "a time of zero or more for each class");
   return max_staleness;
 }
 
 void read_latency(const JsonObjectReader& entry, RequestClass& request_class) {
   request_class.latency_objective = entry.read_duration("aim");
-  if (request_class.latency_objective == 0)
+  if (request_class.latency_objective == 0ms)
     entry.throw_invalid("aim", "above zero");
   request_class.deadline = entry.read_duration("give_up");
   if (request_class.deadline < request_class.latency_objective)
@@ -50,7 +50,7 @@
                                           {{"all", DeduplicationScope::All},
                                            {"zone", DeduplicationScope::Zone},
                                            {"cell", DeduplicationScope::Group}});
-  request_class.deduplication_window = entry.read_duration("window", 0);
+  request_class.deduplication_window = entry.read_duration("window", 0ms);
 }
 
 /// The classes' consistency and staleness stand in lists of `extra`, in the classes' order.
@@ -98,7 +98,7 @@
   settings.router_count =
       static_cast<std::uint32_t>(profile.read_integer_in_range("balancers", 1, kMaxRouters, 1));
   settings.zone = profile.read_string("locality", "");
-  settings.clock_resolution = profile.read_duration("tick", 1);
+  settings.clock_resolution = profile.read_duration("tick", 1ns);
 }
 
 void read_discovery(const JsonObjectReader& profile, const JsonObjectReader& extra,
@@ -106,7 +106,7 @@
   settings.discovery_mode = profile.read_enum<DiscoveryMode>(
       "discovery", "automatic",
       {{"automatic", DiscoveryMode::Push}, {"subscribe", DiscoveryMode::Poll}});
-  settings.max_list_age = obligations.read_duration("must_ask_in", 0);
+  settings.max_list_age = obligations.read_duration("must_ask_in", 0ms);
   settings.listed_role = extra.read_enum<ListedRole>("list_role", "none",
                                                      {{"none", ListedRole::None},
                                                       {"static", ListedRole::AtStart},
@@ -121,7 +121,7 @@
                                                              {{"none", StalenessCheck::None},
                                                               {"bounce", StalenessCheck::Reject},
                                                               {"await", StalenessCheck::Wait}});
-  settings.staleness_check_timeout = extra.read_duration("wait", 0);
+  settings.staleness_check_timeout = extra.read_duration("wait", 0ms);
 }
 
 void read_load_reports(const JsonObjectReader& profile, Settings& settings) {
@@ -158,21 +158,21 @@
   settings.cancellation_allowed = limits.read_bool("cancel");
   settings.hedging_allowed = limits.read_bool("parallel_tries");
   settings.retry_after_allowed = limits.read_bool("retry_after");
-  settings.max_retry_after = limits.read_duration("max_retry_after", 0);
+  settings.max_retry_after = limits.read_duration("max_retry_after", 0ms);
   settings.max_attempts =
       static_cast<std::uint32_t>(limits.read_integer_in_range("send_cap", 1, kMaxAttempts, 1));
-  settings.connect_timeout = limits.read_duration("dial_timeout", 0);
+  settings.connect_timeout = limits.read_duration("dial_timeout", 0ms);
 }
 
 void read_obligations(const JsonObjectReader& obligations, Settings& settings) {
-  settings.response_slack = obligations.read_duration("answer_slack", 0);
-  settings.drain_grace = obligations.read_duration("drain_grace", 0);
+  settings.response_slack = obligations.read_duration("answer_slack", 0ms);
+  settings.drain_grace = obligations.read_duration("drain_grace", 0ms);
   settings.only_draining_is_binding = obligations.read_bool("only_draining_binds");
-  settings.slow_start_duration = obligations.read_duration("cold", 0);
+  settings.slow_start_duration = obligations.read_duration("cold", 0ms);
   settings.slow_start_initial_capacity = obligations.read_non_negative("cold_from", 1);
   if (settings.slow_start_initial_capacity <= 0 || settings.slow_start_initial_capacity > 1)
     obligations.throw_invalid("cold_from", "above zero and at most one");
-  settings.overload_duration = obligations.read_duration("fall", 0);
+  settings.overload_duration = obligations.read_duration("fall", 0ms);
   settings.overload_factor = obligations.read_non_negative("fall_multiple", 1);
 }
 
@@ -194,8 +194,8 @@
   read_health_checks(profile, limits, settings);
   read_attempt_limits(limits, settings);
   read_obligations(obligations, settings);
-  result.replication_epoch = extra.read_integer("zero", 0);
-  result.keepalive = limits.read_duration("keepalive", 0);
+  result.replication_epoch = ReplicationPosition(Duration(extra.read_integer("zero", 0)));
+  result.keepalive = limits.read_duration("keepalive", 0ms);
   return result;
 }
 
--- a/src/settings/deployment_profile.h
+++ b/src/settings/deployment_profile.h
@@ -17,8 +17,9 @@
   Settings settings;                           ///< of the router
   std::map<std::string, std::size_t> classes;  ///< index in `settings.classes` by name
   std::map<std::string, std::size_t> tenants;  ///< index in `settings.tenants` by name
-  Nanos replication_epoch = 0;  ///< the simulator's replication positions count from here
-  Nanos keepalive = 0;          ///< an endpoint closes a connection that is idle this long
+  ReplicationPosition
+      replication_epoch{};  ///< the simulator's replication positions count from here
+  Duration keepalive{};     ///< an endpoint closes a connection that is idle this long
 };
 
 /// Translates the settings' names and words. Throws FormatError on the first field at fault.
--- a/src/settings/json_object_reader.h
+++ b/src/settings/json_object_reader.h
@@ -1,6 +1,8 @@
 /// Typed access to the fields of a JSON object, with messages that name the field at fault.
 #pragma once
 
+#include "gorsebeam/time.h"
+
 #include <rapidjson/document.h>
 
 #include <cmath>
@@ -103,15 +105,15 @@
     return static_cast<std::uint32_t>(read_integer_in_range(name, 0, kMaxUint32, 0));
   }
 
-  /// Nanoseconds, at most eleven days: sums of a few cannot overflow.
-  [[nodiscard]] std::int64_t read_duration(const char* name, std::int64_t fallback) const {
-    constexpr std::int64_t kMaxDuration = 1'000'000'000'000'000;
-    return read_integer_in_range(name, 0, kMaxDuration, fallback);
+  /// A number of nanoseconds, at most eleven days: sums of a few cannot overflow.
+  [[nodiscard]] Duration read_duration(const char* name, Duration fallback) const {
+    constexpr Duration kMaxDuration = 1'000'000s;
+    return Duration(read_integer_in_range(name, 0, kMaxDuration.count(), fallback.count()));
   }
 
-  [[nodiscard]] std::int64_t read_duration(const char* name) const {
+  [[nodiscard]] Duration read_duration(const char* name) const {
     static_cast<void>(require(name));
-    return read_duration(name, 0);
+    return read_duration(name, 0ms);
   }
 
   [[nodiscard]] double read_number(const char* name, double fallback) const {
--- a/src/settings/validation.cpp
+++ b/src/settings/validation.cpp
@@ -12,9 +12,9 @@
 
 void validate_class(const RequestClass& request_class) {
   const std::string path = "classes." + request_class.name;
-  if (request_class.latency_objective <= 0)
+  if (request_class.latency_objective <= 0ms)
     throw_invalid(path + ".aim is not above zero");
-  if (request_class.max_staleness < 0)
+  if (request_class.max_staleness < 0ms)
     throw_invalid(path + ".bound is below zero");
   if (request_class.deadline < request_class.latency_objective)
     throw_invalid(path + ".deadline is before its aim");
--- a/src/simulator_adapter/action_writer.cpp
+++ b/src/simulator_adapter/action_writer.cpp
@@ -63,7 +63,7 @@
   void operator()(const StartAttempt& start) const {
     LineBuilder line(reply_, "CALL_OUT", router_id_);
     line.add_string("op_id", start.request_id);
-    line.add_integer("give_up_after", start.timeout);
+    line.add_integer("give_up_after", start.timeout.count());
     line.add_integer("node", start.endpoint);
   }
 
@@ -80,8 +80,8 @@
   void operator()(const RejectRequest& reject) const {
     LineBuilder line(reply_, "BUSY", router_id_);
     line.add_string("op_id", reject.request_id);
-    if (reject.retry_after > 0)
-      line.add_integer("hold_off", reject.retry_after);
+    if (reject.retry_after > 0ms)
+      line.add_integer("hold_off", reject.retry_after.count());
   }
 
   void operator()(const FailRequest& fail) const {
@@ -91,7 +91,7 @@
   void operator()(const SetTimer& timer) const {
     LineBuilder line(reply_, "SET_ALARM", router_id_);
     line.add_integer("token", 0);
-    line.add_integer("moment", timer.at);
+    line.add_integer("moment", timer.at.time_since_epoch().count());
   }
 
   void operator()(const WatchEndpoints& /*watch*/) const {
--- a/src/simulator_adapter/event_reader.cpp
+++ b/src/simulator_adapter/event_reader.cpp
@@ -12,7 +12,7 @@
 using settings::Json;
 using settings::JsonObjectReader;
 
-constexpr Nanos kNanosPerMillisecond = 1'000'000;
+constexpr double kNanosPerMillisecond = 1e6;
 constexpr double kNanosPerSecond = 1e9;
 
 AttemptStatus read_status(const JsonObjectReader& body) {
@@ -37,7 +37,7 @@
 }
 
 /// Positions in a report are seconds after `epoch`.
-LoadReport read_load_report(const JsonObjectReader& body, Nanos epoch) {
+LoadReport read_load_report(const JsonObjectReader& body, ReplicationPosition epoch) {
   LoadReport result;
   const Json* report = body.find("report");
   if (!report)
@@ -45,8 +45,7 @@
   if (!report->IsObject())
     throw WireError("the field 'report' is not an object");
   if (const auto position = read_report_value(*report, "x0"))
-    result.replication_position =
-        epoch + static_cast<Nanos>(std::floor(*position * kNanosPerSecond));
+    result.replication_position = epoch + to_duration(std::floor(*position * kNanosPerSecond));
   if (const auto primary = read_report_value(*report, "x1"))
     result.is_primary = *primary > 0.5;
   return result;
@@ -54,7 +53,7 @@
 
 /// A mark holds the endpoint's role in its last two bits, and above them its replication position
 /// in milliseconds after the epoch; 0 for unknown.
-void read_mark(const JsonObjectReader& body, Nanos epoch, AttemptResult& result) {
+void read_mark(const JsonObjectReader& body, ReplicationPosition epoch, AttemptResult& result) {
   constexpr std::int64_t kRoles = 4;
   constexpr std::int64_t kPrimary = 1;
   constexpr std::int64_t kReplica = 2;
@@ -70,7 +69,7 @@
     result.role = Role::Unknown;
   const std::int64_t position_ms = mark / kRoles;
   if (position_ms > 0)
-    result.replication_position = epoch + position_ms * kNanosPerMillisecond;
+    result.replication_position = epoch + std::chrono::milliseconds(position_ms);
 }
 
 EndpointList read_endpoint_list(const JsonObjectReader& body, const EndpointBuffers& buffers) {
@@ -99,33 +98,33 @@
   }
   if (body.find("session"))
     request.session = static_cast<std::uint64_t>(body.read_integer("session"));
-  request.deadline = body.read_integer("valid_until");
+  request.deadline = TimePoint(Duration(body.read_integer("valid_until")));
   request.group = body.read_uint32("partition_no");
   if (body.find("token_ms"))
-    request.session_token_age =
-        static_cast<Nanos>(body.read_number("token_ms", 0) * kNanosPerMillisecond);
+    request.session_token_age = to_duration(body.read_number("token_ms", 0) * kNanosPerMillisecond);
   request.is_client_retry = body.read_bool("repeat");
   return request;
 }
 
-AttemptResult read_attempt_result(const JsonObjectReader& body, Nanos epoch) {
+AttemptResult read_attempt_result(const JsonObjectReader& body, ReplicationPosition epoch) {
   AttemptResult result;
   result.request_id = body.read_string("op_id");
   result.attempt = static_cast<std::uint32_t>(body.read_integer("try", 0));
   result.endpoint = body.read_uint32("node");
   result.status = read_status(body);
   result.request_finished = body.read_bool("closed");
-  result.elapsed = body.read_integer("delay_seen", 0);
+  result.elapsed = Duration(body.read_integer("delay_seen", 0));
   read_mark(body, epoch, result);
   result.load_report = read_load_report(body, epoch);
   return result;
 }
 
-HealthCheckResult read_health_check_result(const JsonObjectReader& body, Nanos epoch) {
+HealthCheckResult read_health_check_result(const JsonObjectReader& body,
+                                           ReplicationPosition epoch) {
   HealthCheckResult result;
   result.endpoint = body.read_uint32("node");
   result.succeeded = read_status(body) == AttemptStatus::Ok;
-  result.elapsed = body.read_integer("delay_seen", 0);
+  result.elapsed = Duration(body.read_integer("delay_seen", 0));
   result.load_report = read_load_report(body, epoch);
   return result;
 }
@@ -138,7 +137,7 @@
   endpoint.status = entry.read_enum<EndpointStatus>("mode", {{"up", EndpointStatus::Up},
                                                              {"draining", EndpointStatus::Draining},
                                                              {"removed", EndpointStatus::Removed}});
-  endpoint.started_at = entry.read_integer("started_at", 0);
+  endpoint.started_at = TimePoint(Duration(entry.read_integer("started_at", 0)));
   endpoint.listed_as_primary = entry.read_integer("primary", 0) == 1;
   endpoint.weight = entry.read_number("size", 1);
   return endpoint;
--- a/src/simulator_adapter/session.cpp
+++ b/src/simulator_adapter/session.cpp
@@ -54,7 +54,7 @@
 void Session::begin_batch(const JsonObjectReader& body) {
   if (is_inside_batch_)
     throw WireError("TURN inside a batch");
-  const Nanos now = body.read_integer("time");
+  const TimePoint now(Duration(body.read_integer("time")));
   if (now < now_)
     throw WireError("TURN: the clock went back");
   now_ = now;
--- a/src/simulator_adapter/session.h
+++ b/src/simulator_adapter/session.h
@@ -34,7 +34,7 @@
                              std::string& reply);
 
   bool is_inside_batch_ = false;
-  Nanos now_ = 0;
+  TimePoint now_{};
   std::map<std::int64_t, Instance> instances_;  // by the simulator's number of the router
   EndpointBuffers endpoint_buffers_;
   std::vector<Action> actions_;  // empty between events; a member to save allocations
--- a/src/snapshot_store/snapshot_codec.cpp
+++ b/src/snapshot_store/snapshot_codec.cpp
@@ -20,7 +20,6 @@
 constexpr std::string_view kMagic = "gorsebeam state\n";
 constexpr std::size_t kChecksumSize = 8;
 constexpr std::size_t kHeaderSize = kMagic.size() + kChecksumSize;
-constexpr std::int64_t kNanosPerMs = 1'000'000;
 
 std::string checksum(const char* bytes, std::size_t size) {
   XXH64_canonical_t canonical;
@@ -47,7 +46,7 @@
   accepted.running.version = part.version();
   accepted.running.source = part.source();
   accepted.running.generation = part.generation();
-  accepted.running.accepted_at = part.accepted_unix_ms() * kNanosPerMs;
+  accepted.running.accepted_at = TimePoint(std::chrono::milliseconds(part.accepted_unix_ms()));
   accepted.newest_generation = std::max(part.newest(), part.generation());
   return std::optional<AcceptedVersion>(std::move(accepted));
 }
@@ -59,7 +58,7 @@
   part.set_held(true);
   part.set_version(accepted.running.version);
   part.set_source(accepted.running.source);
-  part.set_accepted_unix_ms(accepted.running.accepted_at / kNanosPerMs);
+  part.set_accepted_unix_ms(accepted.running.accepted_at.time_since_epoch() / 1ms);
   part.set_generation(accepted.running.generation);
   part.set_newest(accepted.newest_generation);
   return true;
--- a/tests/connection_admission_test.cpp
+++ b/tests/connection_admission_test.cpp
@@ -5,21 +5,20 @@
 namespace gorsebeam::connection_admission {
 namespace {
 
-constexpr Nanos kMillisecond = 1'000'000;
-constexpr Nanos kNow = 100'000 * kMillisecond;
+constexpr TimePoint kNow(100s);
 using Order = std::vector<std::size_t>;
 
-IdleConnection idle_for(Nanos milliseconds, std::size_t index, std::size_t answered_requests) {
-  return {index, kNow - milliseconds * kMillisecond, answered_requests};
+IdleConnection idle_for(Duration idle_time, std::size_t index, std::size_t answered_requests) {
+  return {index, kNow - idle_time, answered_requests};
 }
 
 TEST(ConnectionAdmission, ReplacesUnusedThenLongestIdleAndNoneThatMovedWithin50Ms) {
-  const std::vector<IdleConnection> idle = {idle_for(900, 0, 2), idle_for(60, 1, 0),
-                                            idle_for(49, 2, 0), idle_for(3000, 3, 1),
-                                            idle_for(50, 4, 0)};
+  const std::vector<IdleConnection> idle = {idle_for(900ms, 0, 2), idle_for(60ms, 1, 0),
+                                            idle_for(49ms, 2, 0), idle_for(3000ms, 3, 1),
+                                            idle_for(50ms, 4, 0)};
 
   EXPECT_EQ(rank_replaceable(idle, kNow), (Order{1, 4, 3, 0}));
-  EXPECT_TRUE(rank_replaceable({idle_for(10, 0, 1)}, kNow).empty());
+  EXPECT_TRUE(rank_replaceable({idle_for(10ms, 0, 1)}, kNow).empty());
 }
 
 /// The connections that a caller closes, in order, when `connected` of `max_connections` are open.
@@ -36,8 +35,8 @@
 }
 
 TEST(ConnectionAdmission, RetiresConnectionsUsedOnceAboveHalfOfTheCapacity) {
-  const std::vector<IdleConnection> idle = {idle_for(1500, 0, 2), idle_for(300, 1, 1),
-                                            idle_for(400, 2, 1), idle_for(99, 3, 1)};
+  const std::vector<IdleConnection> idle = {idle_for(1500ms, 0, 2), idle_for(300ms, 1, 1),
+                                            idle_for(400ms, 2, 1), idle_for(99ms, 3, 1)};
 
   EXPECT_EQ(retired(idle, 53, 100), (Order{2, 1}));
   EXPECT_EQ(retired(idle, 51, 100), (Order{2}));
@@ -45,14 +44,14 @@
 }
 
 TEST(ConnectionAdmission, RetiresLongIdleAboveAQuarterAndUnusedAtFullCapacity) {
-  const std::vector<IdleConnection> idle = {idle_for(2050, 0, 2), idle_for(2049, 1, 2),
-                                            idle_for(200, 2, 0), idle_for(199, 3, 0)};
+  const std::vector<IdleConnection> idle = {idle_for(2050ms, 0, 2), idle_for(2049ms, 1, 2),
+                                            idle_for(200ms, 2, 0), idle_for(199ms, 3, 0)};
 
   EXPECT_EQ(retired(idle, 26, 100), (Order{0}));
   EXPECT_EQ(retired(idle, 25, 100), Order{});
   EXPECT_EQ(retired(idle, 100, 100), (Order{2, 0}));
-  EXPECT_EQ(retirement_interval(51, 100), 50 * kMillisecond);
-  EXPECT_EQ(retirement_interval(50, 100), 200 * kMillisecond);
+  EXPECT_EQ(retirement_interval(51, 100), 50ms);
+  EXPECT_EQ(retirement_interval(50, 100), 200ms);
 }
 
 }  // namespace
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -60,7 +60,7 @@
 }
 
 proxy::ListedEndpoint endpoint(const std::string& name, EndpointStatus status,
-                               Nanos started_at = 0) {
+                               TimePoint started_at = {}) {
   proxy::ListedEndpoint listed;
   listed.name = name;
   listed.endpoint.status = status;
@@ -102,8 +102,8 @@
   EXPECT_EQ(news_of(filter, 44, false, {endpoint("a", kDraining)}), "");
   EXPECT_EQ(news_of(filter, 45, false, {endpoint("a", kRemoved)}),
             " a-");  // repeated, it is the same
-  EXPECT_EQ(news_of(filter, 46, false, {endpoint("a", kUp, 7)}), " a+");
-  EXPECT_EQ(news_of(filter, 47, true, {endpoint("a", kUp, 7)}), "all a+");
+  EXPECT_EQ(news_of(filter, 46, false, {endpoint("a", kUp, TimePoint(7ns))}), " a+");
+  EXPECT_EQ(news_of(filter, 47, true, {endpoint("a", kUp, TimePoint(7ns))}), "all a+");
   EXPECT_EQ(news_of(filter, 46, false, {endpoint("c", kUp)}), "");  // a newer list left c out
   EXPECT_EQ(filter.revision(), 47);
 }
@@ -112,24 +112,26 @@
   for (const bool address_changed : {true, false}) {
     RevisionFilter filter;
     news_of(filter, 40, true,
-            {endpoint("a", kDraining, 5), endpoint("b", kDraining, 5), endpoint("c", kUp),
-             endpoint("d", kUp)},
+            {endpoint("a", kDraining, TimePoint(5ns)), endpoint("b", kDraining, TimePoint(5ns)),
+             endpoint("c", kUp), endpoint("d", kUp)},
             ListOrder::FirstOfWatch);
     EXPECT_EQ(news_of(filter, 41, false, {endpoint("d", kRemoved)}), " d-");
     EXPECT_EQ(news_of(filter, 42, true,
-                      {endpoint("a", kDraining, 5), endpoint("b", kDraining, 5),
-                       endpoint("d", kRemoved)}),
+                      {endpoint("a", kDraining, TimePoint(5ns)),
+                       endpoint("b", kDraining, TimePoint(5ns)), endpoint("d", kRemoved)}),
               "all a~ b~ d-");  // c is left out
     if (address_changed)
       filter.start_new_epoch();
     EXPECT_EQ(news_of(filter, 7, true,
-                      {endpoint("a", kUp, 5), endpoint("b", kUp, 6), endpoint("c", kUp),
-                       endpoint("d", kUp)},
+                      {endpoint("a", kUp, TimePoint(5ns)), endpoint("b", kUp, TimePoint(6ns)),
+                       endpoint("c", kUp), endpoint("d", kUp)},
                       ListOrder::FirstOfWatch),
               "all a~ b+ c+ d-");
     EXPECT_EQ(filter.revision(), 7);
-    EXPECT_EQ(news_of(filter, 7, true, {endpoint("a", kUp, 5)}), "all a~");  // not a later list
-    EXPECT_EQ(news_of(filter, 8, false, {endpoint("a", kUp, 5), endpoint("d", kUp)}), " a+ d+");
+    EXPECT_EQ(news_of(filter, 7, true, {endpoint("a", kUp, TimePoint(5ns))}),
+              "all a~");  // not a later list
+    EXPECT_EQ(news_of(filter, 8, false, {endpoint("a", kUp, TimePoint(5ns)), endpoint("d", kUp)}),
+              " a+ d+");
   }
 }
 
--- a/tests/embedding/example.cpp
+++ b/tests/embedding/example.cpp
@@ -1,16 +1,17 @@
 #include <gorsebeam/router.h>
 
+#include <chrono>
 #include <iostream>
 #include <variant>
 #include <vector>
 
 int main() {
-  constexpr gorsebeam::Nanos kMillisecond = 1'000'000;
+  using namespace std::chrono_literals;
   gorsebeam::Settings settings;
   gorsebeam::RequestClass read;
   read.name = "read";
-  read.latency_objective = 200 * kMillisecond;
-  read.deadline = 800 * kMillisecond;
+  read.latency_objective = 200ms;
+  read.deadline = 800ms;
   settings.classes.push_back(read);
   settings.max_attempts = 3;
   gorsebeam::Router router(settings, 1);
@@ -21,17 +22,17 @@
   gorsebeam::Endpoint replica;
   replica.id = 7;
   list.endpoints.push_back(replica);
-  router.handle(0, list, actions);
+  router.handle(gorsebeam::TimePoint{}, list, actions);
   gorsebeam::HealthCheckResult health_check;
   health_check.endpoint = 7;
   health_check.succeeded = true;
-  router.handle(1 * kMillisecond, health_check, actions);
+  router.handle(gorsebeam::TimePoint(1ms), health_check, actions);
 
   actions.clear();
   gorsebeam::Request request;
   request.id = "first";
-  request.deadline = 802 * kMillisecond;
-  router.handle(2 * kMillisecond, request, actions);
+  request.deadline = gorsebeam::TimePoint(802ms);
+  router.handle(gorsebeam::TimePoint(2ms), request, actions);
   for (const gorsebeam::Action& action : actions) {
     if (const auto* attempt = std::get_if<gorsebeam::StartAttempt>(&action))
       std::cout << "send " << attempt->request_id << " to " << attempt->endpoint << '\n';
@@ -40,6 +41,6 @@
   result.request_id = "first";
   result.endpoint = 7;
   result.request_finished = true;
-  router.handle(20 * kMillisecond, result, actions);
+  router.handle(gorsebeam::TimePoint(20ms), result, actions);
   return std::holds_alternative<gorsebeam::StartAttempt>(actions.front()) ? 0 : 1;
 }
--- a/tests/fault_soak/gateway_under_test.cpp
+++ b/tests/fault_soak/gateway_under_test.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr std::int64_t kHeartbeatInterval = 500'000'000;
+constexpr std::chrono::milliseconds kHeartbeatInterval(500);
 constexpr const char* kListening = "protocol=PostgreSQL address=";
 
 std::string service_class(const char* name, const char* effect, int aim_ms, int deadline_ms) {
--- a/tests/fault_soak/world.cpp
+++ b/tests/fault_soak/world.cpp
@@ -16,7 +16,6 @@
 
 namespace {
 
-constexpr std::int64_t kNanosPerMillisecond = 1'000'000;
 constexpr Millis kDeduplicationWindow = 1000;
 constexpr Millis kEndOfAnswers = 4000;  // beyond each deadline, after the faults
 
@@ -88,7 +87,7 @@
     timers_.erase(place);
     action();
   });
-  (*place)->after(delay * kNanosPerMillisecond);
+  (*place)->after(std::chrono::milliseconds(delay));
 }
 
 void World::log_fault(const std::string& name, const std::string& detail) {
@@ -184,7 +183,7 @@
 void World::run_loop_until(const std::function<bool()>& condition) {
   Timer wake([] {});
   while (!condition()) {
-    wake.after(20 * kNanosPerMillisecond);
+    wake.after(std::chrono::milliseconds(20));
     g_main_context_iteration(nullptr, TRUE);
     const Millis begun = now_ms();
     while (g_main_context_iteration(nullptr, FALSE) != FALSE && now_ms() - begun < 5) {
--- a/tests/fleet/event_digest.cpp
+++ b/tests/fleet/event_digest.cpp
@@ -16,8 +16,8 @@
     add_number(static_cast<unsigned char>(byte));
 }
 
-void EventDigest::add_event(raft::Nanos now, int node) {
-  add(now);
+void EventDigest::add_event(TimePoint now, int node) {
+  add(now.time_since_epoch().count());
   add(node);
 }
 
--- a/tests/fleet/event_digest.h
+++ b/tests/fleet/event_digest.h
@@ -24,7 +24,7 @@
 
   void add(const std::string& text);
   /// The start of an event: when it happens and at which node.
-  void add_event(raft::Nanos now, int node);
+  void add_event(TimePoint now, int node);
   void add(const raft::Action& action);
   void add(const leases::ManagerAction& action);
   void add(const leases::ClientAction& action);
--- a/tests/fleet/fault_script.cpp
+++ b/tests/fleet/fault_script.cpp
@@ -59,13 +59,14 @@
     return static_cast<int>(random_() % static_cast<std::uint64_t>(limit));
   }
 
-  void add(Nanos at, FaultKind kind, int gateway, int peer = 0) {
+  void add(TimePoint at, FaultKind kind, int gateway, int peer = 0) {
     script_.faults.push_back({at, kind, gateway, peer});
   }
 
   void add_random_fault() {
-    const Nanos at = (1 + draw_below(5500)) * kMillisecond;
-    const Nanos end = std::min(at + (1 + draw_below(4000)) * kMillisecond, kFaultsEnd);
+    const TimePoint at(std::chrono::milliseconds(1 + draw_below(5500)));
+    const TimePoint end =
+        std::min(at + std::chrono::milliseconds(1 + draw_below(4000)), kFaultsEnd);
     const int gateway = draw_below(script_.gateways);
     const int peer = draw_below(script_.gateways);
     switch (draw_below(7)) {
@@ -93,7 +94,7 @@
   }
 
   // Odd seeds cut the gateway from one peer, even seeds from all; each return path by chance.
-  void add_cuts(Nanos at, Nanos end, int gateway, int peer) {
+  void add_cuts(TimePoint at, TimePoint end, int gateway, int peer) {
     for (int other = 0; other < script_.gateways; ++other) {
       if (other == gateway || (other != peer && script_.seed % 2 == 1))
         continue;
@@ -107,12 +108,12 @@
   }
 
   // At most one state is lost: what a majority has lost cannot be recovered.
-  void add_wipe(Nanos at, int gateway) {
+  void add_wipe(TimePoint at, int gateway) {
     if (gateway >= script_.voters || has_wipe_)
       return;
     has_wipe_ = true;
     add(at, FaultKind::Wipe, gateway);
-    add(at + 300 * kMillisecond, FaultKind::Start, gateway);
+    add(at + 300ms, FaultKind::Start, gateway);
   }
 
   std::mt19937_64 random_;
@@ -129,8 +130,8 @@
 void print_fault_script(const FaultScript& script, std::ostream& out) {
   out << "seed " << script.seed << ' ' << script.voters << ' ' << script.gateways << '\n';
   for (const Fault& fault : script.faults)
-    out << fault.at / kMillisecond << ' ' << name_of(fault.kind) << ' ' << fault.gateway << ' '
-        << fault.peer << '\n';
+    out << fault.at.time_since_epoch() / 1ms << ' ' << name_of(fault.kind) << ' ' << fault.gateway
+        << ' ' << fault.peer << '\n';
 }
 
 std::optional<FaultScript> read_fault_script(std::istream& in) {
@@ -140,11 +141,12 @@
   if (!in || word != "seed")
     return std::nullopt;
   Fault fault;
-  while (in >> fault.at >> word >> fault.gateway >> fault.peer) {
+  std::int64_t milliseconds = 0;
+  while (in >> milliseconds >> word >> fault.gateway >> fault.peer) {
     const std::optional<FaultKind> kind = parse_fault_kind(word);
     if (!kind)
       return std::nullopt;
-    fault.at *= kMillisecond;
+    fault.at = TimePoint(std::chrono::milliseconds(milliseconds));
     fault.kind = *kind;
     script.faults.push_back(fault);
   }
--- a/tests/fleet/fault_script.h
+++ b/tests/fleet/fault_script.h
@@ -11,9 +11,9 @@
 
 namespace gorsebeam::simulation {
 
-constexpr Nanos kLeaseDuration = kSecond;
-constexpr Nanos kFaultsEnd = 6 * kSecond;
-constexpr Nanos kRunEnd = kFaultsEnd + 8 * kLeaseDuration;
+constexpr Duration kLeaseDuration = 1s;
+constexpr TimePoint kFaultsEnd{6s};
+constexpr TimePoint kRunEnd = kFaultsEnd + 8 * kLeaseDuration;
 
 enum class FaultKind {
   Kill,
@@ -28,7 +28,7 @@
 };
 
 struct Fault {
-  Nanos at = 0;
+  TimePoint at{};
   FaultKind kind = FaultKind::Kill;
   int gateway = 0;
   int peer = 0;  ///< Of Cut and Heal.
--- a/tests/fleet/history_checker.cpp
+++ b/tests/fleet/history_checker.cpp
@@ -28,7 +28,8 @@
                         " both have a valid token of " + role);
 }
 
-void HistoryChecker::record_action(Nanos now, const std::string& role, leases::FencingToken token) {
+void HistoryChecker::record_action(TimePoint now, const std::string& role,
+                                   leases::FencingToken token) {
   ++actions_;
   LastAction& last = last_actions_[role];
   if (token < last.token)
@@ -38,7 +39,7 @@
   last = {token, now};
 }
 
-void HistoryChecker::check_progress(const std::string& role, Nanos since) const {
+void HistoryChecker::check_progress(const std::string& role, TimePoint since) const {
   const auto last = last_actions_.find(role);
   if (last == last_actions_.end() || last->second.at < since)
     throw RuleViolation("progress: nobody does " + role);
--- a/tests/fleet/history_checker.h
+++ b/tests/fleet/history_checker.h
@@ -32,20 +32,20 @@
   /// Mutual exclusion: at most one gateway has a valid token of a role at a time.
   static void check_exclusive(const std::string& role, const std::vector<std::string>& holders);
   /// Fencing: an action was accepted under a token no lower than any before it.
-  void record_action(Nanos now, const std::string& role, leases::FencingToken token);
+  void record_action(TimePoint now, const std::string& role, leases::FencingToken token);
   /// Liveness: the role was acted under since that time.
-  void check_progress(const std::string& role, Nanos since) const;
+  void check_progress(const std::string& role, TimePoint since) const;
 
   [[nodiscard]] std::uint64_t actions() const { return actions_; }
 
   /// For each change of holder, the time from the last action under one token to the first under
   /// the next.
-  [[nodiscard]] const std::vector<Nanos>& handover_times() const { return handover_times_; }
+  [[nodiscard]] const std::vector<Duration>& handover_times() const { return handover_times_; }
 
 private:
   struct LastAction {
     leases::FencingToken token = 0;
-    Nanos at = 0;
+    TimePoint at{};
   };
 
   std::map<raft::Term, int> leaders_;
@@ -53,7 +53,7 @@
   std::map<raft::Index, std::string> states_;
   std::map<std::string, LastAction> last_actions_;  ///< By role.
   std::uint64_t actions_ = 0;
-  std::vector<Nanos> handover_times_;
+  std::vector<Duration> handover_times_;
 };
 
 }  // namespace gorsebeam::simulation
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -35,7 +35,7 @@
 struct Totals {
   std::uint64_t actions = 0;
   std::uint64_t rejected_actions = 0;
-  std::vector<Nanos> handover_times;
+  std::vector<Duration> handover_times;
 
   void add(const Totals& other) {
     actions += other.actions;
@@ -58,12 +58,12 @@
   return std::nullopt;
 }
 
-double to_milliseconds(Nanos time) {
-  return static_cast<double>(time) / static_cast<double>(kMillisecond);
+double to_milliseconds(Duration time) {
+  return ratio(time, 1ms);
 }
 
 /// In milliseconds; 0 if there are no times. `sorted_times` is in ascending order.
-double percentile(const std::vector<Nanos>& sorted_times, double share) {
+double percentile(const std::vector<Duration>& sorted_times, double share) {
   if (sorted_times.empty())
     return 0;
   const auto last = static_cast<double>(sorted_times.size() - 1);
@@ -110,7 +110,7 @@
   script.gateways = std::max(kVoters, gateways);
   SimulatedFleet fleet(script, Mutant::None);
   fleet.run();
-  const double seconds = static_cast<double>(kRunEnd) / static_cast<double>(kSecond);
+  const double seconds = ratio(kRunEnd.time_since_epoch(), 1s);
   const double of_leader = static_cast<double>(fleet.messages_of_leader()) / seconds;
   const double of_others = static_cast<double>(fleet.messages_of_others()) / seconds;
   std::cout << script.gateways << " gateways, " << kVoters << " voters, lease " << std::fixed
@@ -134,7 +134,7 @@
 }
 
 void print_totals(std::uint64_t seeds, Totals totals) {
-  std::vector<Nanos>& times = totals.handover_times;
+  std::vector<Duration>& times = totals.handover_times;
   std::sort(times.begin(), times.end());
   std::cout << seeds << " seeds: every rule held; " << totals.actions << " actions, "
             << totals.rejected_actions << " rejected by their token; " << times.size()
--- a/tests/fleet/process.cpp
+++ b/tests/fleet/process.cpp
@@ -26,7 +26,7 @@
     schedule(queue_.now(), callback);
 }
 
-void Process::schedule(Nanos at, Callback callback) {
+void Process::schedule(TimePoint at, Callback callback) {
   queue_.schedule(at, [this, incarnation = incarnation_, callback = std::move(callback)] {
     if (!is_alive_ || incarnation_ != incarnation)
       return;
--- a/tests/fleet/process.h
+++ b/tests/fleet/process.h
@@ -25,7 +25,7 @@
 
   /// Runs the callback at that time, or as soon as the process wakes. What belongs to an earlier
   /// incarnation, or to a dead process, is dropped.
-  void schedule(Nanos at, Callback callback);
+  void schedule(TimePoint at, Callback callback);
 
 private:
   EventQueue& queue_;
--- a/tests/fleet/simulated_disk.cpp
+++ b/tests/fleet/simulated_disk.cpp
@@ -6,7 +6,7 @@
 
 void SimulatedDisk::write(Process& process, const raft::PersistentState& state,
                           const std::function<void(WriteResult)>& on_done) {
-  const Nanos duration = random_.between(1, 25) * kMillisecond;
+  const Duration duration = std::chrono::milliseconds(random_.between(1, 25));
   busy_until_ = std::max(busy_until_, queue_.now()) + duration;
   const WriteResult result = next_result_;
   const std::uint64_t incarnation = process.incarnation();
--- a/tests/fleet/simulated_disk.h
+++ b/tests/fleet/simulated_disk.h
@@ -35,7 +35,7 @@
   Random& random_;
   std::optional<raft::PersistentState> content_;
   WriteResult next_result_ = WriteResult::Persisted;
-  Nanos busy_until_ = 0;
+  TimePoint busy_until_{};
 };
 
 }  // namespace gorsebeam::simulation
--- a/tests/fleet/simulated_fleet.cpp
+++ b/tests/fleet/simulated_fleet.cpp
@@ -35,9 +35,9 @@
   gateway->is_voter = number < script_.voters;
   const bool is_excessive = mutant_ == Mutant::ClockBeyondDrift;
   const std::int64_t max_drift = is_excessive ? kExcessiveClockDriftPpm : kMaxClockDriftPpm;
-  const Nanos drift_ppm = random_.between(-max_drift, max_drift);
+  const std::int64_t drift_ppm = random_.between(-max_drift, max_drift);
   gateway->clock.rate = 1 + 1e-6 * static_cast<double>(drift_ppm) * 0.999;
-  gateway->clock.offset = random_.between(0, 1'000'000) * kMillisecond;
+  gateway->clock.offset = std::chrono::milliseconds(random_.between(0, 1'000'000));
   return gateway;
 }
 
@@ -48,7 +48,7 @@
   return **std::find_if(gateways_.begin(), gateways_.end(), has_name);
 }
 
-Nanos SimulatedFleet::local_now(const Gateway& gateway) const {
+TimePoint SimulatedFleet::local_now(const Gateway& gateway) const {
   return gateway.clock.local_time(queue_.now());
 }
 
@@ -77,10 +77,10 @@
   const std::string holder = gateway.name + "~" + std::to_string(gateway.process.incarnation());
   const std::string zone = gateway.number % 2 == 1 ? "east" : "west";
   gateway.client = std::make_unique<leases::LeaseClient>(lease_settings_, holder, zone);
-  gateway.node_deadline = 0;
-  gateway.manager_deadline = 0;
-  gateway.client_deadline = 0;
-  run_client(gateway, [](auto& client, Nanos now, auto&) {
+  gateway.node_deadline = TimePoint{};
+  gateway.manager_deadline = TimePoint{};
+  gateway.client_deadline = TimePoint{};
+  run_client(gateway, [](auto& client, TimePoint now, auto&) {
     client.start(now);
   });
   schedule_actions(gateway);
@@ -93,15 +93,15 @@
   settings.self = gateway.name;
   settings.voters = voters_;
   settings.random_seed = random_.next();
-  settings.heartbeat_interval = 100 * kMillisecond;
-  settings.min_election_timeout = 400 * kMillisecond;
+  settings.heartbeat_interval = 100ms;
+  settings.min_election_timeout = 400ms;
   settings.max_log_entries = 8;
   std::optional<raft::PersistentState> stored = gateway.disk.content();
   const bool is_restart = gateway.process.incarnation() > 1;
   if (!stored && is_restart && mutant_ == Mutant::VotesAfterStateLoss)
     stored = raft::PersistentState{};
   gateway.node = std::make_unique<raft::Node>(settings, stored);
-  run_node(gateway, [](auto& node, Nanos now, auto& actions) {
+  run_node(gateway, [](auto& node, TimePoint now, auto& actions) {
     node.start(now, actions);
   });
 }
--- a/tests/fleet/simulated_fleet.h
+++ b/tests/fleet/simulated_fleet.h
@@ -61,21 +61,22 @@
     std::unique_ptr<leases::LeaseManager> manager;
     std::unique_ptr<leases::LeaseClient> client;
     // The deadlines that are scheduled.
-    Nanos node_deadline = 0;
-    Nanos manager_deadline = 0;
-    Nanos client_deadline = 0;
+    TimePoint node_deadline{};
+    TimePoint manager_deadline{};
+    TimePoint client_deadline{};
 
     std::string last_responder;  ///< The lease manager that is asked while it responds.
     bool awaits_response = true;
   };
 
-  using NodeEvent = std::function<void(raft::Node&, Nanos, raft::Actions&)>;
-  using ManagerEvent = std::function<void(leases::LeaseManager&, Nanos, leases::ManagerActions&)>;
-  using ClientEvent = std::function<void(leases::LeaseClient&, Nanos, leases::ClientActions&)>;
+  using NodeEvent = std::function<void(raft::Node&, TimePoint, raft::Actions&)>;
+  using ManagerEvent =
+      std::function<void(leases::LeaseManager&, TimePoint, leases::ManagerActions&)>;
+  using ClientEvent = std::function<void(leases::LeaseClient&, TimePoint, leases::ClientActions&)>;
 
   [[nodiscard]] std::unique_ptr<Gateway> make_gateway(int number);
   Gateway& gateway_named(const std::string& name);
-  [[nodiscard]] Nanos local_now(const Gateway& gateway) const;
+  [[nodiscard]] TimePoint local_now(const Gateway& gateway) const;
   void start_gateway(Gateway& gateway);
   void start_raft_node(Gateway& gateway);
   void inject(const Fault& fault);
@@ -106,15 +107,16 @@
 
   /// Schedules `tick` for the state machine's next deadline, once for each deadline.
   template <typename StateMachine, typename Tick>
-  void arm_timer(Gateway& gateway, const StateMachine& machine, Nanos& armed, const Tick& tick) {
-    const Nanos deadline = machine.next_deadline();
-    if (deadline == leases::kNoDeadline || deadline == armed)
+  void arm_timer(Gateway& gateway, const StateMachine& machine, TimePoint& armed,
+                 const Tick& tick) {
+    const TimePoint deadline = machine.next_deadline();
+    if (deadline == kNever || deadline == armed)
       return;
     armed = deadline;
     const Callback callback = [&machine, &armed, deadline, tick] {
       if (machine.next_deadline() != deadline)
         return;
-      armed = 0;
+      armed = TimePoint{};
       tick();
     };
     gateway.process.schedule(gateway.clock.wake_time(deadline), callback);
--- a/tests/fleet/simulated_fleet_leases.cpp
+++ b/tests/fleet/simulated_fleet_leases.cpp
@@ -11,7 +11,7 @@
   leases::ManagerActions actions;
   event(*gateway.manager, local_now(gateway), actions);
   arm_timer(gateway, *gateway.manager, gateway.manager_deadline, [this, &gateway] {
-    run_manager(gateway, [](auto& manager, Nanos now, auto& out) {
+    run_manager(gateway, [](auto& manager, TimePoint now, auto& out) {
       manager.tick(now, out);
     });
   });
@@ -24,7 +24,7 @@
 
 void SimulatedFleet::perform(Gateway& gateway, const leases::ManagerAction& action) {
   if (const auto* propose = std::get_if<leases::ProposeGrant>(&action)) {
-    run_node(gateway, [&](auto& node, Nanos, auto& out) {
+    run_node(gateway, [&](auto& node, TimePoint, auto& out) {
       node.propose(propose->command, out);
     });
   } else if (std::holds_alternative<leases::ConfirmLeadership>(action)) {
@@ -36,7 +36,7 @@
 
 void SimulatedFleet::confirm_leadership(Gateway& gateway) {
   std::optional<std::uint64_t> round;
-  run_node(gateway, [&](auto& node, Nanos, auto& out) {
+  run_node(gateway, [&](auto& node, TimePoint, auto& out) {
     round = node.confirm_leadership(out);
   });
   if (round)
@@ -49,7 +49,7 @@
   send(sender, receiver, [this, &receiver, sender = sender.name, response] {
     receiver.last_responder = sender;
     receiver.awaits_response = false;
-    run_client(receiver, [&](auto& client, Nanos now, auto& out) {
+    run_client(receiver, [&](auto& client, TimePoint now, auto& out) {
       client.handle_response(now, response, out);
     });
   });
@@ -61,7 +61,7 @@
   leases::ClientActions actions;
   event(*gateway.client, local_now(gateway), actions);
   arm_timer(gateway, *gateway.client, gateway.client_deadline, [this, &gateway] {
-    run_client(gateway, [](auto& client, Nanos now, auto& out) {
+    run_client(gateway, [](auto& client, TimePoint now, auto& out) {
       client.tick(now, out);
     });
   });
@@ -82,7 +82,7 @@
     ++messages_of_others_;
     Gateway& receiver = *voter;
     send(sender, receiver, [this, &receiver, request] {
-      run_manager(receiver, [&](auto& manager, Nanos now, auto&) {
+      run_manager(receiver, [&](auto& manager, TimePoint now, auto&) {
         manager.handle_request(now, request);
       });
     });
@@ -99,7 +99,7 @@
 // ---- Actions under a lease
 
 void SimulatedFleet::schedule_actions(Gateway& gateway) {
-  gateway.process.schedule(queue_.now() + 90 * kMillisecond, [this, &gateway] {
+  gateway.process.schedule(queue_.now() + 90ms, [this, &gateway] {
     for (const std::string& role : lease_settings_.roles)
       start_action(gateway, role);
     schedule_actions(gateway);
@@ -113,7 +113,7 @@
   check_exclusive(role);
   if (!token)
     return;
-  gateway.process.schedule(queue_.now() + 2 * kMillisecond, [this, role, token = *token] {
+  gateway.process.schedule(queue_.now() + 2ms, [this, role, token = *token] {
     network_.send_outside([this, role, token] {
       receive_action(role, token);
     });
@@ -122,7 +122,7 @@
 
 void SimulatedFleet::receive_action(const std::string& role, leases::FencingToken token) {
   const bool is_accepted = mutant_ == Mutant::FenceDisabled || fence_.accept(role, token);
-  digest_.add(queue_.now());
+  digest_.add(queue_.now().time_since_epoch().count());
   digest_.add(role);
   digest_.add(token);
   digest_.add(is_accepted);
--- a/tests/fleet/simulated_fleet_raft.cpp
+++ b/tests/fleet/simulated_fleet_raft.cpp
@@ -12,7 +12,7 @@
     perform(gateway, action);
   }
   arm_timer(gateway, *gateway.node, gateway.node_deadline, [this, &gateway] {
-    run_node(gateway, [](auto& node, Nanos now, auto& out) {
+    run_node(gateway, [](auto& node, TimePoint now, auto& out) {
       node.tick(now, out);
     });
   });
@@ -28,13 +28,13 @@
   } else if (const auto* installed = std::get_if<raft::RestoreSnapshot>(&action)) {
     restore(gateway, installed->snapshot);
   } else if (std::holds_alternative<raft::RequestSnapshot>(action)) {
-    run_node(gateway, [&](auto& node, Nanos, auto& out) {
+    run_node(gateway, [&](auto& node, TimePoint, auto& out) {
       node.compact_log(gateway.table.serialize(), out);
     });
   } else if (const auto* change = std::get_if<raft::RoleChanged>(&action)) {
     observe_role(gateway, *change);
   } else if (const auto* confirmed = std::get_if<raft::LeadershipConfirmed>(&action)) {
-    run_manager(gateway, [&](auto& manager, Nanos now, auto& out) {
+    run_manager(gateway, [&](auto& manager, TimePoint now, auto& out) {
       manager.handle_leadership_confirmed(now, confirmed->heartbeat_round, out);
     });
   }
@@ -47,7 +47,7 @@
     ++messages_of_others_;
   Gateway& receiver = gateway_named(message.to);
   send(sender, receiver, [this, &receiver, message] {
-    run_node(receiver, [&](auto& node, Nanos now, auto& out) {
+    run_node(receiver, [&](auto& node, TimePoint now, auto& out) {
       node.handle_message(now, message, out);
     });
   });
@@ -65,7 +65,7 @@
       return;
     if (result == WriteResult::Persisted)
       return report_persisted(gateway, number);
-    run_node(gateway, [](auto& node, Nanos now, auto& out) {
+    run_node(gateway, [](auto& node, TimePoint now, auto& out) {
       node.handle_persist_failure(now, out);
     });
   };
@@ -73,7 +73,7 @@
 }
 
 void SimulatedFleet::report_persisted(Gateway& gateway, std::uint64_t number) {
-  run_node(gateway, [number](auto& node, Nanos now, auto& out) {
+  run_node(gateway, [number](auto& node, TimePoint now, auto& out) {
     node.handle_persisted(now, number, out);
   });
 }
@@ -88,8 +88,8 @@
   const bool leads = gateway.node->role() == raft::Role::Leader;
   if (!leads || entry.term != gateway.node->current_term() || !entry.command.empty())
     return;
-  const Nanos skipped_wait = mutant_ == Mutant::LeaderSkipsWait ? 2 * kLeaseDuration : 0;
-  run_manager(gateway, [&](auto& manager, Nanos now, auto&) {
+  const Duration skipped_wait = mutant_ == Mutant::LeaderSkipsWait ? 2 * kLeaseDuration : 0ms;
+  run_manager(gateway, [&](auto& manager, TimePoint now, auto&) {
     manager.start_leading(now - skipped_wait, gateway.table);
   });
 }
--- a/tests/fleet/simulated_network.cpp
+++ b/tests/fleet/simulated_network.cpp
@@ -9,13 +9,13 @@
 
 }  // namespace
 
-Nanos SimulatedNetwork::draw_arrival() {
+TimePoint SimulatedNetwork::draw_arrival() {
   if (draw_fault(kLongDelayProbability))
-    return queue_.now() + random_.between(1, 600) * kMillisecond;
-  return queue_.now() + random_.between(200, 5000) * 1000;
+    return queue_.now() + std::chrono::milliseconds(random_.between(1, 600));
+  return queue_.now() + std::chrono::microseconds(random_.between(200, 5000));
 }
 
-void SimulatedNetwork::deliver_at(Nanos at, Process& receiver, const Callback& deliver) {
+void SimulatedNetwork::deliver_at(TimePoint at, Process& receiver, const Callback& deliver) {
   queue_.schedule(at, [this, &receiver, deliver] {
     receiver.schedule(queue_.now(), deliver);
   });
--- a/tests/fleet/simulated_network.h
+++ b/tests/fleet/simulated_network.h
@@ -13,7 +13,7 @@
 class SimulatedNetwork {
 public:
   /// From `faults_end` on, messages are neither lost, duplicated nor much delayed.
-  SimulatedNetwork(EventQueue& queue, Random& random, Nanos faults_end)
+  SimulatedNetwork(EventQueue& queue, Random& random, TimePoint faults_end)
       : queue_(queue), random_(random), faults_end_(faults_end) {}
 
   /// Between two gateways; delivered to whichever incarnation then runs.
@@ -29,12 +29,12 @@
 
   bool draw_fault(double probability) { return has_faults() && random_.chance(probability); }
 
-  Nanos draw_arrival();
-  void deliver_at(Nanos at, Process& receiver, const Callback& deliver);
+  TimePoint draw_arrival();
+  void deliver_at(TimePoint at, Process& receiver, const Callback& deliver);
 
   EventQueue& queue_;
   Random& random_;
-  Nanos faults_end_;
+  TimePoint faults_end_;
   std::set<std::pair<int, int>> cuts_;
 };
 
--- a/tests/fleet/virtual_time.cpp
+++ b/tests/fleet/virtual_time.cpp
@@ -5,12 +5,12 @@
 
 namespace gorsebeam::simulation {
 
-void EventQueue::schedule(Nanos at, Callback callback) {
+void EventQueue::schedule(TimePoint at, Callback callback) {
   events_.push({std::max(at, now_), next_order_, std::move(callback)});
   ++next_order_;
 }
 
-void EventQueue::run_until(Nanos end) {
+void EventQueue::run_until(TimePoint end) {
   while (!events_.empty() && events_.top().at <= end) {
     const Event event = events_.top();
     events_.pop();
@@ -19,12 +19,12 @@
   }
 }
 
-Nanos SimulatedClock::local_time(Nanos true_time) const {
-  return offset + static_cast<Nanos>(static_cast<double>(true_time) * rate);
+TimePoint SimulatedClock::local_time(TimePoint true_time) const {
+  return TimePoint(offset + to_duration(to_double(true_time.time_since_epoch()) * rate));
 }
 
-Nanos SimulatedClock::wake_time(Nanos local) const {
-  return static_cast<Nanos>(static_cast<double>(local - offset) / rate) + 1000;
+TimePoint SimulatedClock::wake_time(TimePoint local) const {
+  return TimePoint(to_duration(to_double(local.time_since_epoch() - offset) / rate) + 1us);
 }
 
 }  // namespace gorsebeam::simulation
--- a/tests/fleet/virtual_time.h
+++ b/tests/fleet/virtual_time.h
@@ -12,10 +12,6 @@
 
 namespace gorsebeam::simulation {
 
-using leases::Nanos;
-constexpr Nanos kMillisecond = 1'000'000;
-constexpr Nanos kSecond = 1000 * kMillisecond;
-
 using Callback = std::function<void()>;
 
 class Random {
@@ -25,8 +21,8 @@
   std::uint64_t next() { return generator_(); }
 
   /// Uniform; both bounds are included.
-  Nanos between(Nanos least, Nanos most) {
-    return std::uniform_int_distribution<Nanos>(least, most)(generator_);
+  std::int64_t between(std::int64_t least, std::int64_t most) {
+    return std::uniform_int_distribution<std::int64_t>(least, most)(generator_);
   }
 
   bool chance(double probability) {
@@ -40,15 +36,15 @@
 /// Events of the same time run in the order in which they were scheduled.
 class EventQueue {
 public:
-  [[nodiscard]] Nanos now() const { return now_; }
+  [[nodiscard]] TimePoint now() const { return now_; }
 
   /// A time in the past means now.
-  void schedule(Nanos at, Callback callback);
-  void run_until(Nanos end);
+  void schedule(TimePoint at, Callback callback);
+  void run_until(TimePoint end);
 
 private:
   struct Event {
-    Nanos at = 0;
+    TimePoint at{};
     std::uint64_t order = 0;
     Callback callback;
 
@@ -60,16 +56,16 @@
 
   std::priority_queue<Event> events_;
   std::uint64_t next_order_ = 0;
-  Nanos now_ = 0;
+  TimePoint now_{};
 };
 
 struct SimulatedClock {
   double rate = 1;
-  Nanos offset = 0;
+  Duration offset{};
 
-  [[nodiscard]] Nanos local_time(Nanos true_time) const;
+  [[nodiscard]] TimePoint local_time(TimePoint true_time) const;
   /// When an event loop that waits for `local` wakes: late by a little, never early.
-  [[nodiscard]] Nanos wake_time(Nanos local) const;
+  [[nodiscard]] TimePoint wake_time(TimePoint local) const;
 };
 
 }  // namespace gorsebeam::simulation
--- a/tests/frontend_accept_test.cpp
+++ b/tests/frontend_accept_test.cpp
@@ -33,7 +33,6 @@
 
 using namespace gorsebeam;
 
-constexpr std::int64_t kMillisecond = 1'000'000;
 constexpr std::size_t kPlaces = 64;
 constexpr std::size_t kNewClients = 32;
 
@@ -42,11 +41,11 @@
 public:
   using ClientConnection::ClientConnection;
 
-  proxy::Parts body(Nanos) override { return {}; }
+  proxy::Parts body(Duration) override { return {}; }
 
   void respond(const proxy::Parts&) override {}
 
-  void reject(Nanos) override {}
+  void reject(Duration) override {}
 
   void fail() override {}
 
@@ -83,8 +82,8 @@
     Settings settings;
     RequestClass request_class;
     request_class.name = "any";
-    request_class.latency_objective = kMillisecond;
-    request_class.deadline = kMillisecond;
+    request_class.latency_objective = 1ms;
+    request_class.deadline = 1ms;
     settings.classes.push_back(request_class);
     return settings;
   }
@@ -109,7 +108,7 @@
       g_main_context_iteration(nullptr, TRUE);
   }
 
-  static void run_loop_for(std::int64_t duration) {
+  static void run_loop_for(Duration duration) {
     bool is_over = false;
     net::Timer timer([&] {
       is_over = true;
@@ -132,7 +131,7 @@
 TEST_F(FullFrontend, AsksTheKernelAboutOneRestingConnectionAtAnAccept) {
   ASSERT_FALSE(frontend_.listen("127.0.0.1:0"));
   connect_clients(kPlaces);
-  run_loop_for(100 * kMillisecond);  // a connection is replaced only after 50 ms at rest
+  run_loop_for(100ms);  // a connection is replaced only after 50 ms at rest
   const int calls_before = poll_calls;
 
   connect_clients(kNewClients);
--- a/tests/integration/event_wait.cpp
+++ b/tests/integration/event_wait.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr gint64 kMaxWaitMicroseconds = 20 * G_USEC_PER_SEC;
-constexpr gint64 kPollIntervalNanoseconds = 5'000'000;
+constexpr std::chrono::milliseconds kPollInterval(5);
 
 bool callback_failed = false;
 
@@ -49,9 +49,9 @@
 void wait_until(const std::function<bool()>& condition, const std::string& awaited) {
   const gint64 deadline = g_get_monotonic_time() + kMaxWaitMicroseconds;
   gorsebeam::net::Timer tick([&tick] {
-    tick.after(kPollIntervalNanoseconds);
+    tick.after(kPollInterval);
   });
-  tick.after(kPollIntervalNanoseconds);
+  tick.after(kPollInterval);
   while (!condition()) {
     throw_pending_callback_failure(awaited);
     require(g_get_monotonic_time() <= deadline, "timed out waiting for: " + awaited);
--- a/tests/integration/inventory_files_test.cpp
+++ b/tests/integration/inventory_files_test.cpp
@@ -50,7 +50,7 @@
   ASSERT_EQ(rows[0].endpoint.group, 3);
   ASSERT_TRUE(rows[0].endpoint.listed_as_primary);
   ASSERT_EQ(rows[0].endpoint.weight, 2.5);
-  ASSERT_EQ(rows[0].endpoint.started_at, 1767225600LL * 1'000'000'000);
+  ASSERT_EQ(rows[0].endpoint.started_at, gorsebeam::TimePoint(std::chrono::seconds(1767225600)));
   ASSERT_EQ(rows[1].endpoint.status, gorsebeam::EndpointStatus::Draining);
   ASSERT_FALSE(rows[1].endpoint.listed_as_primary);
 }
--- a/tests/invariant_guard_test.cpp
+++ b/tests/invariant_guard_test.cpp
@@ -10,7 +10,6 @@
 
 namespace {
 
-constexpr Nanos kSecond = 1'000'000'000;
 constexpr EndpointId kEndpoint = 7;
 constexpr GroupId kGroup = 3;
 
@@ -24,7 +23,7 @@
   RequestClass made;
   made.idempotency = idempotency;
   made.deduplication_scope = scope;
-  made.deduplication_window = 2 * kSecond;
+  made.deduplication_window = 2s;
   return made;
 }
 
@@ -53,7 +52,7 @@
   static RequestHistory request_that_may_have_run(std::size_t class_index) {
     RequestHistory request = open_request(class_index);
     request.written_attempts = 1;
-    request.may_have_run_since = 0;
+    request.may_have_run_since = TimePoint{};
     return request;
   }
 
@@ -62,13 +61,13 @@
 };
 
 TEST_F(InvariantGuardTest, AllowsFirstAttemptAtListedEndpoint) {
-  EXPECT_EQ(guard_.check_attempt(open_request(kSingleShot), kEndpoint, 0), std::nullopt);
+  EXPECT_EQ(guard_.check_attempt(open_request(kSingleShot), kEndpoint, TimePoint{}), std::nullopt);
 }
 
 TEST_F(InvariantGuardTest, DeniesEndpointThatDrainsOrIsNotListed) {
   guard_.record_listed(kEndpoint, kGroup, EndpointStatus::Draining);
   EXPECT_EQ(guard_.check_endpoint(kEndpoint), Violation::EndpointLeaving);
-  EXPECT_EQ(guard_.check_attempt(open_request(kIdempotent), kEndpoint, 0),
+  EXPECT_EQ(guard_.check_attempt(open_request(kIdempotent), kEndpoint, TimePoint{}),
             Violation::EndpointLeaving);
   guard_.record_unlisted(kEndpoint);
   EXPECT_EQ(guard_.check_endpoint(kEndpoint), Violation::EndpointUnknown);
@@ -78,7 +77,7 @@
 
 TEST_F(InvariantGuardTest, DeniesEndpointOfAnotherGroup) {
   guard_.record_listed(kEndpoint, kGroup + 1, EndpointStatus::Up);
-  EXPECT_EQ(guard_.check_attempt(open_request(kIdempotent), kEndpoint, 0),
+  EXPECT_EQ(guard_.check_attempt(open_request(kIdempotent), kEndpoint, TimePoint{}),
             Violation::EndpointUnknown);
 }
 
@@ -95,28 +94,28 @@
   RequestHistory request = open_request(kIdempotent);
   request.written_attempts = 1;
   request.in_flight = 1;
-  EXPECT_EQ(guard_.check_attempt(request, kEndpoint, 0), Violation::SecondInFlight);
+  EXPECT_EQ(guard_.check_attempt(request, kEndpoint, TimePoint{}), Violation::SecondInFlight);
   settings_.hedging_allowed = true;
-  EXPECT_EQ(guard_.check_attempt(request, kEndpoint, 0), std::nullopt);
+  EXPECT_EQ(guard_.check_attempt(request, kEndpoint, TimePoint{}), std::nullopt);
 }
 
 TEST_F(InvariantGuardTest, DeniesAttemptsOfEndedRequestsAndBeyondTheLimit) {
   RequestHistory request = open_request(kIdempotent);
   request.written_attempts = 3;
-  EXPECT_EQ(guard_.check_attempt(request, kEndpoint, 0), Violation::AttemptsExceeded);
+  EXPECT_EQ(guard_.check_attempt(request, kEndpoint, TimePoint{}), Violation::AttemptsExceeded);
   request.is_open = false;
-  EXPECT_EQ(guard_.check_attempt(request, kEndpoint, 0), Violation::AttemptAfterEnd);
+  EXPECT_EQ(guard_.check_attempt(request, kEndpoint, TimePoint{}), Violation::AttemptAfterEnd);
 }
 
 TEST_F(InvariantGuardTest, RepeatsOnlyAsTheClassAllows) {
-  EXPECT_EQ(guard_.check_attempt(request_that_may_have_run(kIdempotent), kEndpoint, 9 * kSecond),
+  EXPECT_EQ(guard_.check_attempt(request_that_may_have_run(kIdempotent), kEndpoint, TimePoint(9s)),
             std::nullopt);
-  EXPECT_EQ(guard_.check_attempt(request_that_may_have_run(kSingleShot), kEndpoint, 1),
+  EXPECT_EQ(guard_.check_attempt(request_that_may_have_run(kSingleShot), kEndpoint, TimePoint(1ns)),
             Violation::RepeatNotAllowed);
   for (const std::size_t keyed : {kKeyedInCell, kKeyedEverywhere}) {
     const RequestHistory request = request_that_may_have_run(keyed);
-    EXPECT_EQ(guard_.check_attempt(request, kEndpoint, 2 * kSecond - 1), std::nullopt);
-    EXPECT_EQ(guard_.check_attempt(request, kEndpoint, 2 * kSecond), Violation::RepeatNotAllowed);
+    EXPECT_EQ(guard_.check_attempt(request, kEndpoint, TimePoint(2s - 1ns)), std::nullopt);
+    EXPECT_EQ(guard_.check_attempt(request, kEndpoint, TimePoint(2s)), Violation::RepeatNotAllowed);
   }
 }
 
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -12,7 +12,7 @@
 namespace gorsebeam::leases {
 namespace {
 
-constexpr Nanos kMillisecond = 1'000'000;
+constexpr Duration kMillisecond = 1ms;
 
 TEST(LeaseTable, AppliesGrantOnlyOverExpectedToken) {
   LeaseTable table;
@@ -43,19 +43,19 @@
   LeaseManager manager(settings);
   LeaseTable table;
   table.apply(1, LeaseTable::grant_command("r", "deaf~1", 0));
-  manager.start_leading(0, table);
+  manager.start_leading(TimePoint{}, table);
 
   std::string proposed_command;
   std::uint64_t number = 1;
-  for (Nanos now = 0; now < 20'000 * kMillisecond; now += 100 * kMillisecond) {
-    if (now % (600 * kMillisecond) == 0) {
+  for (TimePoint now{}; now < TimePoint(20s); now += 100ms) {
+    if (now.time_since_epoch() % 600ms == 0ms) {
       manager.handle_request(now, {"deaf~1", "", number, 0, false});
       manager.handle_request(now, {"well~1", "", number, number - 1, false});
       ++number;
     }
     ManagerActions actions;
     manager.tick(now, actions);
-    const auto round = static_cast<std::uint64_t>(now / kMillisecond + 1);
+    const auto round = static_cast<std::uint64_t>(now.time_since_epoch() / 1ms + 1);
     manager.handle_confirmation_started(round);
     manager.handle_leadership_confirmed(now, round, actions);
     for (const ManagerAction& action : actions)
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -89,7 +89,7 @@
 
 // The socket stays readable, so that a loop that watched it would turn without end.
 TEST_F(ListenerTest, WaitsForDescriptorsWithoutTurningTheLoop) {
-  constexpr std::int64_t kShortage = 100'000'000;
+  constexpr std::chrono::milliseconds kShortage(100);
   constexpr int kMaxCalls = 10;  // one in 20 ms, and a few
   queue_clients(1);
   next_errors.assign(100'000, EMFILE);
--- a/tests/raft_test.cpp
+++ b/tests/raft_test.cpp
@@ -17,7 +17,7 @@
 namespace gorsebeam::raft {
 namespace {
 
-constexpr Nanos kMillisecond = 1'000'000;
+constexpr Duration kMillisecond = 1ms;
 
 /// Three nodes, a, b and c. Messages arrive at once, and writes finish at once, unless set
 /// otherwise.
@@ -57,8 +57,8 @@
     return is_accepted;
   }
 
-  void advance(Nanos duration) {
-    for (const Nanos end = now_ + duration; now_ < end; now_ += 10 * kMillisecond) {
+  void advance(Duration duration) {
+    for (const TimePoint end = now_ + duration; now_ < end; now_ += 10ms) {
       tick_due_nodes();
       deliver_messages();
     }
@@ -135,20 +135,20 @@
   std::set<std::string> blocked_disks_;
   std::set<std::string> regressed_;
   std::deque<Message> messages_;
-  Nanos now_ = 0;
+  TimePoint now_{};
 };
 
 TEST(RaftNode, ReconnectedNodeDoesNotUnseatSoundLeader) {
   RaftCluster cluster;
-  cluster.advance(5000 * kMillisecond);
+  cluster.advance(5000ms);
   const std::string leader = cluster.leader();
   ASSERT_NE(leader, "");
   const Term term = cluster.node(leader).current_term();
 
   cluster.isolate(cluster.follower());
-  cluster.advance(20'000 * kMillisecond);
+  cluster.advance(20'000ms);
   cluster.reconnect_all();
-  cluster.advance(5000 * kMillisecond);
+  cluster.advance(5000ms);
 
   EXPECT_EQ(cluster.leader(), leader);
   EXPECT_EQ(cluster.node(leader).current_term(), term);
@@ -160,37 +160,37 @@
   cluster.block_disk("c");
 
   // Node a campaigns and receives no vote; nor does another lead by its own vote alone.
-  cluster.advance(10'000 * kMillisecond);
+  cluster.advance(10'000ms);
 
   EXPECT_EQ(cluster.leader(), "");
 }
 
 TEST(RaftNode, LeaderReportsNodeWithOlderState) {
   RaftCluster cluster;
-  cluster.advance(5000 * kMillisecond);
+  cluster.advance(5000ms);
   const std::string leader = cluster.leader();
   const std::string follower = cluster.follower();
   const std::optional<PersistentState> old_state = cluster.disk(follower);
   for (int i = 0; i < 3; ++i) {
     cluster.propose(leader, "x");
-    cluster.advance(500 * kMillisecond);
+    cluster.advance(500ms);
   }
 
   cluster.start(follower, old_state);
-  cluster.advance(1000 * kMillisecond);
+  cluster.advance(1000ms);
 
   EXPECT_EQ(cluster.regressed(), std::set<std::string>{follower});
 }
 
 TEST(RaftNode, StaysRecoveringAfterStateLoss) {
   RaftCluster cluster;
-  cluster.advance(5000 * kMillisecond);
+  cluster.advance(5000ms);
   const std::string leader = cluster.leader();
   const std::string follower = cluster.follower();
 
   cluster.start(follower, std::nullopt);
   cluster.isolate(leader);
-  cluster.advance(20'000 * kMillisecond);
+  cluster.advance(20'000ms);
 
   EXPECT_EQ(cluster.node(follower).role(), Role::Recovering);
   for (const char* name : {"a", "b", "c"})
@@ -199,7 +199,7 @@
 
 TEST(RaftNode, RejectsProposalsBeyondLogLimit) {
   RaftCluster cluster;
-  cluster.advance(5000 * kMillisecond);
+  cluster.advance(5000ms);
   const std::string leader = cluster.leader();
   cluster.isolate(leader);
 
--- a/tests/router/class_statistics_test.cpp
+++ b/tests/router/class_statistics_test.cpp
@@ -10,8 +10,8 @@
 
 std::vector<RequestClass> two_classes() {
   std::vector<RequestClass> classes(2);
-  classes[0].latency_objective = 1000;
-  classes[1].latency_objective = 5000;
+  classes[0].latency_objective = 1000ns;
+  classes[1].latency_objective = 5000ns;
   return classes;
 }
 
--- a/tests/router/endpoint_fixture.h
+++ b/tests/router/endpoint_fixture.h
@@ -15,7 +15,7 @@
 class EndpointFixture : public testing::Test {
 protected:
   static constexpr GroupId kGroup = 7;
-  static constexpr Nanos kStart = 1'000'000 * kMillisecond;
+  static constexpr TimePoint kStart{1000s};
 
   EndpointFixture() {
     event_.now = kStart;
--- a/tests/router/endpoint_table_test.cpp
+++ b/tests/router/endpoint_table_test.cpp
@@ -8,7 +8,7 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr Nanos kMinute = 60'000 * kMillisecond;
+constexpr TimePoint kMinute(60s);
 constexpr GroupId kGroup = 7;
 
 EndpointState& add_endpoint(EndpointTable& table, EndpointId id) {
@@ -63,10 +63,10 @@
 
 TEST(EndpointTable, ForgetsARemovedEndpointAfterAMinuteUnlessInUse) {
   EndpointTable table;
-  add_endpoint(table, 1).removed_at = 0;
+  add_endpoint(table, 1).removed_at = TimePoint{};
   add_endpoint(table, 2);
   table.group(kGroup).primary = 1;
-  table.forget_removed(kMinute - 1, {});
+  table.forget_removed(kMinute - 1ns, {});
   EXPECT_NE(table.find(1), nullptr);
   table.forget_removed(kMinute, {1});
   EXPECT_NE(table.find(1), nullptr);
@@ -80,12 +80,12 @@
 TEST(EndpointTable, KeepsAGroupWithWaitingRequests) {
   EndpointTable table;
   table.group(kGroup).waiting.insert(1);
-  table.group(kGroup).last_dispatch_at = 5;
+  table.group(kGroup).last_dispatch_at = TimePoint(5ns);
   table.forget_group_if_unused(kGroup);
-  EXPECT_EQ(table.group(kGroup).last_dispatch_at, 5);
+  EXPECT_EQ(table.group(kGroup).last_dispatch_at, TimePoint(5ns));
   table.group(kGroup).waiting.clear();
   table.forget_group_if_unused(kGroup);
-  EXPECT_EQ(table.group(kGroup).last_dispatch_at, 0);
+  EXPECT_EQ(table.group(kGroup).last_dispatch_at, TimePoint{});
 }
 
 }  // namespace
--- a/tests/router/health_check_scheduler_test.cpp
+++ b/tests/router/health_check_scheduler_test.cpp
@@ -22,7 +22,7 @@
 TEST_F(HealthCheckSchedulerTest, SendsOneCheckAtATime) {
   EndpointState& endpoint = add_endpoint(1);
   EXPECT_TRUE(scheduler_.check(endpoint));
-  event_.now += 1000 * kMillisecond;
+  event_.now += 1000ms;
   EXPECT_FALSE(scheduler_.check(endpoint));
   EXPECT_EQ(count_actions<SendHealthCheck>(), 1U);
 }
@@ -31,7 +31,7 @@
   EndpointState& endpoint = add_endpoint(1);
   EXPECT_TRUE(scheduler_.check(endpoint));
   endpoint.has_health_check = false;
-  event_.now = kStart + kHealthCheckGap - 1;
+  event_.now = kStart + kHealthCheckGap - 1ns;
   EXPECT_FALSE(scheduler_.check(endpoint));
   event_.now = kStart + kHealthCheckGap;
   EXPECT_TRUE(scheduler_.check(endpoint));
@@ -89,13 +89,13 @@
   settings_.load_reports_hold_positions = true;
   RequestClass bounded;
   bounded.consistency = ConsistencyLevel::BoundedStaleness;
-  bounded.max_staleness = 1000 * kMillisecond;
+  bounded.max_staleness = 1000ms;
   group().sparse_bounded_reads = false;
   EndpointState& endpoint = add_endpoint(1);
-  endpoint.position = kStart - 500 * kMillisecond;
+  endpoint.position = position_at(kStart - 500ms);
   scheduler_.refresh_group(group(), bounded);
   EXPECT_TRUE(actions_.empty());
-  event_.now += 1;
+  event_.now += 1ns;
   scheduler_.refresh_group(group(), bounded);
   EXPECT_EQ(count_actions<SendHealthCheck>(), 1U);
 }
--- a/tests/router/load_estimator_test.cpp
+++ b/tests/router/load_estimator_test.cpp
@@ -8,13 +8,12 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr Nanos kSecond = 1'000'000'000;
 constexpr double kTarget = 0.35;
 
 TEST(FadingLoad, FadesToOneOverEInThreeSeconds) {
   FadingLoad load;
-  load.fade(kSecond).add(1);
-  load.fade(4 * kSecond);
+  load.fade(TimePoint(1s)).add(1);
+  load.fade(TimePoint(4s));
   EXPECT_DOUBLE_EQ(load.count(), std::exp(-1.0));
   EXPECT_DOUBLE_EQ(load.sum(), std::exp(-1.0));
 }
@@ -36,22 +35,25 @@
 TEST(LatencyLoadEstimator, KeepsOnePoolForEachZoneAndRole) {
   LatencyLoadEstimator estimator;
   FadingLoad own;
-  LatencyLoadEstimator::record(own, estimator.pool("north", Role::Replica, 0), 1, 0);
+  LatencyLoadEstimator::record(own, estimator.pool("north", Role::Replica, TimePoint{}), 1,
+                               TimePoint{});
   EXPECT_DOUBLE_EQ(own.count(), 1);
-  EXPECT_DOUBLE_EQ(estimator.pool("north", Role::Replica, 0).count(), 1);
-  EXPECT_DOUBLE_EQ(estimator.pool("south", Role::Replica, 0).count(), 0);
-  EXPECT_DOUBLE_EQ(estimator.pool("north", Role::Primary, 0).count(), 0);
+  EXPECT_DOUBLE_EQ(estimator.pool("north", Role::Replica, TimePoint{}).count(), 1);
+  EXPECT_DOUBLE_EQ(estimator.pool("south", Role::Replica, TimePoint{}).count(), 0);
+  EXPECT_DOUBLE_EQ(estimator.pool("north", Role::Primary, TimePoint{}).count(), 0);
 }
 
 TEST(LatencyLoadEstimator, RoleMeanSpansZonesAndLeavesOutOneEndpoint) {
   LatencyLoadEstimator estimator;
   FadingLoad slow;
   FadingLoad quick;
-  LatencyLoadEstimator::record(slow, estimator.pool("north", Role::Replica, 0), 1, 0);
-  LatencyLoadEstimator::record(quick, estimator.pool("south", Role::Replica, 0), 0.5, 0);
-  EXPECT_DOUBLE_EQ(estimator.role_mean(Role::Replica, 0), 1.5 / 3);
-  EXPECT_DOUBLE_EQ(estimator.role_mean(Role::Replica, 0, slow), 0.5 / 2);
-  EXPECT_DOUBLE_EQ(estimator.role_mean(Role::Primary, 0), 0);
+  LatencyLoadEstimator::record(slow, estimator.pool("north", Role::Replica, TimePoint{}), 1,
+                               TimePoint{});
+  LatencyLoadEstimator::record(quick, estimator.pool("south", Role::Replica, TimePoint{}), 0.5,
+                               TimePoint{});
+  EXPECT_DOUBLE_EQ(estimator.role_mean(Role::Replica, TimePoint{}), 1.5 / 3);
+  EXPECT_DOUBLE_EQ(estimator.role_mean(Role::Replica, TimePoint{}, slow), 0.5 / 2);
+  EXPECT_DOUBLE_EQ(estimator.role_mean(Role::Primary, TimePoint{}), 0);
 }
 
 TEST(LatencyLoadEstimator, HeadroomWithoutSamplesIsThatOfAnIdleEndpoint) {
--- a/tests/router/outlier_ejection_test.cpp
+++ b/tests/router/outlier_ejection_test.cpp
@@ -50,9 +50,9 @@
 
 TEST_F(OutlierEjectorTest, RecoveryBackoffDoublesUpToFourSeconds) {
   EndpointState& endpoint = add_endpoint(1);
-  for (const Nanos expected : {500, 1000, 2000, 4000, 4000}) {
+  for (const Duration expected : {500ms, 1000ms, 2000ms, 4000ms, 4000ms}) {
     outliers_.back_off_recovery(endpoint);
-    EXPECT_EQ(endpoint.next_recovery_at, kStart + expected * kMillisecond);
+    EXPECT_EQ(endpoint.next_recovery_at, kStart + expected);
   }
 }
 
@@ -107,24 +107,24 @@
   EndpointState& endpoint = add_endpoint(1);
   endpoint.may_have_restarted = true;
   endpoint.first_break_at = kStart;
-  event_.now = kStart + 299 * kMillisecond;
+  event_.now = kStart + 299ms;
   outliers_.record_connection_use(endpoint);
   EXPECT_FALSE(endpoint.may_have_restarted);
   EXPECT_EQ(endpoint.connection_breaks, 0);
   endpoint.may_have_restarted = true;
-  event_.now = kStart + 300 * kMillisecond;
+  event_.now = kStart + 300ms;
   outliers_.record_connection_use(endpoint);
   EXPECT_TRUE(endpoint.may_have_restarted);
 }
 
 TEST_F(OutlierEjectorTest, StartsColdAfterASilentOutageUnlessItAppliedTheLogMeanwhile) {
-  settings_.overload_duration = 1000 * kMillisecond;
+  settings_.overload_duration = 1000ms;
   EndpointState& silent = add_endpoint(1);
   EndpointState& applying = add_endpoint(2);
   outliers_.eject(silent, RecoveryProof::HealthCheck, EjectionReason::ConnectionFailure);
   outliers_.eject(applying, RecoveryProof::HealthCheck, EjectionReason::ConnectionFailure);
-  event_.now = kStart + 2000 * kMillisecond;
-  applying.position = event_.now - 500 * kMillisecond;
+  event_.now = kStart + 2000ms;
+  applying.position = position_at(event_.now - 500ms);
   outliers_.readmit(silent);
   outliers_.readmit(applying);
   EXPECT_EQ(silent.warming_since, event_.now);
@@ -132,10 +132,10 @@
 }
 
 TEST_F(OutlierEjectorTest, StaysWarmAfterAnOutageTooShortToRestart) {
-  settings_.overload_duration = 1000 * kMillisecond;
+  settings_.overload_duration = 1000ms;
   EndpointState& endpoint = add_endpoint(1);
   outliers_.eject(endpoint, RecoveryProof::HealthCheck, EjectionReason::ConnectionFailure);
-  event_.now = kStart + 1000 * kMillisecond;
+  event_.now = kStart + 1000ms;
   outliers_.readmit(endpoint);
   EXPECT_EQ(endpoint.warming_since, kUnknown);
 }
--- a/tests/router/request_table_test.cpp
+++ b/tests/router/request_table_test.cpp
@@ -44,33 +44,33 @@
 }
 
 TEST(RequestTimers, RoutersWithDifferentSeedsSweepOutOfPhaseOnce) {
-  RequestTimers first(1, 1);
-  RequestTimers second(2, 1);
-  const Nanos first_sweep = first.next_sweep(0);
-  EXPECT_NE(first_sweep, second.next_sweep(0));
-  EXPECT_GE(first_sweep, kSweepInterval);
-  EXPECT_LT(first_sweep, 2 * kSweepInterval);
-  EXPECT_EQ(first.next_sweep(0), kSweepInterval) << "the phase is used up";
+  RequestTimers first(1, 1ns);
+  RequestTimers second(2, 1ns);
+  const TimePoint first_sweep = first.next_sweep(TimePoint{});
+  EXPECT_NE(first_sweep, second.next_sweep(TimePoint{}));
+  EXPECT_GE(first_sweep, TimePoint(kSweepInterval));
+  EXPECT_LT(first_sweep, TimePoint(2 * kSweepInterval));
+  EXPECT_EQ(first.next_sweep(TimePoint{}), TimePoint(kSweepInterval)) << "the phase is used up";
 }
 
 TEST(RequestTimers, ReturnsDueRequestsByTimeThenArrival) {
-  RequestTimers timers(1, 1);
+  RequestTimers timers(1, 1ns);
   RequestTable table;
   PendingRequest& late = table.add(request_named("late"));
   PendingRequest& early = table.add(request_named("early"));
-  timers.schedule(late, 20);
-  timers.schedule(early, 10);
-  EXPECT_EQ(timers.first_due(9), std::nullopt);
-  EXPECT_EQ(timers.first_due(20), early.sequence);
+  timers.schedule(late, TimePoint(20ns));
+  timers.schedule(early, TimePoint(10ns));
+  EXPECT_EQ(timers.first_due(TimePoint(9ns)), std::nullopt);
+  EXPECT_EQ(timers.first_due(TimePoint(20ns)), early.sequence);
   timers.cancel(early);
   EXPECT_EQ(early.check_at, kNever);
-  EXPECT_EQ(timers.first_due(20), late.sequence);
+  EXPECT_EQ(timers.first_due(TimePoint(20ns)), late.sequence);
   timers.cancel(late);
-  EXPECT_EQ(timers.first_due(20), std::nullopt);
+  EXPECT_EQ(timers.first_due(TimePoint(20ns)), std::nullopt);
 }
 
 TEST(RequestTimers, ArmsOnlyForAnEarlierTime) {
-  RequestTimers timers(1, 5);
+  RequestTimers timers(1, 5ns);
   RequestTable table;
   PendingRequest& request = table.add(request_named("a"));
   std::vector<Action> actions;
@@ -78,38 +78,39 @@
   event.actions = &actions;
   timers.arm(event);
   EXPECT_TRUE(actions.empty()) << "nothing is scheduled";
-  timers.schedule(request, 100);
+  timers.schedule(request, TimePoint(100ns));
   timers.arm(event);
   timers.arm(event);
   ASSERT_EQ(actions.size(), 1U);
-  EXPECT_EQ(std::get<SetTimer>(actions[0]).at, 100);
-  timers.schedule_list_poll(1);
+  EXPECT_EQ(std::get<SetTimer>(actions[0]).at, TimePoint(100ns));
+  timers.schedule_list_poll(TimePoint(1ns));
   timers.arm(event);
   ASSERT_EQ(actions.size(), 2U);
-  EXPECT_EQ(std::get<SetTimer>(actions[1]).at, 5) << "not before the clock's next tick";
+  EXPECT_EQ(std::get<SetTimer>(actions[1]).at, TimePoint(5ns))
+      << "not before the clock's next tick";
 }
 
 TEST(RequestTimers, AListPollIsDueOnce) {
-  RequestTimers timers(1, 1);
-  EXPECT_FALSE(timers.consume_due_list_poll(1000));
-  timers.schedule_list_poll(100);
-  EXPECT_FALSE(timers.consume_due_list_poll(99));
-  EXPECT_TRUE(timers.consume_due_list_poll(100));
-  EXPECT_FALSE(timers.consume_due_list_poll(101));
+  RequestTimers timers(1, 1ns);
+  EXPECT_FALSE(timers.consume_due_list_poll(TimePoint(1000ns)));
+  timers.schedule_list_poll(TimePoint(100ns));
+  EXPECT_FALSE(timers.consume_due_list_poll(TimePoint(99ns)));
+  EXPECT_TRUE(timers.consume_due_list_poll(TimePoint(100ns)));
+  EXPECT_FALSE(timers.consume_due_list_poll(TimePoint(101ns)));
 }
 
 TEST(RequestTimers, ATimerFarTooLateMeansThatTheRouterStoodStill) {
-  RequestTimers timers(1, 1);
+  RequestTimers timers(1, 1ns);
   std::vector<Action> actions;
   EventContext event;
   event.actions = &actions;
-  EXPECT_FALSE(timers.is_long_overdue(kNever - 1)) << "no timer is armed";
-  timers.schedule_list_poll(100);
+  EXPECT_FALSE(timers.is_long_overdue(kNever - 1ns)) << "no timer is armed";
+  timers.schedule_list_poll(TimePoint(100ns));
   timers.arm(event);
-  EXPECT_FALSE(timers.is_long_overdue(100 + 4 * kSweepInterval));
-  EXPECT_TRUE(timers.is_long_overdue(101 + 4 * kSweepInterval));
-  timers.record_expiry(100);
-  EXPECT_FALSE(timers.is_long_overdue(101 + 4 * kSweepInterval));
+  EXPECT_FALSE(timers.is_long_overdue(TimePoint(100ns) + 4 * kSweepInterval));
+  EXPECT_TRUE(timers.is_long_overdue(TimePoint(101ns) + 4 * kSweepInterval));
+  timers.record_expiry(TimePoint(100ns));
+  EXPECT_FALSE(timers.is_long_overdue(TimePoint(101ns) + 4 * kSweepInterval));
 }
 
 }  // namespace
--- a/tests/router/role_evidence_test.cpp
+++ b/tests/router/role_evidence_test.cpp
@@ -27,17 +27,17 @@
   roles_.record_role_evidence(first, {true, kStart, Source::Answer});
   roles_.record_role_evidence(second, {true, kStart, Source::Report});
   EXPECT_EQ(group().primary, 1U);
-  roles_.record_role_evidence(second, {true, kStart + 1, Source::Report});
+  roles_.record_role_evidence(second, {true, kStart + 1ns, Source::Report});
   EXPECT_EQ(group().primary, 2U);
 }
 
 TEST_F(RoleTrackerTest, ReportOlderThanADenialDoesNotElectAgain) {
   EndpointState& endpoint = add_endpoint(1);
   roles_.record_role_evidence(endpoint, {true, kStart, Source::Answer});
-  roles_.record_role_evidence(endpoint, {false, kStart + 2, Source::Answer});
+  roles_.record_role_evidence(endpoint, {false, kStart + 2ns, Source::Answer});
   EXPECT_EQ(group().primary, std::nullopt);
   EXPECT_EQ(count_logs<PrimaryDemoted>(), 1U);
-  roles_.record_role_evidence(endpoint, {true, kStart + 1, Source::Report});
+  roles_.record_role_evidence(endpoint, {true, kStart + 1ns, Source::Report});
   EXPECT_EQ(group().primary, std::nullopt);
 }
 
@@ -45,9 +45,9 @@
   EndpointState& endpoint = add_endpoint(1);
   roles_.record_role_evidence(endpoint, {true, kStart, Source::Answer});
   roles_.suspect_primary(endpoint);
-  roles_.record_role_evidence(endpoint, {true, kStart + 1, Source::Report});
+  roles_.record_role_evidence(endpoint, {true, kStart + 1ns, Source::Report});
   EXPECT_TRUE(group().primary_suspected);
-  roles_.record_role_evidence(endpoint, {true, kStart + 2, Source::Answer});
+  roles_.record_role_evidence(endpoint, {true, kStart + 2ns, Source::Answer});
   EXPECT_FALSE(group().primary_suspected);
 }
 
--- a/tests/router/router_drawn_histories_test.cpp
+++ b/tests/router/router_drawn_histories_test.cpp
@@ -34,7 +34,7 @@
   std::size_t class_index = 0;
   bool finished = false;                          ///< Answered, or its client left.
   std::map<std::uint32_t, EndpointId> in_flight;  ///< By attempt number.
-  std::optional<Nanos> may_have_run_since;
+  std::optional<TimePoint> may_have_run_since;
 };
 
 bool may_have_run(AttemptStatus status) {
@@ -55,7 +55,7 @@
       listed_[id] = EndpointStatus::Up;
     check_actions();
     for (int step = 0; step < 300; ++step) {
-      harness_.now += static_cast<Nanos>(below(hedging_ ? 90 : 30)) * kMillisecond;
+      harness_.now += std::chrono::milliseconds(below(hedging_ ? 90 : 30));
       harness_.deliver_keeping_actions(TimerExpired{});
       check_actions();
       draw_event();
@@ -117,7 +117,7 @@
     if (!request.may_have_run_since || request.class_index < kPlainWrite)
       return true;
     return request.class_index == kKeyedWrite &&
-           harness_.now - *request.may_have_run_since < 1500 * kMillisecond;
+           harness_.now - *request.may_have_run_since < 1500ms;
   }
 
   static void check_rejection(OpenRequest& request) {
@@ -176,11 +176,11 @@
     request.in_flight.erase(request.in_flight.begin());
     const AttemptStatus status = kDrawnStatuses.at(below(kDrawnStatuses.size()));
     if (may_have_run(status) && !request.may_have_run_since)
-      request.may_have_run_since = harness_.now - 10 * kMillisecond;
+      request.may_have_run_since = harness_.now - 10ms;
     request.finished |= status == AttemptStatus::Ok;
     harness_.end_attempt(id, endpoint, status,
-                         request.finished ? RequestState::Finished : RequestState::Open,
-                         10 * kMillisecond, attempt);
+                         request.finished ? RequestState::Finished : RequestState::Open, 10ms,
+                         attempt);
   }
 
   void draw_disconnect() {
@@ -198,7 +198,7 @@
     Endpoint changed = make_endpoint(draw_endpoint());
     changed.status = kDrawnEndpointStatuses.at(below(kDrawnEndpointStatuses.size()));
     if (changed.status == EndpointStatus::Up && below(2) != 0)
-      changed.started_at = harness_.now - 5 * kMillisecond;
+      changed.started_at = harness_.now - 5ms;
     const bool is_delta = below(2) != 0 || changed.status == EndpointStatus::Removed;
     listed_[changed.id] = changed.status;
     if (is_delta)
@@ -222,7 +222,7 @@
 
   void draw_health_report() {
     const EndpointId id = draw_endpoint();
-    const Nanos lag = static_cast<Nanos>(below(1500)) * kMillisecond;
+    const Duration lag = std::chrono::milliseconds(below(1500));
     harness_.report_health(id, id == 1 ? Role::Primary : Role::Replica, lag);
   }
 
--- a/tests/router/router_endpoint_list_test.cpp
+++ b/tests/router/router_endpoint_list_test.cpp
@@ -59,7 +59,7 @@
   other_group.group = 77;
 
   harness.deliver_list({other_group}, EndpointList::Kind::Delta);
-  harness.report_health(3, Role::Replica, -60'000 * kMillisecond);
+  harness.report_health(3, Role::Replica, -60'000ms);
   harness.send_request(kEventualRead);
   ASSERT_NE(harness.attempted_endpoint(), kNoEndpoint);
   EXPECT_NE(harness.attempted_endpoint(), 9U) << "a request goes only to its own group";
@@ -69,12 +69,12 @@
   RouterHarness harness;
   harness.list_healthy_group();
   harness.deliver_list({make_endpoint(1), make_endpoint(2), make_endpoint(3)});
-  harness.now += 59'000 * kMillisecond;
+  harness.now += 59'000ms;
   harness.deliver_list({make_endpoint(4)}, EndpointList::Kind::Delta);  // Still known.
   EXPECT_TRUE(harness.actions_of<SendHealthCheck>().empty());
 
   harness.deliver_list({make_endpoint(1), make_endpoint(2), make_endpoint(3)});
-  harness.now += 61'000 * kMillisecond;
+  harness.now += 61'000ms;
   harness.deliver_list({make_endpoint(1)}, EndpointList::Kind::Delta);
   harness.deliver_list({make_endpoint(4)}, EndpointList::Kind::Delta);
   EXPECT_EQ(harness.actions_of<SendHealthCheck>().size(), 1U);
--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -8,11 +8,11 @@
   made.name = name;
   made.consistency = consistency;
   made.idempotency = idempotency;
-  made.latency_objective = 300 * kMillisecond;
-  made.deadline = 2000 * kMillisecond;
-  made.max_staleness = consistency == ConsistencyLevel::BoundedStaleness ? 1000 * kMillisecond : 0;
+  made.latency_objective = 300ms;
+  made.deadline = 2000ms;
+  made.max_staleness = consistency == ConsistencyLevel::BoundedStaleness ? 1000ms : 0ms;
   made.late_weight_fraction = 0.5;
-  made.deduplication_window = 1500 * kMillisecond;
+  made.deduplication_window = 1500ms;
   made.deduplication_scope = DeduplicationScope::Group;
   return made;
 }
@@ -29,23 +29,23 @@
       make_class("write", ConsistencyLevel::Write, Idempotency::NotIdempotent),
       make_class("keyed", ConsistencyLevel::Write, Idempotency::IdempotencyKey),
   };
-  settings.clock_resolution = 1 * kMillisecond;
+  settings.clock_resolution = 1ms;
   settings.load_report_source = LoadReportSource::HealthChecks;
   settings.load_reports_hold_positions = true;
   settings.load_reports_hold_roles = true;
   settings.session_token_source = SessionTokenSource::Client;
   settings.cancellation_allowed = true;
   settings.max_attempts = 4;
-  settings.response_slack = 20 * kMillisecond;
-  settings.drain_grace = 500 * kMillisecond;
-  settings.slow_start_duration = 10'000 * kMillisecond;
+  settings.response_slack = 20ms;
+  settings.drain_grace = 500ms;
+  settings.slow_start_duration = 10'000ms;
   settings.slow_start_initial_capacity = 0.2;
-  settings.overload_duration = 2000 * kMillisecond;
+  settings.overload_duration = 2000ms;
   settings.overload_factor = 2;
   return settings;
 }
 
-Endpoint make_endpoint(EndpointId id, Nanos started_at) {
+Endpoint make_endpoint(EndpointId id, TimePoint started_at) {
   Endpoint endpoint;
   endpoint.id = id;
   endpoint.started_at = started_at;
@@ -77,10 +77,10 @@
   }
 }
 
-void RouterHarness::run_timers_for(Nanos time) {
-  const Nanos end = now + time;
+void RouterHarness::run_timers_for(Duration time) {
+  const TimePoint end = now + time;
   while (now < end) {
-    now += 10 * kMillisecond;
+    now += 10ms;
     deliver_keeping_actions(TimerExpired{});
   }
 }
@@ -89,40 +89,40 @@
   deliver(EndpointList{kind, std::move(endpoints)});
 }
 
-void RouterHarness::report_health(EndpointId id, Role role, Nanos lag) {
-  HealthCheckResult result{id, true, 1 * kMillisecond, {}};
-  result.load_report.replication_position = now - lag;
+void RouterHarness::report_health(EndpointId id, Role role, Duration lag) {
+  HealthCheckResult result{id, true, 1ms, {}};
+  result.load_report.replication_position = position_at(now - lag);
   result.load_report.is_primary = role == Role::Primary;
   deliver(result);
 }
 
 void RouterHarness::fail_health_check(EndpointId id) {
-  deliver(HealthCheckResult{id, false, 1 * kMillisecond, {}});
+  deliver(HealthCheckResult{id, false, 1ms, {}});
 }
 
 void RouterHarness::list_healthy_group() {
   deliver_list({make_endpoint(1), make_endpoint(2), make_endpoint(3), make_endpoint(4)});
-  now += 5 * kMillisecond;
-  report_health(1, Role::Primary, 0);
+  now += 5ms;
+  report_health(1, Role::Primary, 0ms);
   for (const EndpointId id : {2U, 3U, 4U})
-    report_health(id, Role::Replica, 20 * kMillisecond);
+    report_health(id, Role::Replica, 20ms);
 }
 
 std::string RouterHarness::send_request(std::size_t class_index,
                                         std::optional<std::uint64_t> session,
-                                        Nanos session_token_age) {
+                                        Duration session_token_age) {
   Request request;
   request.id = "r" + std::to_string(next_request_number++);
   request.class_index = class_index;
   request.session = session;
-  request.deadline = now + 2000 * kMillisecond;
+  request.deadline = now + 2000ms;
   request.session_token_age = session_token_age;
   deliver(request);
   return request.id;
 }
 
 void RouterHarness::end_attempt(const std::string& request_id, EndpointId endpoint,
-                                AttemptStatus status, RequestState state, Nanos elapsed,
+                                AttemptStatus status, RequestState state, Duration elapsed,
                                 std::uint32_t attempt) {
   AttemptResult result;
   result.request_id = request_id;
@@ -136,7 +136,7 @@
   deliver(result);
 }
 
-void RouterHarness::answer(const std::string& request_id, EndpointId endpoint, Nanos elapsed) {
+void RouterHarness::answer(const std::string& request_id, EndpointId endpoint, Duration elapsed) {
   end_attempt(request_id, endpoint, AttemptStatus::Ok, RequestState::Finished, elapsed);
 }
 
--- a/tests/router/router_harness.h
+++ b/tests/router/router_harness.h
@@ -17,8 +17,6 @@
 
 namespace gorsebeam::router_test {
 
-constexpr Nanos kMillisecond = 1'000'000;
-
 /// What RouterHarness::attempted_endpoint returns if there is no attempt. No test lists it.
 constexpr EndpointId kNoEndpoint = 0;
 
@@ -34,7 +32,7 @@
 Settings default_settings();
 
 /// An endpoint of group 0 that is up.
-Endpoint make_endpoint(EndpointId id, Nanos started_at = 0);
+Endpoint make_endpoint(EndpointId id, TimePoint started_at = {});
 
 /// The same, listed as draining.
 Endpoint make_draining_endpoint(EndpointId id);
@@ -54,14 +52,14 @@
   void deliver_keeping_actions(const Event& event);
 
   /// Moves the clock on in steps of 10 ms with a TimerExpired at each; appends to `actions`.
-  void run_timers_for(Nanos time);
+  void run_timers_for(Duration time);
 
   void deliver_list(std::vector<Endpoint> endpoints,
                     EndpointList::Kind kind = EndpointList::Kind::Full);
 
   /// A health check succeeds and reports the endpoint's role, and a replication position that is
   /// `lag` behind the present.
-  void report_health(EndpointId id, Role role, Nanos lag);
+  void report_health(EndpointId id, Role role, Duration lag);
 
   void fail_health_check(EndpointId id);
 
@@ -70,16 +68,15 @@
 
   /// Sends a request with a deadline in 2 s to group 0 and returns its id.
   std::string send_request(std::size_t class_index, std::optional<std::uint64_t> session = {},
-                           Nanos session_token_age = 0);
+                           Duration session_token_age = 0ms);
 
   /// Ends an attempt. Endpoint 1 says that it is the primary, each other one that it is a replica.
   void end_attempt(const std::string& request_id, EndpointId endpoint, AttemptStatus status,
-                   RequestState state = RequestState::Open, Nanos elapsed = 10 * kMillisecond,
+                   RequestState state = RequestState::Open, Duration elapsed = 10ms,
                    std::uint32_t attempt = 0);
 
   /// Ends a request's first attempt with its final answer.
-  void answer(const std::string& request_id, EndpointId endpoint,
-              Nanos elapsed = 10 * kMillisecond);
+  void answer(const std::string& request_id, EndpointId endpoint, Duration elapsed = 10ms);
 
   /// Endpoint 1 rejects a write, as it is a replica by now.
   void reject_write_as_replica(const std::string& request_id, const LoadReport& report = {});
@@ -107,7 +104,7 @@
   [[nodiscard]] int count_timeout_ejections(std::optional<EndpointId> only = {}) const;
 
   Router router;
-  Nanos now = 1'000'000 * kMillisecond;
+  TimePoint now{1000s};
   std::vector<Action> actions;
   std::map<std::string, std::uint32_t> attempt_counts;           ///< By request id.
   std::set<std::pair<std::string, EndpointId>> attempted_pairs;  ///< Request id and endpoint.
--- a/tests/router/router_health_check_test.cpp
+++ b/tests/router/router_health_check_test.cpp
@@ -13,7 +13,7 @@
   harness.send_request(kEventualRead);
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
 
-  harness.report_health(2, Role::Replica, 10 * kMillisecond);
+  harness.report_health(2, Role::Replica, 10ms);
   EXPECT_EQ(harness.attempted_endpoint(), 2U);
 }
 
@@ -36,21 +36,21 @@
   EXPECT_TRUE(harness.actions_of<SendHealthCheck>().empty());
 
   for (GroupId group = 8; group < 10; ++group) {
-    harness.now += 5 * kMillisecond;
+    harness.now += 5ms;
     Request request;
     request.id = "g" + std::to_string(group);
     request.class_index = group % 2 == 1 ? kBoundedRead : kSessionRead;
     request.group = group;
     request.session = 7;
-    request.session_token_age = 1000 * kMillisecond;
-    request.deadline = harness.now + 2000 * kMillisecond;
+    request.session_token_age = 1000ms;
+    request.deadline = harness.now + 2000ms;
     harness.deliver(request);
     const std::vector<SendHealthCheck> checks = harness.actions_of<SendHealthCheck>();
     ASSERT_FALSE(checks.empty()) << group;
     for (const SendHealthCheck& check : checks)
       EXPECT_EQ((check.endpoint - 1) / 4, group);
     EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
-    harness.report_health(group * 4 + 2, Role::Replica, 100 * kMillisecond);
+    harness.report_health(group * 4 + 2, Role::Replica, 100ms);
     EXPECT_EQ(harness.attempted_endpoint(), group * 4 + 2);
   }
 }
@@ -58,7 +58,7 @@
 /// Plays 40 bounded reads that come further apart than a known position holds, with an expensive
 /// health check, beside writes that the primary answers in `primary_latency`. Returns how many of
 /// the reads a replica served.
-int count_sparse_reads_by_replicas(Nanos primary_latency) {
+int count_sparse_reads_by_replicas(Duration primary_latency) {
   Settings settings = default_settings();
   settings.health_check_price = 0.4;
   RouterHarness harness(settings);
@@ -67,16 +67,16 @@
   for (int i = 0; i < 40; ++i) {
     for (int write = 0; write < 3; ++write)
       harness.answer(harness.send_request(kPlainWrite), 1, primary_latency);
-    harness.now += 1100 * kMillisecond;  // No known position holds any more.
+    harness.now += 1100ms;  // No known position holds any more.
     const std::string read = harness.send_request(kBoundedRead);
     for (const SendHealthCheck& check : harness.actions_of<SendHealthCheck>())
-      harness.report_health(check.endpoint, Role::Replica, 10 * kMillisecond);
+      harness.report_health(check.endpoint, Role::Replica, 10ms);
     const EndpointId endpoint = harness.attempted_endpoint();
     if (endpoint == kNoEndpoint)
       continue;
     if (endpoint != 1U)
       ++count;
-    harness.answer(read, endpoint, 5 * kMillisecond);
+    harness.answer(read, endpoint, 5ms);
   }
   return count;
 }
@@ -85,8 +85,8 @@
 // allows, each read checks a replica first, at any price.
 TEST(RouterHealthCheck, SparseBoundedReadsSpareLoadedPrimary) {
   // Ten health checks may go at once and a tenth for each request.
-  EXPECT_LE(count_sparse_reads_by_replicas(20 * kMillisecond), 22);
-  EXPECT_GE(count_sparse_reads_by_replicas(600 * kMillisecond), 26);
+  EXPECT_LE(count_sparse_reads_by_replicas(20ms), 22);
+  EXPECT_GE(count_sparse_reads_by_replicas(600ms), 26);
 }
 
 // A hundred routers have used up their share of health checks when their group's primary drains.
@@ -99,24 +99,24 @@
     RouterHarness harness;
     harness.list_healthy_group();
     for (int i = 0; i < 6; ++i) {  // Each read finds no position that holds and checks replicas.
-      harness.now += 5000 * kMillisecond;
+      harness.now += 5000ms;
       const std::string read = harness.send_request(kBoundedRead);
       for (const EndpointId id : {2U, 3U, 4U, 2U, 3U, 4U})
-        harness.report_health(id, Role::Replica, 4000 * kMillisecond);
+        harness.report_health(id, Role::Replica, 4000ms);
       harness.deliver(ClientDisconnected{read});
     }
     harness.deliver_list({make_draining_endpoint(1)}, EndpointList::Kind::Delta);
-    harness.now += 1100 * kMillisecond;
+    harness.now += 1100ms;
     const std::string id = harness.send_request(kBoundedRead);
     const std::vector<SendHealthCheck> checks = harness.actions_of<SendHealthCheck>();
     health_checks += checks.size();
     for (const SendHealthCheck& check : checks) {
       if (check.endpoint == 3)
-        harness.report_health(3, Role::Primary, 40 * kMillisecond);
+        harness.report_health(3, Role::Primary, 40ms);
       else
-        harness.report_health(check.endpoint, Role::Replica, 4000 * kMillisecond);
+        harness.report_health(check.endpoint, Role::Replica, 4000ms);
     }
-    harness.run_timers_for(20 * kMillisecond);
+    harness.run_timers_for(20ms);
     if (harness.was_attempted(id, 3))
       ++served;
   }
@@ -135,12 +135,12 @@
     RouterHarness harness(settings);
     harness.list_healthy_group();
     for (int i = 0; i < 30; ++i) {
-      harness.now += 1200 * kMillisecond;
+      harness.now += 1200ms;
       const std::string id = harness.send_request(kBoundedRead);
       const std::vector<SendHealthCheck> checks = harness.actions_of<SendHealthCheck>();
       health_checks += checks.size();
       for (const SendHealthCheck& check : checks)
-        harness.report_health(check.endpoint, Role::Replica, 100 * kMillisecond);
+        harness.report_health(check.endpoint, Role::Replica, 100ms);
       const EndpointId endpoint = harness.attempted_endpoint();
       if (endpoint == kNoEndpoint)
         continue;
@@ -156,13 +156,13 @@
 TEST(RouterHealthCheck, ReadWithoutCurrentReplicaChecksThenReachesPrimary) {
   RouterHarness harness;
   harness.deliver_list({make_endpoint(1), make_endpoint(2)});
-  harness.report_health(1, Role::Primary, 0);
-  harness.report_health(2, Role::Replica, 1200 * kMillisecond);
+  harness.report_health(1, Role::Primary, 0ms);
+  harness.report_health(2, Role::Replica, 1200ms);
 
-  harness.now += 200 * kMillisecond;
+  harness.now += 200ms;
   harness.send_request(kBoundedRead);
   EXPECT_FALSE(harness.actions_of<SendHealthCheck>().empty());
-  harness.run_timers_for(250 * kMillisecond);
+  harness.run_timers_for(250ms);
   EXPECT_EQ(harness.attempted_endpoint(), 1U);
 }
 
@@ -197,11 +197,11 @@
   harness.send_request(kBoundedRead);
   EXPECT_LE(harness.actions_of<SendHealthCheck>().size(), 14U);
 
-  harness.report_health(1, Role::Primary, 0);
+  harness.report_health(1, Role::Primary, 0ms);
   for (int i = 0; i < 100; ++i) {
     harness.send_request(kBoundedRead);
     count += harness.actions_of<SendHealthCheck>().size();
-    harness.now += 10 * kMillisecond;
+    harness.now += 10ms;
   }
   EXPECT_LE(count, 40U);
 }
--- a/tests/router/router_load_test.cpp
+++ b/tests/router/router_load_test.cpp
@@ -17,15 +17,15 @@
     const std::size_t class_index = i % 2 == 1 ? kEventualRead : kBoundedRead;
     if (i % 20 == 0)
       for (const EndpointId id : {2U, 3U, 4U})
-        harness.report_health(id, Role::Replica, 20 * kMillisecond);
+        harness.report_health(id, Role::Replica, 20ms);
     const std::string id = harness.send_request(class_index);
     if (harness.attempted_endpoint() != kNoEndpoint) {
       ++attempts[class_index];
-      harness.answer(id, harness.attempted_endpoint(), 290 * kMillisecond);
+      harness.answer(id, harness.attempted_endpoint(), 290ms);
     } else {
       harness.deliver(ClientDisconnected{id});
     }
-    harness.now += 1 * kMillisecond;
+    harness.now += 1ms;
   }
 
   EXPECT_LT(attempts[kEventualRead] + attempts[kBoundedRead], 250);
@@ -35,10 +35,11 @@
 /// Draws latencies from an exponential distribution, the same on each platform.
 class LatencySource {
 public:
-  Nanos draw(double mean_in_milliseconds) {
+  Duration draw(double mean_in_milliseconds) {
     state_ = state_ * 6364136223846793005ULL + 1442695040888963407ULL;
     const double uniform = static_cast<double>(state_ >> 11) / 9007199254740992.0;
-    return static_cast<Nanos>(-mean_in_milliseconds * std::log(1 - uniform)) * kMillisecond;
+    const double milliseconds = -mean_in_milliseconds * std::log(1 - uniform);
+    return std::chrono::milliseconds(static_cast<std::int64_t>(milliseconds));
   }
 
 private:
@@ -54,11 +55,11 @@
   for (int router = 0; router < 100; ++router) {
     RouterHarness harness;
     harness.deliver_list({make_endpoint(1), make_endpoint(2)});
-    harness.report_health(1, Role::Primary, 0);
+    harness.report_health(1, Role::Primary, 0ms);
     for (int i = 0; i < 40; ++i) {
       const std::string id = harness.send_request(kStrongRead);
       const EndpointId endpoint = harness.attempted_endpoint();
-      const Nanos latency = latencies.draw(90);  // The objective is 300.
+      const Duration latency = latencies.draw(90);  // The objective is 300.
       ++requests;
       if (endpoint == kNoEndpoint) {
         ++held_back;
@@ -66,7 +67,7 @@
       } else {
         harness.answer(id, endpoint, latency);
       }
-      harness.run_timers_for(660 * kMillisecond);
+      harness.run_timers_for(660ms);
     }
   }
 
@@ -84,7 +85,7 @@
       ++attempts;
     if (endpoint != kNoEndpoint && i % 4 != 0)
       harness.answer(id, endpoint);
-    harness.run_timers_for(10 * kMillisecond);
+    harness.run_timers_for(10ms);
   }
 
   EXPECT_GT(attempts, 270);
--- a/tests/router/router_outlier_ejection_test.cpp
+++ b/tests/router/router_outlier_ejection_test.cpp
@@ -21,7 +21,7 @@
   ASSERT_GE(unanswered, 2);
 
   harness.actions.clear();
-  harness.run_timers_for(1000 * kMillisecond);
+  harness.run_timers_for(1000ms);
 
   EXPECT_EQ(harness.count_timeout_ejections(3), 1);
 }
@@ -95,9 +95,9 @@
     in_flight.emplace_back(id, harness.attempted_endpoint());
   }
 
-  harness.now += 1500 * kMillisecond;  // The answers came long before the router ran again.
+  harness.now += 1500ms;  // The answers came long before the router ran again.
   for (const auto& [id, endpoint] : in_flight) {
-    harness.answer(id, endpoint, 20 * kMillisecond);
+    harness.answer(id, endpoint, 20ms);
     EXPECT_EQ(harness.count_timeout_ejections(), 0);
   }
   harness.send_request(kEventualRead);
@@ -112,10 +112,10 @@
       harness.send_request(kEventualRead);
     harness.actions.clear();
     if (stalled) {
-      harness.now += 1000 * kMillisecond;  // The timer is handled late, and before any answer.
+      harness.now += 1000ms;  // The timer is handled late, and before any answer.
       harness.deliver(TimerExpired{});
     } else {
-      harness.run_timers_for(1000 * kMillisecond);
+      harness.run_timers_for(1000ms);
     }
 
     EXPECT_EQ(harness.count_timeout_ejections() > 0, !stalled);
--- a/tests/router/router_rejection_test.cpp
+++ b/tests/router/router_rejection_test.cpp
@@ -8,7 +8,7 @@
   RouterHarness harness;  // Without any endpoint.
   const std::string id = harness.send_request(kEventualRead);
   harness.actions.clear();
-  harness.run_timers_for(2000 * kMillisecond);
+  harness.run_timers_for(2000ms);
   ASSERT_EQ(harness.actions_of<RejectRequest>().size(), 1U);
   EXPECT_EQ(harness.actions_of<RejectRequest>()[0].request_id, id);
 }
@@ -16,14 +16,14 @@
 TEST(RouterRejection, AdvisesRetryAfterWhereAllowed) {
   Settings settings = default_settings();
   settings.retry_after_allowed = true;
-  settings.max_retry_after = 700 * kMillisecond;
+  settings.max_retry_after = 700ms;
   RouterHarness harness(settings);
   harness.send_request(kPlainWrite, 1);
   harness.actions.clear();
-  harness.run_timers_for(2000 * kMillisecond);
+  harness.run_timers_for(2000ms);
   ASSERT_EQ(harness.actions_of<RejectRequest>().size(), 1U);
-  EXPECT_GT(harness.actions_of<RejectRequest>()[0].retry_after, 0);
-  EXPECT_LE(harness.actions_of<RejectRequest>()[0].retry_after, 700 * kMillisecond);
+  EXPECT_GT(harness.actions_of<RejectRequest>()[0].retry_after, 0ms);
+  EXPECT_LE(harness.actions_of<RejectRequest>()[0].retry_after, 700ms);
 }
 
 TEST(RouterRejection, RejectsWritesAtHalfOfTheirTimeDuringElectionOnly) {
@@ -32,20 +32,20 @@
     harness.list_healthy_group();
     const std::string first = harness.send_request(kPlainWrite);
     const std::string second = harness.send_request(kPlainWrite);
-    harness.now += 10 * kMillisecond;
+    harness.now += 10ms;
     if (election) {
       harness.reject_write_as_replica(first);
     } else {  // The primary is only suspected.
       harness.end_attempt(first, 1, AttemptStatus::Reset, RequestState::Finished);
       harness.end_attempt(second, 1, AttemptStatus::Reset, RequestState::Finished);
     }
-    harness.run_timers_for(1100 * kMillisecond);
+    harness.run_timers_for(1100ms);
     for (int i = 0; i < 30; ++i)
       harness.send_request(kPlainWrite);  // One in 100 ms looks for the primary, the rest waits.
 
-    harness.run_timers_for(900 * kMillisecond);
+    harness.run_timers_for(900ms);
     EXPECT_TRUE(harness.actions_of<RejectRequest>().empty());
-    harness.run_timers_for(100 * kMillisecond);
+    harness.run_timers_for(100ms);
     EXPECT_EQ(harness.actions_of<RejectRequest>().size() >= 15, election)
         << harness.actions_of<RejectRequest>().size();
   }
--- a/tests/router/router_replication_position_test.cpp
+++ b/tests/router/router_replication_position_test.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 /// The answer of primary 1 to a write that was committed at `commit_position`.
-AttemptResult make_write_result(const std::string& request_id, Nanos commit_position,
-                                Nanos elapsed) {
+AttemptResult make_write_result(const std::string& request_id, ReplicationPosition commit_position,
+                                Duration elapsed) {
   AttemptResult result;
   result.request_id = request_id;
   result.endpoint = 1;
@@ -21,8 +21,8 @@
 struct WriteThenRead {
   std::size_t write_class = kPlainWrite;
   std::optional<AttemptStatus> write_end;  ///< Empty: the write is still in flight.
-  Nanos write_elapsed = 30 * kMillisecond;
-  std::optional<Nanos> responses_known_after = 100 * kMillisecond;
+  Duration write_elapsed = 30ms;
+  std::optional<Duration> responses_known_after = 100ms;
 
   /// Whether a replica serves the read; if not, the read needs the write.
   [[nodiscard]] bool is_read_by_replica() const {
@@ -36,7 +36,7 @@
     harness.now += write_elapsed;
     if (write_end)
       harness.end_attempt(id, 1, *write_end, RequestState::Finished);
-    harness.now += 5 * kMillisecond;
+    harness.now += 5ms;
     harness.send_request(kSessionRead, 9);
     const EndpointId reader = harness.attempted_endpoint();
     harness.send_request(kSessionRead, 8);  // Another session, which wrote nothing.
@@ -48,9 +48,9 @@
 TEST(RouterReplicationPosition, SendsBoundedReadsOnlyToReplicasWithinTheirBound) {
   RouterHarness harness;
   harness.deliver_list({make_endpoint(1), make_endpoint(2), make_endpoint(3)});
-  harness.report_health(1, Role::Primary, 0);
-  harness.report_health(2, Role::Replica, 10 * kMillisecond);
-  harness.report_health(3, Role::Replica, 1500 * kMillisecond);
+  harness.report_health(1, Role::Primary, 0ms);
+  harness.report_health(2, Role::Replica, 10ms);
+  harness.report_health(3, Role::Replica, 1500ms);
 
   for (int i = 0; i < 40; ++i) {
     const std::string id = harness.send_request(kBoundedRead);
@@ -63,7 +63,7 @@
   RouterHarness harness;
   harness.list_healthy_group();
 
-  harness.now += 1100 * kMillisecond;  // Every known position is now older than the bound.
+  harness.now += 1100ms;  // Every known position is now older than the bound.
   harness.send_request(kBoundedRead);
 
   EXPECT_NE(harness.attempted_endpoint(), 2U);
@@ -74,12 +74,12 @@
 TEST(RouterReplicationPosition, SessionReadNeedsPositionOfItsToken) {
   RouterHarness harness;
   harness.deliver_list({make_endpoint(1), make_endpoint(2), make_endpoint(3)});
-  harness.report_health(1, Role::Primary, 0);
-  harness.report_health(2, Role::Replica, 500 * kMillisecond);
-  harness.report_health(3, Role::Replica, 10 * kMillisecond);
+  harness.report_health(1, Role::Primary, 0ms);
+  harness.report_health(2, Role::Replica, 500ms);
+  harness.report_health(3, Role::Replica, 10ms);
 
   for (std::uint64_t session = 1; session < 30; ++session) {
-    const std::string id = harness.send_request(kSessionRead, session, 100 * kMillisecond);
+    const std::string id = harness.send_request(kSessionRead, session, 100ms);
     EXPECT_EQ(harness.attempted_endpoint(), 3U);
     harness.answer(id, 3);
   }
@@ -93,14 +93,14 @@
 
   const std::string id = harness.send_request(kPlainWrite, 9);
   ASSERT_EQ(harness.attempted_endpoint(), 1U);
-  harness.now += 30 * kMillisecond;
-  harness.deliver(make_write_result(id, harness.now - 1 * kMillisecond, 0));
+  harness.now += 30ms;
+  harness.deliver(make_write_result(id, position_at(harness.now - 1ms), 0ms));
   harness.send_request(kSessionRead, 9);
 
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint)
       << "no replica is known to hold the session's write";
 
-  harness.report_health(3, Role::Replica, 0);
+  harness.report_health(3, Role::Replica, 0ms);
   EXPECT_EQ(harness.attempted_endpoint(), 3U);
 
   harness.send_request(kSessionRead, 8);  // Another session, which wrote nothing.
@@ -111,14 +111,14 @@
 // the session must see it, also where the write ended without an answer, or with one without a
 // commit.
 TEST(RouterReplicationPosition, SessionReadNeedsWriteWithUnknownResult) {
-  EXPECT_FALSE((WriteThenRead{kKeyedWrite, std::nullopt, 100 * kMillisecond}.is_read_by_replica()))
+  EXPECT_FALSE((WriteThenRead{kKeyedWrite, std::nullopt, 100ms}.is_read_by_replica()))
       << "the write is in flight and may have been answered";
   EXPECT_FALSE((WriteThenRead{kPlainWrite, AttemptStatus::Reset}.is_read_by_replica()));
   EXPECT_FALSE((WriteThenRead{kPlainWrite, AttemptStatus::Timeout}.is_read_by_replica()));
   EXPECT_FALSE((WriteThenRead{kPlainWrite, AttemptStatus::Error}.is_read_by_replica()));
   EXPECT_FALSE((WriteThenRead{kKeyedWrite, AttemptStatus::Ok}.is_read_by_replica()))
       << "answered without a commit position";
-  EXPECT_TRUE((WriteThenRead{kKeyedWrite, std::nullopt, 90 * kMillisecond}.is_read_by_replica()))
+  EXPECT_TRUE((WriteThenRead{kKeyedWrite, std::nullopt, 90ms}.is_read_by_replica()))
       << "in flight for less time than an answer takes to count as known";
   EXPECT_TRUE((WriteThenRead{kPlainWrite, AttemptStatus::NotSent}.is_read_by_replica()))
       << "it never ran";
@@ -127,8 +127,8 @@
 }
 
 TEST(RouterReplicationPosition, SessionReadNeedsOnlyAnsweredWritesWhereLostAnswersDoNotCount) {
-  const Nanos elapsed = 500 * kMillisecond;
-  const std::optional<Nanos> never;
+  const Duration elapsed = 500ms;
+  const std::optional<Duration> never;
   EXPECT_TRUE((WriteThenRead{kKeyedWrite, std::nullopt, elapsed, never}.is_read_by_replica()));
   EXPECT_TRUE(
       (WriteThenRead{kPlainWrite, AttemptStatus::Reset, elapsed, never}.is_read_by_replica()));
@@ -143,7 +143,7 @@
   harness.list_healthy_group();
   const auto write = [&harness](std::uint64_t session) {
     const std::string id = harness.send_request(kPlainWrite, session);
-    harness.deliver(make_write_result(id, harness.now, 10 * kMillisecond));
+    harness.deliver(make_write_result(id, position_at(harness.now), 10ms));
   };
 
   write(7);
@@ -151,7 +151,7 @@
   EXPECT_NE(harness.attempted_endpoint(), kNoEndpoint);
   EXPECT_NE(harness.attempted_endpoint(), 1U);
 
-  harness.now += 61'000 * kMillisecond;
+  harness.now += 61'000ms;
   write(9);
   // No replica has reported since, so none is known to hold what session 7 wrote.
   harness.send_request(kSessionRead, 8);
@@ -161,13 +161,13 @@
 TEST(RouterReplicationPosition, NeverReadsStaleReplicaWithoutStalenessChecks) {
   RouterHarness harness;
   harness.deliver_list({make_endpoint(1), make_endpoint(2)});
-  harness.report_health(1, Role::Primary, 0);
-  harness.report_health(2, Role::Replica, 5000 * kMillisecond);
+  harness.report_health(1, Role::Primary, 0ms);
+  harness.report_health(2, Role::Replica, 5000ms);
 
   for (int i = 0; i < 20; ++i) {
     harness.actions.clear();
     harness.send_request(kBoundedRead);
-    harness.run_timers_for(400 * kMillisecond);
+    harness.run_timers_for(400ms);
     for (const StartAttempt& attempt : harness.actions_of<StartAttempt>())
       EXPECT_EQ(attempt.endpoint, 1U);
   }
@@ -179,7 +179,7 @@
   RouterHarness harness(settings);
   harness.list_healthy_group();
 
-  harness.now += 20'000 * kMillisecond;
+  harness.now += 20'000ms;
   const std::string id = harness.send_request(kBoundedRead);
   ASSERT_NE(harness.attempted_endpoint(), kNoEndpoint);
   const EndpointId first = harness.attempted_endpoint();
--- a/tests/router/router_retry_test.cpp
+++ b/tests/router/router_retry_test.cpp
@@ -26,18 +26,18 @@
   RouterHarness harness;
   harness.list_healthy_group();
   const std::string id = harness.send_request(kKeyedWrite, 1);
-  harness.now += 100 * kMillisecond;
+  harness.now += 100ms;
   harness.end_attempt(id, 1, AttemptStatus::Error);
   EXPECT_EQ(harness.attempted_endpoint(), 1U) << "within the window the group drops the repeat";
-  harness.now += 1450 * kMillisecond;
-  harness.end_attempt(id, 1, AttemptStatus::Error, RequestState::Open, 1450 * kMillisecond, 1);
+  harness.now += 1450ms;
+  harness.end_attempt(id, 1, AttemptStatus::Error, RequestState::Open, 1450ms, 1);
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
   EXPECT_EQ(harness.actions_of<FailRequest>().size(), 1U)
       << "it cannot succeed any more, so the client gets its answer at once";
   EXPECT_TRUE(harness.actions_of<RejectRequest>().empty())
       << "a rejection would state that it may be sent again";
   harness.actions.clear();
-  harness.run_timers_for(600 * kMillisecond);
+  harness.run_timers_for(600ms);
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
   EXPECT_TRUE(harness.has_no_final_answer());
 }
@@ -77,10 +77,10 @@
   harness.end_attempt(keyed, 1, AttemptStatus::Error);
   ASSERT_EQ(harness.attempted_endpoint(), 1U);
   EXPECT_TRUE(is_allowed(keyed));
-  harness.now += 1490 * kMillisecond;
+  harness.now += 1490ms;
   EXPECT_TRUE(is_allowed(keyed)) << "the group drops repeats for 1.5 s";
   EXPECT_FALSE(is_allowed(bounded)) << "the known position is older than its bound";
-  harness.now += 10 * kMillisecond;
+  harness.now += 10ms;
   EXPECT_FALSE(is_allowed(keyed));
   EXPECT_TRUE(is_allowed(eventual));
   EXPECT_TRUE(harness.router.is_health_check_allowed(eventual_endpoint));
@@ -89,7 +89,7 @@
   EXPECT_FALSE(is_allowed(eventual));
   EXPECT_FALSE(harness.router.is_health_check_allowed(eventual_endpoint));
 
-  harness.now += 1000 * kMillisecond;
+  harness.now += 1000ms;
   EXPECT_FALSE(is_allowed(keyed)) << "its deadline has passed";
 }
 
--- a/tests/router/router_robustness_test.cpp
+++ b/tests/router/router_robustness_test.cpp
@@ -10,7 +10,7 @@
   RouterHarness harness;
   harness.deliver(ClientDisconnected{"nobody"});
   harness.answer("nobody", 99);
-  harness.deliver(HealthCheckResult{99, true, 0, {}});
+  harness.deliver(HealthCheckResult{99, true, 0ms, {}});
   harness.deliver(EndpointList{EndpointList::Kind::Failed, {}});
   harness.deliver_list({});
   Request request;
@@ -25,7 +25,7 @@
   RouterHarness harness;
   harness.list_healthy_group();
   harness.actions.clear();
-  harness.run_timers_for(5000 * kMillisecond);
+  harness.run_timers_for(5000ms);
   EXPECT_TRUE(harness.actions_of<SendHealthCheck>().empty());
   EXPECT_TRUE(harness.actions_of<SetTimer>().empty());
 }
@@ -40,7 +40,7 @@
         attempts += attempt.request_id + ">" + std::to_string(attempt.endpoint) + " ";
     };
     for (std::uint64_t i = 0; i < 50; ++i) {
-      const std::string id = harness.send_request(i % 5, i % 7, 30 * kMillisecond);
+      const std::string id = harness.send_request(i % 5, i % 7, 30ms);
       append_attempts();
       const EndpointId endpoint = harness.attempted_endpoint();
       if (endpoint != kNoEndpoint && i % 6 == 0)
@@ -48,7 +48,7 @@
       else if (endpoint != kNoEndpoint)
         harness.answer(id, endpoint);
       append_attempts();
-      harness.now += 3 * kMillisecond;
+      harness.now += 3ms;
     }
     return attempts;
   };
@@ -67,7 +67,7 @@
 
 TEST(RouterSettings, RejectsInvalidSettingByName) {
   Settings negative_staleness = default_settings();
-  negative_staleness.classes[kBoundedRead].max_staleness = -1;
+  negative_staleness.classes[kBoundedRead].max_staleness = -1ns;
   Settings no_attempts = default_settings();
   no_attempts.max_attempts = 0;
 
--- a/tests/router/router_role_evidence_test.cpp
+++ b/tests/router/router_role_evidence_test.cpp
@@ -9,12 +9,12 @@
   harness.list_healthy_group();
 
   const std::string id = harness.send_request(kPlainWrite, 1);
-  harness.now += 5 * kMillisecond;
+  harness.now += 5ms;
   harness.reject_write_as_replica(id);
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
 
-  harness.now += 200 * kMillisecond;
-  harness.report_health(3, Role::Primary, 0);
+  harness.now += 200ms;
+  harness.report_health(3, Role::Primary, 0ms);
   EXPECT_EQ(harness.attempted_endpoint(), 3U);
 }
 
@@ -24,13 +24,13 @@
 
   const std::string first = harness.send_request(kPlainWrite);
   ASSERT_EQ(harness.attempted_endpoint(), 1U);
-  harness.now += 20 * kMillisecond;
-  harness.reject_write_as_replica(first, {harness.now - 100 * kMillisecond, true});
+  harness.now += 20ms;
+  harness.reject_write_as_replica(first, {position_at(harness.now - 100ms), true});
   harness.send_request(kPlainWrite);
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
 
-  harness.now += 10 * kMillisecond;
-  harness.report_health(3, Role::Primary, 0);
+  harness.now += 10ms;
+  harness.report_health(3, Role::Primary, 0ms);
   EXPECT_EQ(harness.attempted_endpoint(), 3U);
 }
 
@@ -40,18 +40,18 @@
 
   const std::string read = harness.send_request(kStrongRead);
   ASSERT_EQ(harness.attempted_endpoint(), 1U);
-  harness.now += 50 * kMillisecond;
+  harness.now += 50ms;
   const std::string write = harness.send_request(kKeyedWrite);
   ASSERT_EQ(harness.attempted_endpoint(), 1U);
-  harness.now += 5 * kMillisecond;
+  harness.now += 5ms;
   harness.reject_write_as_replica(write);
-  harness.now += 5 * kMillisecond;
-  harness.answer(read, 1, 60 * kMillisecond);  // The role is that of its start.
+  harness.now += 5ms;
+  harness.answer(read, 1, 60ms);  // The role is that of its start.
   harness.send_request(kKeyedWrite);
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
 
-  harness.now += 30 * kMillisecond;
-  harness.report_health(1, Role::Primary, 0);
+  harness.now += 30ms;
+  harness.report_health(1, Role::Primary, 0ms);
   EXPECT_EQ(harness.attempted_endpoint(), 1U);
 }
 
@@ -61,7 +61,7 @@
 
   const std::string first = harness.send_request(kPlainWrite);
   const std::string second = harness.send_request(kPlainWrite);
-  harness.now += 200 * kMillisecond;
+  harness.now += 200ms;
   harness.end_attempt(first, 1, AttemptStatus::Reset);
   harness.send_request(kPlainWrite);
   EXPECT_EQ(harness.attempted_endpoint(), 1U) << "one reset is no fault of the primary";
@@ -69,8 +69,8 @@
   harness.send_request(kPlainWrite);
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
 
-  harness.now += 10 * kMillisecond;
-  harness.report_health(1, Role::Primary, 100 * kMillisecond);
+  harness.now += 10ms;
+  harness.report_health(1, Role::Primary, 100ms);
   EXPECT_EQ(harness.attempted_endpoint(), 1U);
 }
 
@@ -83,13 +83,13 @@
     harness.send_request(kPlainWrite);
     harness.send_request(kPlainWrite);
     // Neither is answered: the primary is ejected, and a recovery attempt is due in 500 ms.
-    harness.run_timers_for(300 * kMillisecond);
+    harness.run_timers_for(300ms);
 
     const std::string id = harness.send_request(kPlainWrite);
     for (int i = 0; i < 4; ++i) {
-      harness.run_timers_for(50 * kMillisecond);
+      harness.run_timers_for(50ms);
       if (reports_role)
-        harness.report_health(1, Role::Primary, 0);
+        harness.report_health(1, Role::Primary, 0ms);
     }
 
     EXPECT_EQ(harness.was_attempted(id, 1), reports_role);
--- a/tests/router/router_slow_start_test.cpp
+++ b/tests/router/router_slow_start_test.cpp
@@ -16,7 +16,7 @@
     ASSERT_NE(harness.attempted_endpoint(), kNoEndpoint);
     ++attempts[harness.attempted_endpoint()];
     harness.answer(id, harness.attempted_endpoint());
-    harness.now += 5 * kMillisecond;
+    harness.now += 5ms;
   }
 
   // Within these 1.5 s its capacity rises from 0.2 to 0.32.
@@ -32,8 +32,8 @@
   for (int router = 0; router < 100; ++router) {
     RouterHarness harness;
     harness.deliver_list({make_endpoint(1, harness.now), make_endpoint(3)});
-    harness.now += 20 * kMillisecond;
-    harness.report_health(1, Role::Primary, 0);
+    harness.now += 20ms;
+    harness.report_health(1, Role::Primary, 0ms);
     harness.next_request_number = router * 1000;  // Random choices follow from the id.
     for (int i = 0; i < 20; ++i) {
       const std::string id = harness.send_request(kStrongRead);
@@ -44,7 +44,7 @@
       } else {
         harness.deliver(ClientDisconnected{id});
       }
-      harness.now += 20 * kMillisecond;
+      harness.now += 20ms;
     }
   }
 
@@ -54,19 +54,18 @@
 }
 
 TEST(RouterSlowStart, EndpointBackAtOnceHasNotRestarted) {
-  for (const Nanos absence : {10 * kMillisecond, 400 * kMillisecond}) {
+  for (const Duration absence : {10ms, 400ms}) {
     Settings settings = default_settings();
-    settings.connect_timeout = 250 * kMillisecond;
+    settings.connect_timeout = 250ms;
     RouterHarness harness(settings);
     harness.list_healthy_group();
     const std::string first = harness.send_request(kPlainWrite);
     const std::string second = harness.send_request(kPlainWrite);
-    harness.now += 200 * kMillisecond;
-    harness.end_attempt(first, 1, AttemptStatus::Reset, RequestState::Finished, 1 * kMillisecond);
-    harness.end_attempt(second, 1, AttemptStatus::ConnectFailed, RequestState::Finished,
-                        1 * kMillisecond);
+    harness.now += 200ms;
+    harness.end_attempt(first, 1, AttemptStatus::Reset, RequestState::Finished, 1ms);
+    harness.end_attempt(second, 1, AttemptStatus::ConnectFailed, RequestState::Finished, 1ms);
     harness.now += absence;
-    harness.report_health(1, Role::Primary, 0);
+    harness.report_health(1, Role::Primary, 0ms);
 
     int attempts = 0;
     for (int i = 0; i < 40; ++i) {
@@ -78,15 +77,15 @@
     }
 
     // After a longer absence it may have restarted and gets fewer.
-    EXPECT_EQ(attempts == 40, absence < 300 * kMillisecond) << attempts;
+    EXPECT_EQ(attempts == 40, absence < 300ms) << attempts;
   }
 }
 
 /// Health checks prove little after time-outs, so endpoint 1 stays ejected until a read tries it.
 void wait_for_recovery_attempt(RouterHarness& harness) {
   for (int reads = 0; reads < 1000; ++reads) {
-    harness.run_timers_for(10 * kMillisecond);
-    harness.report_health(1, Role::Primary, 0);
+    harness.run_timers_for(10ms);
+    harness.report_health(1, Role::Primary, 0ms);
     const std::string id = harness.send_request(kEventualRead);
     const EndpointId endpoint = harness.attempted_endpoint();
     if (endpoint != kNoEndpoint)
@@ -101,27 +100,25 @@
 TEST(RouterSlowStart, SlowEndpointWithResetsHasNotRestarted) {
   for (const bool answers_between : {true, false}) {
     Settings settings = default_settings();
-    settings.slow_start_duration = 60'000 * kMillisecond;
+    settings.slow_start_duration = 60'000ms;
     RouterHarness harness(settings);
     harness.list_healthy_group();
     std::vector<std::string> writes;
     writes.reserve(4);
     for (int i = 0; i < 4; ++i)
       writes.push_back(harness.send_request(kPlainWrite));
-    harness.run_timers_for(700 * kMillisecond);  // None is answered: it is ejected.
-    harness.end_attempt(writes[0], 1, AttemptStatus::Reset, RequestState::Finished,
-                        700 * kMillisecond);
+    harness.run_timers_for(700ms);  // None is answered: it is ejected.
+    harness.end_attempt(writes[0], 1, AttemptStatus::Reset, RequestState::Finished, 700ms);
     if (answers_between) {
-      harness.answer(writes[1], 1, 700 * kMillisecond);
-      harness.run_timers_for(400 * kMillisecond);
+      harness.answer(writes[1], 1, 700ms);
+      harness.run_timers_for(400ms);
     }
-    harness.end_attempt(writes[2], 1, AttemptStatus::Reset, RequestState::Finished,
-                        700 * kMillisecond);
-    harness.now += (answers_between ? 400 : 100) * kMillisecond;
-    harness.report_health(1, Role::Primary, 0);
+    harness.end_attempt(writes[2], 1, AttemptStatus::Reset, RequestState::Finished, 700ms);
+    harness.now += answers_between ? 400ms : 100ms;
+    harness.report_health(1, Role::Primary, 0ms);
     ASSERT_NO_FATAL_FAILURE(wait_for_recovery_attempt(harness));
     // The slow answers are forgotten by then, and a slow start would still last.
-    harness.run_timers_for(20'000 * kMillisecond);
+    harness.run_timers_for(20'000ms);
 
     for (int i = 0; i < 40; ++i) {
       const std::string id = harness.send_request(kPlainWrite);
@@ -135,12 +132,12 @@
 TEST(RouterSlowStart, ConnectTimeoutIsNoRestart) {
   for (const bool refused : {false, true}) {
     Settings settings = default_settings();
-    settings.connect_timeout = 250 * kMillisecond;
+    settings.connect_timeout = 250ms;
     RouterHarness harness(settings);
     harness.list_healthy_group();
     // Two connections are refused at once, or one runs into the connect timeout.
     const int failures_wanted = refused ? 2 : 1;
-    const Nanos elapsed = refused ? 1 * kMillisecond : 250 * kMillisecond;
+    const Duration elapsed = refused ? 1ms : 250ms;
     int failures = 0;
     for (int reads = 0; failures < failures_wanted; ++reads) {
       ASSERT_LT(reads, 1000) << "one refused connection has ejected it";
@@ -152,8 +149,8 @@
       ++failures;
       harness.end_attempt(id, 3, AttemptStatus::ConnectFailed, RequestState::Finished, elapsed);
     }
-    harness.now += 350 * kMillisecond;
-    harness.report_health(3, Role::Replica, 0);
+    harness.now += 350ms;
+    harness.report_health(3, Role::Replica, 0ms);
 
     int attempts = 0;
     for (int i = 0; i < 300; ++i) {
--- a/tests/router/session_requirements_test.cpp
+++ b/tests/router/session_requirements_test.cpp
@@ -36,12 +36,14 @@
   const Settings settings = settings_with(SessionTokenSource::Client);
   const SessionRequirements sessions(settings);
   Request read = read_of_session();
-  EXPECT_EQ(sessions.token_for(read, settings.classes[kRead], 100), kUnknown);
-  read.session_token_age = 0;
-  EXPECT_EQ(sessions.token_for(read, settings.classes[kRead], 100), kUnknown) << "no write";
-  read.session_token_age = 30;
-  EXPECT_EQ(sessions.token_for(read, settings.classes[kRead], 100), 70);
-  EXPECT_EQ(sessions.token_for(read, settings.classes[kWrite], 100), kUnknown);
+  EXPECT_EQ(sessions.token_for(read, settings.classes[kRead], TimePoint(100ns)), kUnknownPosition);
+  read.session_token_age = 0ns;
+  EXPECT_EQ(sessions.token_for(read, settings.classes[kRead], TimePoint(100ns)), kUnknownPosition)
+      << "no write";
+  read.session_token_age = 30ns;
+  EXPECT_EQ(sessions.token_for(read, settings.classes[kRead], TimePoint(100ns)),
+            ReplicationPosition(70ns));
+  EXPECT_EQ(sessions.token_for(read, settings.classes[kWrite], TimePoint(100ns)), kUnknownPosition);
 }
 
 TEST(SessionRequirements, ASessionsReadsMustSeeItsAnsweredWrite) {
@@ -49,13 +51,15 @@
   SessionRequirements sessions(settings);
   const PendingRequest write = write_of_session();
   UpstreamAttempt attempt;
-  attempt.sent_at = 10;
+  attempt.sent_at = TimePoint(10ns);
   AttemptResult result;
-  result.replication_position = 15;
-  sessions.record_start(write, 10);
-  sessions.record_end(write, attempt, result, false, 20);
-  EXPECT_EQ(sessions.token_for(read_of_session(), settings.classes[kRead], 100), 15);
-  EXPECT_EQ(sessions.token_for({}, settings.classes[kRead], 100), kUnknown) << "another session";
+  result.replication_position = ReplicationPosition(15ns);
+  sessions.record_start(write, TimePoint(10ns));
+  sessions.record_end(write, attempt, result, false, TimePoint(20ns));
+  EXPECT_EQ(sessions.token_for(read_of_session(), settings.classes[kRead], TimePoint(100ns)),
+            ReplicationPosition(15ns));
+  EXPECT_EQ(sessions.token_for({}, settings.classes[kRead], TimePoint(100ns)), kUnknownPosition)
+      << "another session";
 }
 
 TEST(SessionRequirements, AWriteThatNeverRanBindsNoRead) {
@@ -64,24 +68,26 @@
   const PendingRequest write = write_of_session();
   AttemptResult result;
   result.status = AttemptStatus::Misdirected;
-  result.replication_position = 15;
-  sessions.record_start(write, 10);
-  sessions.record_end(write, {}, result, false, 20);
-  EXPECT_EQ(sessions.token_for(read_of_session(), settings.classes[kRead], 100), kUnknown);
+  result.replication_position = ReplicationPosition(15ns);
+  sessions.record_start(write, TimePoint(10ns));
+  sessions.record_end(write, {}, result, false, TimePoint(20ns));
+  EXPECT_EQ(sessions.token_for(read_of_session(), settings.classes[kRead], TimePoint(100ns)),
+            kUnknownPosition);
 }
 
 TEST(SessionRequirements, AWriteThatMayHaveRunBindsReadsUpToItsEnd) {
   Settings settings = settings_with(SessionTokenSource::Router);
-  settings.responses_known_after = 50;
+  settings.responses_known_after = 50ns;
   SessionRequirements sessions(settings);
   const PendingRequest write = write_of_session();
   UpstreamAttempt attempt;
-  attempt.sent_at = 10;
+  attempt.sent_at = TimePoint(10ns);
   AttemptResult result;
   result.status = AttemptStatus::Timeout;
-  sessions.record_start(write, 10);
-  sessions.record_end(write, attempt, result, true, 20);
-  EXPECT_EQ(sessions.token_for(read_of_session(), settings.classes[kRead], 100), 20);
+  sessions.record_start(write, TimePoint(10ns));
+  sessions.record_end(write, attempt, result, true, TimePoint(20ns));
+  EXPECT_EQ(sessions.token_for(read_of_session(), settings.classes[kRead], TimePoint(100ns)),
+            ReplicationPosition(20ns));
 }
 
 }  // namespace
--- a/tests/session_writes_test.cpp
+++ b/tests/session_writes_test.cpp
@@ -5,10 +5,9 @@
 namespace gorsebeam::session_tokens {
 namespace {
 
-constexpr Nanos kMillisecond = 1'000'000;
-constexpr Nanos kSecond = 1000 * kMillisecond;
-constexpr Nanos kKnownAfter = 100 * kMillisecond;
-constexpr Nanos kStart = 1000 * kSecond;
+constexpr Duration kMillisecond = 1ms;
+constexpr Duration kKnownAfter = 100ms;
+constexpr TimePoint kStart(1000s);
 constexpr std::uint64_t kSession = 7;
 constexpr std::uint64_t kOtherSession = 8;
 
@@ -20,35 +19,35 @@
 
 TEST(SessionWrites, RequiresTheCommitPositionOfTheSessionsOwnWrite) {
   SessionWrites writes(kKnownAfter);
-  const Nanos commit_position = kStart + 3 * kMillisecond;
+  const ReplicationPosition commit_position = position_at(kStart + 3ms);
 
   writes.begin_write(kSession, kStart);
-  writes.complete_write(kSession, kStart, WriteResult::Committed, commit_position,
-                        kStart + 5 * kMillisecond);
+  writes.complete_write(kSession, kStart, WriteResult::Committed, commit_position, kStart + 5ms);
 
-  EXPECT_EQ(writes.required_position(kSession, kStart + kSecond), commit_position);
-  EXPECT_EQ(writes.required_position(kOtherSession, kStart + kSecond), SessionWrites::kNoWrite);
+  EXPECT_EQ(writes.required_position(kSession, kStart + 1s), commit_position);
+  EXPECT_EQ(writes.required_position(kOtherSession, kStart + 1s), SessionWrites::kNoWrite);
 }
 
 TEST(SessionWrites, KeepsTheNewestPositionWhenAnOlderCommitCompletesLater) {
   SessionWrites writes(kKnownAfter);
-  const Nanos newer_position = kStart + 20;
+  const ReplicationPosition newer_position = position_at(kStart + 20ns);
 
-  writes.complete_write(kSession, kStart, WriteResult::Committed, newer_position, kStart + 30);
-  writes.complete_write(kSession, kStart, WriteResult::Committed, kStart + 10, kStart + 40);
+  writes.complete_write(kSession, kStart, WriteResult::Committed, newer_position, kStart + 30ns);
+  writes.complete_write(kSession, kStart, WriteResult::Committed, position_at(kStart + 10ns),
+                        kStart + 40ns);
 
-  EXPECT_EQ(writes.required_position(kSession, kStart + 50), newer_position);
+  EXPECT_EQ(writes.required_position(kSession, kStart + 50ns), newer_position);
 }
 
 TEST(SessionWrites, CountsACommitWithoutAPositionAsCommittedAtItsEnd) {
-  for (const std::optional<Nanos> known_after : {std::optional<Nanos>(kKnownAfter), {}}) {
+  for (const std::optional<Duration> known_after : {std::optional<Duration>(kKnownAfter), {}}) {
     SessionWrites writes(known_after);
-    const Nanos end = kStart + 5 * kMillisecond;
+    const TimePoint end = kStart + 5ms;
 
     writes.begin_write(kSession, kStart);
     writes.complete_write(kSession, kStart, WriteResult::Committed, std::nullopt, end);
 
-    EXPECT_EQ(writes.required_position(kSession, end), end);
+    EXPECT_EQ(writes.required_position(kSession, end), position_at(end));
   }
 }
 
@@ -56,19 +55,20 @@
   SessionWrites writes(kKnownAfter);
 
   writes.begin_write(kSession, kStart);
-  writes.complete_write(kSession, kStart, WriteResult::NotExecuted, kStart, kStart + kSecond);
+  writes.complete_write(kSession, kStart, WriteResult::NotExecuted, position_at(kStart),
+                        kStart + 1s);
 
-  EXPECT_EQ(writes.required_position(kSession, kStart + 2 * kSecond), SessionWrites::kNoWrite);
+  EXPECT_EQ(writes.required_position(kSession, kStart + 2s), SessionWrites::kNoWrite);
 }
 
 TEST(SessionWrites, CountsAWriteOfUnknownResultAsCommittedAtItsEndDespiteAPosition) {
   SessionWrites writes(kKnownAfter);
-  const Nanos end = kStart + kSecond;
+  const TimePoint end = kStart + 1s;
 
   writes.begin_write(kSession, kStart);
-  writes.complete_write(kSession, kStart, WriteResult::Unknown, kStart, end);
+  writes.complete_write(kSession, kStart, WriteResult::Unknown, position_at(kStart), end);
 
-  EXPECT_EQ(writes.required_position(kSession, end + kSecond), end);
+  EXPECT_EQ(writes.required_position(kSession, end + 1s), position_at(end));
 }
 
 TEST(SessionWrites, RequiresWhatMayBeKnownWhileAWriteIsInFlight) {
@@ -77,21 +77,24 @@
   writes.begin_write(kSession, kStart);
 
   EXPECT_EQ(writes.required_position(kSession, kStart + kKnownAfter), SessionWrites::kNoWrite);
-  EXPECT_EQ(writes.required_position(kSession, kStart + kKnownAfter + 1), kStart + 1);
-  EXPECT_EQ(writes.required_position(kSession, kStart + kSecond), kStart + kSecond - kKnownAfter);
+  EXPECT_EQ(writes.required_position(kSession, kStart + kKnownAfter + 1ns),
+            position_at(kStart + 1ns));
+  EXPECT_EQ(writes.required_position(kSession, kStart + 1s),
+            position_at(kStart + 1s - kKnownAfter));
 }
 
 TEST(SessionWrites, EndsOnlyTheAttemptThatBeganAtTheGivenTime) {
   SessionWrites writes(kKnownAfter);
-  const Nanos second_start = kStart + 50 * kMillisecond;
+  const TimePoint second_start = kStart + 50ms;
   writes.begin_write(kSession, kStart);
   writes.begin_write(kSession, second_start);
 
   writes.complete_write(kSession, kStart, WriteResult::NotExecuted, std::nullopt, second_start);
 
-  const Nanos known_second = second_start + kKnownAfter;
+  const TimePoint known_second = second_start + kKnownAfter;
   EXPECT_EQ(writes.required_position(kSession, known_second), SessionWrites::kNoWrite);
-  EXPECT_EQ(writes.required_position(kSession, known_second + 1), second_start + 1);
+  EXPECT_EQ(writes.required_position(kSession, known_second + 1ns),
+            position_at(second_start + 1ns));
 }
 
 TEST(SessionWrites, EndsOneOfTwoAttemptsThatBeganAtTheSameTime) {
@@ -101,47 +104,52 @@
 
   writes.complete_write(kSession, kStart, WriteResult::NotExecuted, std::nullopt, kStart);
 
-  EXPECT_EQ(writes.required_position(kSession, kStart + kSecond), kStart + kSecond - kKnownAfter);
+  EXPECT_EQ(writes.required_position(kSession, kStart + 1s),
+            position_at(kStart + 1s - kKnownAfter));
 }
 
 TEST(SessionWrites, RequiresNothingOfUnansweredWritesWhereOnlyResponsesCount) {
   SessionWrites writes(std::nullopt);
 
   writes.begin_write(kSession, kStart);
-  EXPECT_EQ(writes.required_position(kSession, kStart + kSecond), SessionWrites::kNoWrite);
-  writes.complete_write(kSession, kStart, WriteResult::Unknown, std::nullopt, kStart + kSecond);
+  EXPECT_EQ(writes.required_position(kSession, kStart + 1s), SessionWrites::kNoWrite);
+  writes.complete_write(kSession, kStart, WriteResult::Unknown, std::nullopt, kStart + 1s);
 
-  EXPECT_EQ(writes.required_position(kSession, kStart + 2 * kSecond), SessionWrites::kNoWrite);
+  EXPECT_EQ(writes.required_position(kSession, kStart + 2s), SessionWrites::kNoWrite);
 }
 
 TEST(SessionWrites, HoldsAForgottenSessionToTheNewestForgottenPosition) {
   SessionWrites writes(kKnownAfter);
-  writes.complete_write(kSession, kStart, WriteResult::Committed, kStart, kStart);
+  writes.complete_write(kSession, kStart, WriteResult::Committed, position_at(kStart), kStart);
 
-  const Nanos retained = kStart + SessionWrites::kRetention;
-  writes.complete_write(kOtherSession, retained, WriteResult::Committed, retained, retained);
+  const TimePoint retained = kStart + SessionWrites::kRetention;
+  writes.complete_write(kOtherSession, retained, WriteResult::Committed, position_at(retained),
+                        retained);
   EXPECT_EQ(writes.required_position(99, retained), SessionWrites::kNoWrite);
-  writes.complete_write(kOtherSession, retained, WriteResult::Committed, retained, retained + 1);
+  writes.complete_write(kOtherSession, retained, WriteResult::Committed, position_at(retained),
+                        retained + 1ns);
 
-  EXPECT_EQ(writes.required_position(kSession, retained), kStart);
-  EXPECT_EQ(writes.required_position(99, retained), kStart);  // any session without a position
-  EXPECT_EQ(writes.required_position(kOtherSession, retained), retained);
+  EXPECT_EQ(writes.required_position(kSession, retained), position_at(kStart));
+  EXPECT_EQ(writes.required_position(99, retained),
+            position_at(kStart));  // any session without a position
+  EXPECT_EQ(writes.required_position(kOtherSession, retained), position_at(retained));
 }
 
 TEST(SessionWrites, ForgetsTheOldestSessionBeyondTheMaximum) {
   SessionWrites writes(kKnownAfter);
   for (std::uint64_t session = 0; session < SessionWrites::kMaxSessions; ++session) {
-    const Nanos position = kStart + static_cast<Nanos>(session);
-    writes.complete_write(session, position, WriteResult::Committed, position, position);
+    const TimePoint time = kStart + Duration(session);
+    writes.complete_write(session, time, WriteResult::Committed, position_at(time), time);
   }
   const std::uint64_t unknown_session = SessionWrites::kMaxSessions + 1;
   EXPECT_EQ(writes.required_position(unknown_session, kStart), SessionWrites::kNoWrite);
 
-  const Nanos last = kStart + static_cast<Nanos>(SessionWrites::kMaxSessions);
-  writes.complete_write(SessionWrites::kMaxSessions, last, WriteResult::Committed, last, last);
+  const TimePoint last = kStart + Duration(SessionWrites::kMaxSessions);
+  writes.complete_write(SessionWrites::kMaxSessions, last, WriteResult::Committed,
+                        position_at(last), last);
 
-  EXPECT_EQ(writes.required_position(unknown_session, last), kStart);
-  EXPECT_EQ(writes.required_position(1, last), kStart + 1);
+  EXPECT_EQ(writes.required_position(unknown_session, last), position_at(kStart));
+  EXPECT_EQ(writes.required_position(1, last), position_at(kStart + 1ns));
 }
 
 }  // namespace
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -15,6 +15,7 @@
 using gorsebeam::settings::FileError;
 using gorsebeam::settings::FormatError;
 using gorsebeam::settings::JsonObjectReader;
+using namespace std::chrono_literals;
 
 const char* const kProfile = R"({
   "classes": [
@@ -50,17 +51,17 @@
   const DeploymentProfile profile = read_profile(kProfile);
   ASSERT_EQ(profile.settings.classes.size(), 2U);
   const gorsebeam::RequestClass& any = profile.settings.classes[0];
-  EXPECT_EQ(any.latency_objective, 100);
-  EXPECT_EQ(any.deadline, 500);
+  EXPECT_EQ(any.latency_objective, 100ns);
+  EXPECT_EQ(any.deadline, 500ns);
   EXPECT_EQ(any.consistency, gorsebeam::ConsistencyLevel::BoundedStaleness);
-  EXPECT_EQ(any.max_staleness, 40);
+  EXPECT_EQ(any.max_staleness, 40ns);
   EXPECT_EQ(any.priority_weight, 2);
   EXPECT_EQ(any.late_weight_fraction, 0.5);
   const gorsebeam::RequestClass& save = profile.settings.classes[1];
   EXPECT_EQ(save.consistency, gorsebeam::ConsistencyLevel::Write);
   EXPECT_EQ(save.idempotency, gorsebeam::Idempotency::IdempotencyKey);
   EXPECT_EQ(save.deduplication_scope, gorsebeam::DeduplicationScope::Group);
-  EXPECT_EQ(save.deduplication_window, 7);
+  EXPECT_EQ(save.deduplication_window, 7ns);
   EXPECT_EQ(profile.classes.at("save"), 1U);
 }
 
@@ -74,8 +75,8 @@
   EXPECT_EQ(profile.settings.load_report_source, gorsebeam::LoadReportSource::Responses);
   EXPECT_TRUE(profile.settings.load_reports_hold_roles);
   EXPECT_FALSE(profile.settings.load_reports_hold_positions);
-  EXPECT_EQ(profile.replication_epoch, 9);
-  EXPECT_EQ(profile.keepalive, 30);
+  EXPECT_EQ(profile.replication_epoch, gorsebeam::ReplicationPosition(9ns));
+  EXPECT_EQ(profile.keepalive, 30ns);
 }
 
 TEST(DeploymentProfile, NamesTheFieldAtFault) {
@@ -114,7 +115,7 @@
 TEST(SettingsValidation, NamesTheSettingAtFault) {
   gorsebeam::Settings settings = read_profile(kProfile).settings;
   EXPECT_NO_THROW(gorsebeam::settings::validate_settings(settings));
-  settings.classes[1].deadline = 1;
+  settings.classes[1].deadline = 1ns;
   try {
     gorsebeam::settings::validate_settings(settings);
     ADD_FAILURE() << "no error";
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -62,10 +62,8 @@
 namespace {
 
 using namespace gorsebeam;
-constexpr Nanos kMillisecond = 1'000'000;
-constexpr Nanos kSecond = 1000 * kMillisecond;
-constexpr Nanos kBusyTime = 240 * kSecond;
-constexpr Nanos kIdleTime = 150 * kSecond;  // nothing is kept for over two minutes
+constexpr Duration kBusyTime = 240s;
+constexpr Duration kIdleTime = 150s;  // nothing is kept for over two minutes
 constexpr int kGroups = 8;
 constexpr int kEndpointsPerGroup = 4;
 
@@ -77,11 +75,11 @@
 
   int answers = 0;
 
-  proxy::Parts body(Nanos) override { return {"SELECT"}; }
+  proxy::Parts body(Duration) override { return {"SELECT"}; }
 
   void respond(const proxy::Parts&) override { ++answers; }
 
-  void reject(Nanos) override { ++answers; }
+  void reject(Duration) override { ++answers; }
 
   void fail() override { ++answers; }
 };
@@ -107,12 +105,12 @@
 
   /// Runs a busy time with faults, then idle time.
   void run_round() {
-    const Nanos start = net::now();
-    for (Nanos at = start; at < start + kBusyTime; at += 20 * kMillisecond)
+    const TimePoint start = net::now();
+    for (TimePoint at = start; at < start + kBusyTime; at += 20ms)
       virtual_time::schedule(at, [this] {
         send_request();
       });
-    for (Nanos at = start + kSecond; at < start + kBusyTime; at += 3 * kSecond)
+    for (TimePoint at = start + 1s; at < start + kBusyTime; at += 3s)
       virtual_time::schedule(at, [this] {
         inject_fault();
       });
@@ -136,10 +134,10 @@
       c.name = name;
       c.consistency = level;
       c.idempotency = idempotency;
-      c.latency_objective = 300 * kMillisecond;
-      c.deadline = 1000 * kMillisecond;
-      c.max_staleness = 200 * kMillisecond;
-      c.deduplication_window = 2 * kSecond;
+      c.latency_objective = 300ms;
+      c.deadline = 1000ms;
+      c.max_staleness = 200ms;
+      c.deduplication_window = 2s;
       c.deduplication_scope = DeduplicationScope::Group;
       s.classes.push_back(c);
     };
@@ -153,9 +151,9 @@
     s.load_reports_hold_roles = true;
     s.max_attempts = 4;
     s.listed_role = ListedRole::AtStart;
-    s.slow_start_duration = 10 * kSecond;
+    s.slow_start_duration = 10s;
     s.slow_start_initial_capacity = 0.2;
-    s.overload_duration = kSecond;
+    s.overload_duration = 1s;
     s.overload_factor = 2;
     return s;
   }
@@ -185,7 +183,7 @@
     endpoint.listed.endpoint.group = group;
     endpoint.listed.endpoint.zone = last_name_ % 3 ? "a" : "b";
     endpoint.listed.endpoint.started_at =
-        last_name_ > kGroups * kEndpointsPerGroup ? net::now() : 0;
+        last_name_ > kGroups * kEndpointsPerGroup ? net::now() : TimePoint{};
     endpoint.listed.endpoint.listed_as_primary = is_primary;
     endpoint.is_primary = is_primary;
     return endpoint;
@@ -237,24 +235,24 @@
     const std::string id = request.id;
     request.class_index = random_() % 5;
     request.group = group;
-    request.deadline = net::now() + static_cast<Nanos>(400 + random_() % 600) * kMillisecond;
+    request.deadline = net::now() + std::chrono::milliseconds(400 + random_() % 600);
     if (request.class_index == 2 || request.class_index == 4)
       request.session = next_session();
     auto client = std::make_shared<CountingCall>();
-    const Nanos deadline = request.deadline;
+    const TimePoint deadline = request.deadline;
     if (!broker_->begin_request(std::move(request), *client)) {
       ++unanswered;
       return;
     }
     if (draw() < 0.05) {
-      virtual_time::schedule(net::now() + 30 * kMillisecond, [this, client, id] {
+      virtual_time::schedule(net::now() + 30ms, [this, client, id] {
         if (client->answers > 0)
           return;
         broker_->client_disconnected(id);
         ++client->answers;  // it needs no other
       });
     }
-    virtual_time::schedule(deadline + 50 * kMillisecond, [this, client] {
+    virtual_time::schedule(deadline + 50ms, [this, client] {
       if (client->answers == 0)
         ++unanswered;
       if (client->answers > 1)
@@ -278,7 +276,7 @@
     proxy::UpstreamResponse response;
     response.status = AttemptStatus::Ok;
     response.role = endpoint.is_primary ? Role::Primary : Role::Replica;
-    response.replication_position = net::now() - (endpoint.is_primary ? 0 : 20 * kMillisecond);
+    response.replication_position = position_at(net::now() - (endpoint.is_primary ? 0ms : 20ms));
     response.load_report = {response.replication_position, endpoint.is_primary};
     return response;
   }
@@ -295,13 +293,13 @@
   }
 
   void start_attempt(proxy::AttemptId attempt, EndpointId endpoint, proxy::ClientCall&,
-                     Nanos deadline) override {
+                     TimePoint deadline) override {
     const double luck = draw();
     in_flight_.insert(attempt);
-    const Nanos duration = static_cast<Nanos>(10 + random_() % 60) * kMillisecond;
+    const Duration duration = std::chrono::milliseconds(10 + random_() % 60);
     const SimulatedEndpoint* target = find(endpoint);
     const bool times_out = target != nullptr && (target->is_silent || luck < 0.03);
-    const Nanos end = times_out ? deadline : std::min(deadline, net::now() + duration);
+    const TimePoint end = times_out ? deadline : std::min(deadline, net::now() + duration);
     virtual_time::schedule(end, [this, attempt, endpoint, luck, times_out] {
       end_attempt(attempt, endpoint, luck, times_out);
     });
@@ -322,7 +320,7 @@
   }
 
   void start_health_check(EndpointId endpoint) override {
-    virtual_time::schedule(net::now() + 5 * kMillisecond, [this, endpoint] {
+    virtual_time::schedule(net::now() + 5ms, [this, endpoint] {
       const SimulatedEndpoint* source = find(endpoint);
       broker_->complete_health_check(endpoint, source && !source->is_silent
                                                    ? make_response(*source)
--- a/tests/soak/virtual_time.cpp
+++ b/tests/soak/virtual_time.cpp
@@ -9,21 +9,22 @@
 
 namespace {
 
-constexpr std::int64_t kStart = 1'767'225'600'000'000'000;  // any time long after 1970
+constexpr gorsebeam::TimePoint
+    kStart(std::chrono::seconds(1'767'225'600));  // any time long after 1970
 
-std::int64_t current_time = kStart;
+gorsebeam::TimePoint current_time = kStart;
 std::uint64_t last_place = 0;
-std::map<std::pair<std::int64_t, std::uint64_t>, std::function<void()>> steps;
+std::map<std::pair<gorsebeam::TimePoint, std::uint64_t>, std::function<void()>> steps;
 
 }  // namespace
 
 namespace virtual_time {
 
-void schedule(std::int64_t when, std::function<void()> step) {
+void schedule(gorsebeam::TimePoint when, std::function<void()> step) {
   steps[{when, ++last_place}] = std::move(step);
 }
 
-void run_until(std::int64_t when) {
+void run_until(gorsebeam::TimePoint when) {
   while (!steps.empty() && steps.begin()->first.first <= when) {
     current_time = std::max(current_time, steps.begin()->first.first);
     const auto step = std::move(steps.begin()->second);
@@ -41,17 +42,17 @@
 
 namespace gorsebeam::net {
 
-std::int64_t now() {
+TimePoint now() {
   return current_time;
 }
 
-std::int64_t earliest_arrival() {
+TimePoint earliest_arrival() {
   return current_time;  // nothing holds the loop up
 }
 
 Timer::Timer(std::function<void()> action) : action_(std::move(action)) {}
 
-void Timer::at(std::int64_t when) {
+void Timer::at(TimePoint when) {
   stop();
   queue_key_ = {when, ++last_place};
   steps[queue_key_] = [this] {
--- a/tests/timer_test.cpp
+++ b/tests/timer_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using gorsebeam::net::Timer;
-constexpr std::int64_t kMs = 1'000'000;
+using namespace std::chrono_literals;
 
 int poll_calls = 0;
 
@@ -23,11 +23,11 @@
   int fired = 0;
   Timer other([] {});
   Timer timer([&] {
-    other.after(60'000 * kMs);
+    other.after(60'000ms);
     if (++fired < 50)
-      timer.after(2 * kMs);
+      timer.after(2ms);
   });
-  timer.after(2 * kMs);
+  timer.after(2ms);
   while (fired < 50)
     g_main_context_iteration(nullptr, TRUE);
   g_main_context_set_poll_func(nullptr, nullptr);
@@ -45,14 +45,14 @@
   Timer first([&] {
     order += 'a';
     stopped.stop();
-    third.after(-1);
+    third.after(-1ns);
   });
   Timer second([&] {
     order += 'b';
   });
-  first.after(-1);
-  second.after(-1);
-  stopped.after(-1);
+  first.after(-1ns);
+  second.after(-1ns);
+  stopped.after(-1ns);
   g_main_context_iteration(nullptr, TRUE);
   EXPECT_EQ(order, "ab");
   g_main_context_iteration(nullptr, TRUE);
@@ -65,7 +65,7 @@
   Timer late([&] {
     order += 't';
   });
-  late.after(-1000 * kMs);
+  late.after(-1000ms);
   // Attached behind the timers' own source, as every socket is.
   g_idle_add_full(
       G_PRIORITY_DEFAULT,
--- a/tests/upstream_protocol_test.cpp
+++ b/tests/upstream_protocol_test.cpp
@@ -26,16 +26,17 @@
 }
 
 TEST(PostgresUpstream, ReadsReportPositionsInSecondsOrMilliseconds) {
-  const Nanos at = net::now() / 1'000'000 * 1'000'000 - 150'000'000;
-  const std::string ms = std::to_string(at / 1'000'000);
+  const auto at = std::chrono::floor<std::chrono::milliseconds>(net::now()) - 150ms;
+  const std::string ms = std::to_string(at.time_since_epoch().count());
   const LoadReport seconds = report_of("x0=" + ms.substr(0, 10) + "." + ms.substr(10) + ",x1=1");
   ASSERT_TRUE(seconds.replication_position);
-  EXPECT_NEAR(static_cast<double>(*seconds.replication_position), static_cast<double>(at), 1e6);
+  EXPECT_NEAR(to_double(seconds.replication_position->time_since_epoch()),
+              to_double(at.time_since_epoch()), 1e6);
   EXPECT_TRUE(seconds.is_primary.value_or(false));
   const LoadReport milliseconds = report_of("x0=" + ms + ",x1=0");
   ASSERT_TRUE(milliseconds.replication_position);
-  EXPECT_NEAR(static_cast<double>(*milliseconds.replication_position), static_cast<double>(at),
-              1e6);
+  EXPECT_NEAR(to_double(milliseconds.replication_position->time_since_epoch()),
+              to_double(at.time_since_epoch()), 1e6);
   EXPECT_FALSE(milliseconds.is_primary.value_or(true));
 }
 
--- a/tests/version_tracker_digest_test.cpp
+++ b/tests/version_tracker_digest_test.cpp
@@ -59,9 +59,9 @@
       add(accepted.running.generation);
       add(accepted.running.content_hash);
       add(accepted.running.source);
-      add(static_cast<std::uint64_t>(accepted.running.accepted_at));
+      add(static_cast<std::uint64_t>(accepted.running.accepted_at.time_since_epoch().count()));
     }
-    add(static_cast<std::uint64_t>(tracker.next_deadline()));
+    add(static_cast<std::uint64_t>(tracker.next_deadline().time_since_epoch().count()));
     add(static_cast<std::uint64_t>(tracker.is_streaming()));
     add(tracker.address());
   }
@@ -230,11 +230,11 @@
       return update_settings();
     case 7:
     case 8:
-      now_ = std::max(now_, std::min(tracker_->next_deadline(), now_ + 60'000 * kMs));
+      now_ = std::max(now_, std::min(tracker_->next_deadline(), now_ + 60'000ms));
       return tracker_->on_timer(now_, actions_);
     case 9:
     case 10:
-      now_ += static_cast<Nanos>(draw(200)) * kMs;
+      now_ += std::chrono::milliseconds(draw(200));
       return tracker_->on_timer(now_, actions_);
     default:
       return tracker_->on_response(now_, draw_response(), actions_);
@@ -249,8 +249,8 @@
   void update_settings() {
     if (draw(4) == 0)
       settings_.stream.addresses.assign(draw(3), "b" + std::to_string(draw(9)));
-    settings_.dependency_timeout = static_cast<Nanos>(1000 + draw(3000)) * kMs;
-    settings_.stream.silence = static_cast<Nanos>(5000 + draw(5000)) * kMs;
+    settings_.dependency_timeout = std::chrono::milliseconds(1000 + draw(3000));
+    settings_.stream.silence = std::chrono::milliseconds(5000 + draw(5000));
     tracker_->update_settings(now_, settings_, actions_);
   }
 
@@ -266,7 +266,7 @@
   Settings settings_;
   std::unique_ptr<VersionTracker> tracker_;
   Actions actions_;
-  Nanos now_ = 1000 * kMs;
+  TimePoint now_{1000ms};
   std::uint64_t nonces_ = 0;
   std::uint64_t next_generation_ = 0;
 };
--- a/tests/version_tracker_fixture.h
+++ b/tests/version_tracker_fixture.h
@@ -12,8 +12,6 @@
 
 namespace gorsebeam::config_versions {
 
-constexpr Nanos kMs = 1'000'000;
-
 inline Body make_body(int value) {
   return std::make_shared<const int>(value);
 }
--- a/tests/version_tracker_history_test.cpp
+++ b/tests/version_tracker_history_test.cpp
@@ -65,7 +65,7 @@
     case Event::Lose:
       return tracker_->on_stream_lost(now_, {StreamError::Code::Disconnected, "reset"}, actions_);
     case Event::Advance:
-      return advance_to(std::min(tracker_->next_deadline(), now_ + 1000 * kMs));
+      return advance_to(std::min(tracker_->next_deadline(), now_ + 1000ms));
     case Event::SendContracts1:
       return send(make_response(ResourceType::Contracts, 1, 1));
     case Event::SendContracts2:
@@ -81,7 +81,7 @@
     }
   }
 
-  void advance_to(Nanos time) {
+  void advance_to(TimePoint time) {
     now_ = std::max(now_, time);
     tracker_->on_timer(now_, actions_);
   }
@@ -144,7 +144,7 @@
   Settings settings_;
   std::unique_ptr<VersionTracker> tracker_;
   Actions actions_;
-  Nanos now_ = 1000 * kMs;
+  TimePoint now_{1000ms};
   /// Nonces of the present stream.
   std::set<std::string> unanswered_;
   std::map<std::string, DiscoveryResponse> responses_;
--- a/tests/version_tracker_test.cpp
+++ b/tests/version_tracker_test.cpp
@@ -45,7 +45,7 @@
     tracker_->on_stream_lost(now_, {StreamError::Code::Disconnected, error}, actions_);
   }
 
-  void advance(Nanos time) {
+  void advance(Duration time) {
     now_ += time;
     tracker_->on_timer(now_, actions_);
   }
@@ -87,7 +87,7 @@
   Settings settings_;
   std::unique_ptr<VersionTracker> tracker_;
   Actions actions_;
-  Nanos now_ = 1000 * kMs;
+  TimePoint now_{1000ms};
 };
 
 TEST_F(VersionTrackerTest, RejectsOlderGenerationsUnlessARollbackNamesTheNewest) {
@@ -113,7 +113,7 @@
             "generation 6 is older than 7, the newest accepted");
   EXPECT_EQ(answer(make_response(kLimits, 5, 1)), kAcknowledged);
   EXPECT_EQ(answer(make_response(kLimits, 8, 4)), kAcknowledged);
-  advance(50 * kMs);
+  advance(50ms);
   EXPECT_EQ(running(kLimits), 4);
 }
 
@@ -127,7 +127,7 @@
   tracker_->on_response(now_, members, actions_);
   EXPECT_EQ(answer_to(contracts), kAcknowledged);
   EXPECT_EQ(answer_to(members), kAcknowledged);
-  advance(50 * kMs);
+  advance(50ms);
   for (const ApplyConfiguration& applied : drain<ApplyConfiguration>()) {
     EXPECT_EQ(value_of(applied.bodies[0]), 3);
     EXPECT_EQ(value_of(applied.bodies[1]), 3);
@@ -142,9 +142,9 @@
 
   const DiscoveryResponse fewer_members = make_response(ResourceType::Members, 2, 1);
   EXPECT_EQ(answer(fewer_members), kUnanswered);
-  advance(settings_.dependency_timeout - 1);
+  advance(settings_.dependency_timeout - 1ns);
   EXPECT_EQ(answer_to(fewer_members), kUnanswered);
-  advance(1);
+  advance(1ns);
   EXPECT_EQ(answer_to(fewer_members), "group 3 has no member; nothing brought it in time");
   EXPECT_EQ(running(ResourceType::Members), 3);
 }
@@ -174,14 +174,14 @@
 
 TEST_F(VersionTrackerTest, AppliesABurstTogetherAndAnswersEachResponse) {
   create_streaming_tracker();
-  advance(100 * kMs);
+  advance(100ms);
   actions_.clear();
   for (int i = 1; i <= 200; ++i) {
     const auto generation = static_cast<std::uint64_t>(i);
     EXPECT_EQ(answer(make_response(ResourceType::Limits, generation, i)), kAcknowledged);
-    advance(5 * kMs);
+    advance(5ms);
   }
-  advance(50 * kMs);
+  advance(50ms);
   const std::vector<ApplyConfiguration> applied = drain<ApplyConfiguration>();
   EXPECT_LE(applied.size(), 22U);  // one second, at 50 ms each
   EXPECT_EQ(value_of(applied.back().bodies[2]), 200);
@@ -212,12 +212,13 @@
 TEST_F(VersionTrackerTest, BacksOffWithFullJitterUntilAResponseIsAccepted) {
   create_tracker(1);
   start();
-  Nanos longest = 0;
-  std::set<Nanos> delays;
+  Duration longest{};
+  std::set<Duration> delays;
   for (int i = 0; i < 200; ++i) {
     lose_stream("refused");
-    const Nanos delay = tracker_->next_deadline() - now_;
-    const Nanos doubled = settings_.stream.reconnect_first << std::min(i, 20);
+    const Duration delay = tracker_->next_deadline() - now_;
+    const Duration doubled =
+        settings_.stream.reconnect_first * (std::int64_t{1} << std::min(i, 20));
     EXPECT_LE(delay, std::min(settings_.stream.reconnect_max, doubled));
     longest = std::max(longest, delay);
     delays.insert(delay);
