--- a/src/router/router_state.cpp
+++ b/src/router/router_state.cpp
@@ -1,6 +1,6 @@
 #include "router/router_state.h"
 
-#include "settings/validation.h"
+#include "router/settings_validation.h"
 
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace {
 
 Settings checked(Settings settings) {
-  settings::validate_settings(settings);
+  validate_settings(settings);
   return settings;
 }
 
--- a/src/settings/validation.cpp
+++ b/src/router/settings_validation.cpp
@@ -1,9 +1,9 @@
-#include "validation.h"
+#include "router/settings_validation.h"
 
 #include <stdexcept>
 #include <string>
 
-namespace gorsebeam::settings {
+namespace gorsebeam::router {
 namespace {
 
 [[noreturn]] void throw_invalid(const std::string& message) {
@@ -33,4 +33,4 @@
     throw_invalid("cold_from is not within (0, 1]");
 }
 
-}  // namespace gorsebeam::settings
+}  // namespace gorsebeam::router
--- a/src/session_tokens/session_writes.h
+++ b/src/session_tokens/session_writes.h
@@ -12,8 +12,9 @@
 /// before its end.
 #pragma once
 
-#include "gorsebeam/router.h"
+#include "gorsebeam/types.h"
 
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <optional>
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,8 +1,8 @@
 /// The platform's settings: translation of names and words, ranges, and the text of errors.
 #include "settings/deployment_profile.h"
 
+#include "router/settings_validation.h"
 #include "settings/file_error.h"
-#include "settings/validation.h"
 
 #include <gtest/gtest.h>
 
@@ -113,10 +113,10 @@
 
 TEST(SettingsValidation, NamesTheSettingAtFault) {
   gorsebeam::Settings settings = read_profile(kProfile).settings;
-  EXPECT_NO_THROW(gorsebeam::settings::validate_settings(settings));
+  EXPECT_NO_THROW(gorsebeam::router::validate_settings(settings));
   settings.classes[1].deadline = 1;
   try {
-    gorsebeam::settings::validate_settings(settings);
+    gorsebeam::router::validate_settings(settings);
     ADD_FAILURE() << "no error";
   } catch (const std::invalid_argument& error) {
     EXPECT_STREQ(error.what(), "gorsebeam settings: classes.save.deadline is before its aim");
