--- a/src/mongo/bson.cpp
+++ b/src/mongo/bson.cpp
@@ -114,15 +114,15 @@
   }
 }
 
-bool well_formed(std::string_view document, int depth) {
+bool is_well_formed(std::string_view document, int depth) {
   Reader reader(document);
   Element element;
   while (reader.next(element)) {
     const bool is_nested = element.type == kTypeDocument || element.type == kTypeArray;
-    if (is_nested && (depth == 0 || !well_formed(element.value, depth - 1)))
+    if (is_nested && (depth == 0 || !is_well_formed(element.value, depth - 1)))
       return false;
   }
-  return !reader.malformed();
+  return !reader.is_malformed();
 }
 
 std::optional<Element> find(std::string_view document, std::string_view name) {
@@ -134,7 +134,7 @@
   return std::nullopt;
 }
 
-std::optional<std::int64_t> integer(const Element& element) {
+std::optional<std::int64_t> to_integer(const Element& element) {
   if (element.type == kTypeInt32)
     return static_cast<std::int32_t>(read_u32(element.value.data()));
   if (element.type == kTypeInt64)
@@ -149,10 +149,10 @@
   return static_cast<std::int64_t>(value);
 }
 
-std::optional<bool> truth(const Element& element) {
+std::optional<bool> to_bool(const Element& element) {
   if (element.type == kTypeBoolean)
     return element.value[0] != '\0';
-  if (const auto number = integer(element))
+  if (const auto number = to_integer(element))
     return *number != 0;
   return std::nullopt;
 }
@@ -163,41 +163,41 @@
   return elements_;
 }
 
-Writer& Writer::text(std::string_view name, std::string_view value) {
-  begin_element(kTypeString, name) += u32(static_cast<std::uint32_t>(value.size() + 1));
+Writer& Writer::append_string(std::string_view name, std::string_view value) {
+  begin_element(kTypeString, name) += encode_u32(static_cast<std::uint32_t>(value.size() + 1));
   elements_.append(value).push_back('\0');
   return *this;
 }
 
-Writer& Writer::document(std::string_view name, const std::string& value, char type) {
+Writer& Writer::append_document(std::string_view name, const std::string& value, char type) {
   begin_element(type, name) += value;
   return *this;
 }
 
-Writer& Writer::truth(std::string_view name, bool value) {
+Writer& Writer::append_bool(std::string_view name, bool value) {
   begin_element(kTypeBoolean, name) += value ? '\1' : '\0';
   return *this;
 }
 
-Writer& Writer::small(std::string_view name, std::int32_t value) {
-  begin_element(kTypeInt32, name) += u32(static_cast<std::uint32_t>(value));
+Writer& Writer::append_int32(std::string_view name, std::int32_t value) {
+  begin_element(kTypeInt32, name) += encode_u32(static_cast<std::uint32_t>(value));
   return *this;
 }
 
-Writer& Writer::real(std::string_view name, double value) {
+Writer& Writer::append_double(std::string_view name, double value) {
   std::int64_t bits = 0;
   std::memcpy(&bits, &value, sizeof bits);
-  return large(name, bits, kTypeDouble);
+  return append_int64(name, bits, kTypeDouble);
 }
 
-Writer& Writer::large(std::string_view name, std::int64_t value, char type) {
+Writer& Writer::append_int64(std::string_view name, std::int64_t value, char type) {
   begin_element(type, name) += wire::encode_u64_little_endian(static_cast<std::uint64_t>(value));
   return *this;
 }
 
-std::string Writer::take() const {
+std::string Writer::finish() const {
   const std::size_t size = elements_.size() + kMinDocumentSize;
-  return u32(static_cast<std::uint32_t>(size)) + elements_ + '\0';
+  return encode_u32(static_cast<std::uint32_t>(size)) + elements_ + '\0';
 }
 
 }  // namespace gorsebeam::mongo
--- a/src/mongo/bson.h
+++ b/src/mongo/bson.h
@@ -47,7 +47,7 @@
   return wire::read_u64_little_endian(bytes);
 }
 
-inline std::string u32(std::uint32_t value) {
+inline std::string encode_u32(std::uint32_t value) {
   return wire::encode_u32_little_endian(value);
 }
 
@@ -69,7 +69,7 @@
   /// Returns false at the end, and where the document is malformed.
   bool next(Element& element);
 
-  [[nodiscard]] bool malformed() const { return malformed_; }
+  [[nodiscard]] bool is_malformed() const { return malformed_; }
 
 private:
   enum class LengthCounts { ContentOnly, ItselfToo };
@@ -88,32 +88,33 @@
 };
 
 /// Whether all of a document can be read, nested documents up to `depth` levels included.
-bool well_formed(std::string_view document, int depth = 32);
+bool is_well_formed(std::string_view document, int depth = 32);
 
 std::optional<Element> find(std::string_view document, std::string_view name);
 
 /// The value of an int32, an int64 or a double without a fraction.
-std::optional<std::int64_t> integer(const Element& element);
+std::optional<std::int64_t> to_integer(const Element& element);
 
 /// The value of a boolean, or whether a number is not zero.
-std::optional<bool> truth(const Element& element);
+std::optional<bool> to_bool(const Element& element);
 
-/// Appends elements; `take` returns them as a document.
+/// Appends elements; `finish` returns them as a document.
 class Writer {
 public:
-  Writer& text(std::string_view name, std::string_view value);
-  Writer& document(std::string_view name, const std::string& value, char type = kTypeDocument);
-  Writer& truth(std::string_view name, bool value);
-  Writer& small(std::string_view name, std::int32_t value);
-  Writer& real(std::string_view name, double value);
+  Writer& append_string(std::string_view name, std::string_view value);
+  Writer& append_document(std::string_view name, const std::string& value,
+                          char type = kTypeDocument);
+  Writer& append_bool(std::string_view name, bool value);
+  Writer& append_int32(std::string_view name, std::int32_t value);
+  Writer& append_double(std::string_view name, double value);
 
   /// An int64, or a date or a timestamp by its `type`.
-  Writer& large(std::string_view name, std::int64_t value, char type = kTypeInt64);
+  Writer& append_int64(std::string_view name, std::int64_t value, char type = kTypeInt64);
 
   /// Without the length and the zero byte of a document.
   [[nodiscard]] const std::string& elements() const { return elements_; }
 
-  [[nodiscard]] std::string take() const;
+  [[nodiscard]] std::string finish() const;
 
 private:
   /// Appends the type and the name; the value is to be appended to the returned string.
--- a/src/mongo/codec.cpp
+++ b/src/mongo/codec.cpp
@@ -23,7 +23,8 @@
   content.remove_prefix(name_end + 1);
   while (!content.empty()) {
     const std::size_t size = content.size() < kMinDocumentSize ? 0 : read_u32(content.data());
-    if (size < kMinDocumentSize || size > content.size() || !well_formed(content.substr(0, size)))
+    if (size < kMinDocumentSize || size > content.size() ||
+        !is_well_formed(content.substr(0, size)))
       return false;
     content.remove_prefix(size);
   }
@@ -91,7 +92,7 @@
       return std::nullopt;
     offset += *size;
   }
-  if (message.body.data() == nullptr || !well_formed(message.body))
+  if (message.body.data() == nullptr || !is_well_formed(message.body))
     return std::nullopt;
   return message;
 }
@@ -108,28 +109,29 @@
     return std::nullopt;
   payload.remove_prefix(head_size);
   const std::size_t size = read_u32(payload.data());
-  if (size < kMinDocumentSize || size > payload.size() || !well_formed(payload.substr(0, size)))
+  if (size < kMinDocumentSize || size > payload.size() || !is_well_formed(payload.substr(0, size)))
     return std::nullopt;
   return payload.substr(0, size);
 }
 
 std::string encode_header(std::size_t payload_size, std::uint32_t request_id,
                           std::uint32_t response_to, std::uint32_t operation) {
-  return u32(static_cast<std::uint32_t>(kHeaderSize + payload_size)) + u32(request_id) +
-         u32(response_to) + u32(operation);
+  return encode_u32(static_cast<std::uint32_t>(kHeaderSize + payload_size)) +
+         encode_u32(request_id) + encode_u32(response_to) + encode_u32(operation);
 }
 
 std::string encode_op_msg(const std::string& document, std::uint32_t request_id,
                           std::uint32_t response_to) {
-  return encode_header(kFlagsSize + 1 + document.size(), request_id, response_to, kOpMsg) + u32(0) +
-         kBodySection + document;
+  return encode_header(kFlagsSize + 1 + document.size(), request_id, response_to, kOpMsg) +
+         encode_u32(0) + kBodySection + document;
 }
 
 std::string encode_op_reply(const std::string& document, std::uint32_t request_id,
                             std::uint32_t response_to) {
   // Flags, a cursor of 64 bits, where it starts, and the number of documents.
   return encode_header(kReplyHeadSize + document.size(), request_id, response_to, kOpReply) +
-         u32(kAwaitCapable) + u32(0) + u32(0) + u32(0) + u32(1) + document;
+         encode_u32(kAwaitCapable) + encode_u32(0) + encode_u32(0) + encode_u32(0) + encode_u32(1) +
+         document;
 }
 
 }  // namespace gorsebeam::mongo
--- a/src/mongo/command_comment.cpp
+++ b/src/mongo/command_comment.cpp
@@ -38,7 +38,7 @@
 std::string scalar_text(const Element& element) {
   if (element.type == kTypeString)
     return std::string(element.value);
-  const auto number = integer(element);
+  const auto number = to_integer(element);
   return number ? std::to_string(*number) : "";
 }
 
--- a/src/mongo/frontend.cpp
+++ b/src/mongo/frontend.cpp
@@ -66,10 +66,10 @@
 
 Writer error_reply(const CommandError& error) {
   return Writer()
-      .real("ok", 0)
-      .text("errmsg", error.text)
-      .small("code", error.code)
-      .text("codeName", error.name);
+      .append_double("ok", 0)
+      .append_string("errmsg", error.text)
+      .append_int32("code", error.code)
+      .append_string("codeName", error.name);
 }
 
 Writer over_limit_reply() {
@@ -125,13 +125,15 @@
     const OpMsg op_msg = read_op_msg(message.payload).value_or(OpMsg{});
     const proxy::Parts kept = kept_elements(op_msg.body);
     Writer added;
-    added.large("maxTimeMS", std::max<Nanos>(left / kMillisecond, 1));
+    added.append_int64("maxTimeMS", std::max<Nanos>(left / kMillisecond, 1));
     if (is_read_)
-      added.document("$readPreference", Writer().text("mode", "primaryPreferred").take());
+      added.append_document("$readPreference",
+                            Writer().append_string("mode", "primaryPreferred").finish());
     const std::string& added_elements = added.elements();
     const std::size_t size = kMinDocumentSize + total_size(kept) + added_elements.size();
     // Flags; then the kind and the length of the command; then the added elements and the end.
-    rewritten_ = u32(0) + '\0' + u32(static_cast<std::uint32_t>(size)) + added_elements + '\0';
+    rewritten_ =
+        encode_u32(0) + '\0' + encode_u32(static_cast<std::uint32_t>(size)) + added_elements + '\0';
     const std::string_view rewritten = rewritten_;
     proxy::Parts parts{rewritten.substr(0, 4), op_msg.before, rewritten.substr(4, 5)};
     parts.insert(parts.end(), kept.begin(), kept.end());
@@ -142,7 +144,8 @@
 
   void respond(const proxy::Parts& value) override {
     const std::size_t size = 4 + total_size(value);
-    const std::string head = encode_header(size, ++last_sent_id_, request_id_, kOpMsg) + u32(0);
+    const std::string head =
+        encode_header(size, ++last_sent_id_, request_id_, kOpMsg) + encode_u32(0);
     proxy::Parts parts{head};
     parts.insert(parts.end(), value.begin(), value.end());
     stream_->write(parts);
@@ -152,12 +155,14 @@
   void reject(Nanos retry_after) override {
     // Drivers send a write again on the first label, which is harmless; newer ones wait on the
     // second.
-    const std::string labels =
-        Writer().text("0", "RetryableWriteError").text("1", "SystemOverloadedError").take();
+    const std::string labels = Writer()
+                                   .append_string("0", "RetryableWriteError")
+                                   .append_string("1", "SystemOverloadedError")
+                                   .finish();
     Writer reply = error_reply({kRateLimitExceeded, kRateLimitExceededName, "refused: try again"});
-    reply.document("errorLabels", labels, kTypeArray);
+    reply.append_document("errorLabels", labels, kTypeArray);
     if (retry_after > 0)
-      reply.large("retryAfterMS", retry_after / kMillisecond);
+      reply.append_int64("retryAfterMS", retry_after / kMillisecond);
     send_reply(reply);
     finish();
   }
@@ -169,7 +174,7 @@
 
 private:
   void send_reply(const Writer& reply) {
-    stream_->write({encode_op_msg(reply.take(), ++last_sent_id_, request_id_)});
+    stream_->write({encode_op_msg(reply.finish(), ++last_sent_id_, request_id_)});
   }
 
   void finish() {
@@ -245,7 +250,7 @@
                              ? greet(*body)
                              : error_reply({kUnsupportedOpQuery, "UnsupportedOpQueryCommand",
                                             "only a greeting may be an OP_QUERY"});
-    stream_->write({encode_op_reply(reply.take(), ++last_sent_id_, request_id_)});
+    stream_->write({encode_op_reply(reply.finish(), ++last_sent_id_, request_id_)});
     stream_->input().consume(message_size_);
     if (is_over_limit())
       close_when_written(frontend::CloseReason::ErrorSent);
@@ -258,18 +263,21 @@
       team_ = std::move(*name);
     const auto max_size = static_cast<std::int32_t>(frontend_.limits().message_bytes);
     Writer reply;
-    reply.truth("helloOk", true).truth("ismaster", true).truth("isWritablePrimary", true);
-    reply.text("msg", "isdbgrid");  // a router: drivers leave the choice of the server to it
-    reply.small("maxBsonObjectSize", max_size);
-    reply.small("maxMessageSizeBytes", max_size);
-    reply.small("maxWriteBatchSize", kMaxWriteBatchSize);
-    reply.large("localTime", net::now() / kMillisecond, kTypeDate);
-    reply.small("logicalSessionTimeoutMinutes", kLogicalSessionTimeoutMinutes);
-    reply.small("connectionId", 1);
-    reply.small("minWireVersion", kMinWireVersion);
-    reply.small("maxWireVersion", kMaxWireVersion);
-    reply.truth("readOnly", false);
-    reply.real("ok", 1);
+    reply.append_bool("helloOk", true)
+        .append_bool("ismaster", true)
+        .append_bool("isWritablePrimary", true);
+    reply.append_string("msg",
+                        "isdbgrid");  // a router: drivers leave the choice of the server to it
+    reply.append_int32("maxBsonObjectSize", max_size);
+    reply.append_int32("maxMessageSizeBytes", max_size);
+    reply.append_int32("maxWriteBatchSize", kMaxWriteBatchSize);
+    reply.append_int64("localTime", net::now() / kMillisecond, kTypeDate);
+    reply.append_int32("logicalSessionTimeoutMinutes", kLogicalSessionTimeoutMinutes);
+    reply.append_int32("connectionId", 1);
+    reply.append_int32("minWireVersion", kMinWireVersion);
+    reply.append_int32("maxWireVersion", kMaxWireVersion);
+    reply.append_bool("readOnly", false);
+    reply.append_double("ok", 1);
     return reply;
   }
 
@@ -300,8 +308,8 @@
   void answer_locally(std::string_view command_name) {
     Writer reply;
     if (is_one_of(command_name, kBuildInfoCommands))
-      reply.text("version", "6.0.0");
-    send_reply(reply.real("ok", 1));
+      reply.append_string("version", "6.0.0");
+    send_reply(reply.append_double("ok", 1));
     stream_->input().consume(message_size_);
   }
 
@@ -358,7 +366,7 @@
     const Nanos now = net::now();
     Nanos allowed = settings.deadline;
     if (const auto limit = find(command, "maxTimeMS")) {
-      const auto limit_ms = integer(*limit);
+      const auto limit_ms = to_integer(*limit);
       if (!limit_ms || *limit_ms < 0 || *limit_ms > kMaxDeadlineMs)
         return parse_error("maxTimeMS is out of range");
       if (*limit_ms > 0)  // 0 means no limit in the protocol
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -17,12 +17,12 @@
 
 bool is_ok(std::string_view document) {
   const auto ok = find(document, "ok");
-  return ok && truth(*ok).value_or(false);
+  return ok && to_bool(*ok).value_or(false);
 }
 
 std::int32_t code_of(std::string_view document) {
   const auto code = find(document, "code");
-  return code ? static_cast<std::int32_t>(integer(*code).value_or(0)) : 0;
+  return code ? static_cast<std::int32_t>(to_integer(*code).value_or(0)) : 0;
 }
 
 /// The endpoint did not apply the command where the status is `Misdirected` (no primary, or too far
@@ -43,7 +43,7 @@
 
 bool is_set(std::string_view document, const char* name) {
   const auto element = find(document, name);
-  return element && truth(*element).value_or(false);
+  return element && to_bool(*element).value_or(false);
 }
 
 /// The time of the last write that a hello reply reports; nothing where it reports none.
@@ -94,13 +94,18 @@
   std::string greeting() override {
     const std::string client =
         Writer()
-            .document("application", Writer().text("name", "gorsebeam").take())
-            .document("driver", Writer().text("name", "gorsebeam").text("version", "1").take())
-            .document("os", Writer().text("type", "Linux").take())
-            .take();
-    return encode_op_msg(
-        Writer().small("hello", 1).text("$db", "admin").document("client", client).take(),
-        ++last_sent_id_, 0);
+            .append_document("application", Writer().append_string("name", "gorsebeam").finish())
+            .append_document(
+                "driver",
+                Writer().append_string("name", "gorsebeam").append_string("version", "1").finish())
+            .append_document("os", Writer().append_string("type", "Linux").finish())
+            .finish();
+    return encode_op_msg(Writer()
+                             .append_int32("hello", 1)
+                             .append_string("$db", "admin")
+                             .append_document("client", client)
+                             .finish(),
+                         ++last_sent_id_, 0);
   }
 
   ParseStep parse_greeting(std::string_view in, std::size_t& used, bool& turned_away) override {
@@ -127,7 +132,8 @@
 
   proxy::Parts probe() override {
     header_ =
-        encode_op_msg(Writer().small("hello", 1).text("$db", "admin").take(), ++last_sent_id_, 0);
+        encode_op_msg(Writer().append_int32("hello", 1).append_string("$db", "admin").finish(),
+                      ++last_sent_id_, 0);
     return {header_};
   }
 
--- a/tests/integration/mongo_protocol.cpp
+++ b/tests/integration/mongo_protocol.cpp
@@ -16,13 +16,13 @@
 
 using gorsebeam::mongo::Element;
 using gorsebeam::mongo::find;
-using gorsebeam::mongo::integer;
 using gorsebeam::mongo::Reader;
-using gorsebeam::mongo::truth;
+using gorsebeam::mongo::to_bool;
+using gorsebeam::mongo::to_integer;
 using gorsebeam::mongo::Writer;
 
 std::string encode_little_endian(std::uint32_t value) {
-  return gorsebeam::mongo::u32(value);
+  return gorsebeam::mongo::encode_u32(value);
 }
 
 std::string mongo_message(const std::string& document, std::uint32_t answers) {
@@ -37,9 +37,14 @@
 
   std::string client_greeting() const override {  // as drivers open: OP_QUERY on admin.$cmd
     const std::string application =
-        Writer().document("application", Writer().text("name", "portal").take()).take();
-    const std::string body =
-        Writer().small("isMaster", 1).truth("helloOk", true).document("client", application).take();
+        Writer()
+            .append_document("application", Writer().append_string("name", "portal").finish())
+            .finish();
+    const std::string body = Writer()
+                                 .append_int32("isMaster", 1)
+                                 .append_bool("helloOk", true)
+                                 .append_document("client", application)
+                                 .finish();
     const std::string rest = encode_little_endian(4) + std::string("admin.$cmd\0", 11) +
                              encode_little_endian(0) + encode_little_endian(0xffffffff) + body;
     return encode_little_endian(static_cast<std::uint32_t>(16 + rest.size())) +
@@ -48,22 +53,24 @@
 
   std::string encode_request(const Request& request) const override {
     Writer annotations;
-    annotations.text("id", request.id).text("c", request.service_class).text("cluster", "0");
+    annotations.append_string("id", request.id)
+        .append_string("c", request.service_class)
+        .append_string("cluster", "0");
     if (request.is_write)
-      annotations.text("k", request.idempotency_key);
+      annotations.append_string("k", request.idempotency_key);
     Writer command;
-    const std::string document = Writer().text("code", "7f").take();
+    const std::string document = Writer().append_string("code", "7f").finish();
     if (request.is_write)
-      command.text("insert", "facts")
-          .document("documents", Writer().document("0", document).take(), '\x04');
+      command.append_string("insert", "facts")
+          .append_document("documents", Writer().append_document("0", document).finish(), '\x04');
     else
-      command.text("find", "facts").document("filter", document);
-    command.small("maxTimeMS", request.timeout_ms)
-        .text("$db", "crm")
-        .document("comment", annotations.take());
-    command.document("$readPreference", Writer().text("mode", "primary").take());
-    command.document("lsid", Writer().text("id", "session-1").take());
-    return mongo_message(command.take(), 0);
+      command.append_string("find", "facts").append_document("filter", document);
+    command.append_int32("maxTimeMS", request.timeout_ms)
+        .append_string("$db", "crm")
+        .append_document("comment", annotations.finish());
+    command.append_document("$readPreference", Writer().append_string("mode", "primary").finish());
+    command.append_document("lsid", Writer().append_string("id", "session-1").finish());
+    return mongo_message(command.finish(), 0);
   }
 
   std::optional<ClientResult> decode_response(std::string& input,
@@ -74,16 +81,16 @@
       if (gorsebeam::mongo::read_u32(message.data() + 12) == 1)
         continue;  // OP_REPLY, to the greeting
       const std::string document = message.substr(21);
-      if (!gorsebeam::mongo::well_formed(document)) {
+      if (!gorsebeam::mongo::is_well_formed(document)) {
         report_callback_failure("the gateway sent a client a malformed document");
         return std::nullopt;
       }
       if (const auto by = find(document, "value"))
         value = by->value;
-      if (*truth(*find(document, "ok")))
+      if (*to_bool(*find(document, "ok")))
         return ClientResult::Served;
-      return *integer(*find(document, "code")) == 462 ? ClientResult::Rejected
-                                                      : ClientResult::Failed;
+      return *to_integer(*find(document, "code")) == 462 ? ClientResult::Rejected
+                                                         : ClientResult::Failed;
     }
     return std::nullopt;
   }
@@ -95,7 +102,7 @@
     const std::string message = input.substr(0, gorsebeam::mongo::read_u32(input.data()));
     input.erase(0, message.size());
     const std::string document = message.substr(21);
-    if (!gorsebeam::mongo::well_formed(document)) {
+    if (!gorsebeam::mongo::is_well_formed(document)) {
       report_callback_failure("the gateway sent an endpoint a malformed document");
       return false;
     }
@@ -104,20 +111,20 @@
     Reader(document).next(first);
     if (first.name == "hello") {
       const std::string last =
-          Writer().large("lastWriteDate", now_ms() - replication.lag_ms, '\x09').take();
+          Writer().append_int64("lastWriteDate", now_ms() - replication.lag_ms, '\x09').finish();
       reply = mongo_message(Writer()
-                                .truth("isWritablePrimary", replication.is_primary)
-                                .truth("secondary", !replication.is_primary)
-                                .document("lastWrite", last)
-                                .real("ok", 1)
-                                .take(),
+                                .append_bool("isWritablePrimary", replication.is_primary)
+                                .append_bool("secondary", !replication.is_primary)
+                                .append_document("lastWrite", last)
+                                .append_double("ok", 1)
+                                .finish(),
                             last_message_id_);
       return true;
     }
     const std::string_view annotations = find(document, "comment")->value;
     request = Request{
         std::string(find(annotations, "id")->value), std::string(find(annotations, "c")->value), "",
-        static_cast<int>(*integer(*find(document, "maxTimeMS"))), first.name == "insert"};
+        static_cast<int>(*to_integer(*find(document, "maxTimeMS"))), first.name == "insert"};
     if (const auto key = find(annotations, "k"))
       request->idempotency_key = key->value;
     // A replica responds only to reads that allow it.
@@ -131,9 +138,12 @@
   std::string encode_response(ScriptedResponse response, const ReplicationStatus& replication,
                               const std::string& value) const override {
     const auto error = [this](int code) {
-      return mongo_message(
-          Writer().real("ok", 0).text("errmsg", "scripted").small("code", code).take(),
-          last_message_id_);
+      return mongo_message(Writer()
+                               .append_double("ok", 0)
+                               .append_string("errmsg", "scripted")
+                               .append_int32("code", code)
+                               .finish(),
+                           last_message_id_);
     };
     switch (response) {
     case ScriptedResponse::RejectNotPrimary:
@@ -151,7 +161,8 @@
              encode_little_endian(last_message_id_) + encode_little_endian(2013) + "and so on";
     case ScriptedResponse::UnboundedResponse: {
       const std::string text(400'000, 'x');
-      return mongo_message(Writer().real("ok", 1).text("value", text).take(), last_message_id_);
+      return mongo_message(Writer().append_double("ok", 1).append_string("value", text).finish(),
+                           last_message_id_);
     }
     case ScriptedResponse::Garbage:
       return encode_little_endian(24) + encode_little_endian(1) +
@@ -160,25 +171,30 @@
       break;
     }
     const std::int64_t seconds = (now_ms() - replication.lag_ms) / 1000;
-    const std::string good =
-        mongo_message(Writer().real("ok", 1).text("value", value).take(), last_message_id_);
+    const std::string good = mongo_message(
+        Writer().append_double("ok", 1).append_string("value", value).finish(), last_message_id_);
     if (response == ScriptedResponse::Duplicate)
-      return good +
-             mongo_message(Writer().real("ok", 1).text("value", "a copy").take(), last_message_id_);
+      return good + mongo_message(
+                        Writer().append_double("ok", 1).append_string("value", "a copy").finish(),
+                        last_message_id_);
     if (response == ScriptedResponse::MalformedReport)
-      return mongo_message(
-          Writer().real("ok", 1).text("value", value).text("operationTime", "nonsense").take(),
-          last_message_id_);
+      return mongo_message(Writer()
+                               .append_double("ok", 1)
+                               .append_string("value", value)
+                               .append_string("operationTime", "nonsense")
+                               .finish(),
+                           last_message_id_);
     return mongo_message(Writer()
-                             .real("ok", 1)
-                             .text("value", value)
-                             .large("operationTime", seconds << 32 | 1, '\x11')
-                             .take(),
+                             .append_double("ok", 1)
+                             .append_string("value", value)
+                             .append_int64("operationTime", seconds << 32 | 1, '\x11')
+                             .finish(),
                          last_message_id_);
   }
 
   std::string encode_unsolicited_message() const override {
-    return mongo_message(Writer().real("ok", 1).text("value", "unasked").take(), last_message_id_);
+    return mongo_message(Writer().append_double("ok", 1).append_string("value", "unasked").finish(),
+                         last_message_id_);
   }
 
 private:
