--- a/src/mongo/bson.cpp
+++ b/src/mongo/bson.cpp
@@ -6,120 +6,151 @@
 namespace gorsebeam::mongo {
 namespace {
 
+using Bytes = std::optional<std::string_view>;
+
 constexpr std::size_t kLengthSize = 4;
 constexpr std::size_t kObjectIdSize = 12;
 constexpr std::size_t kDecimal128Size = 16;
+constexpr std::size_t kSubtypeSize = 1;
 constexpr double kMaxExactDouble = 9e15;  // integers up to about here are exact in a double
 
-}  // namespace
+/// Removes `size` bytes from the front of `rest` and returns them; nothing if there are fewer.
+Bytes read_bytes(std::string_view& rest, std::size_t size) {
+  if (size > rest.size())
+    return std::nullopt;
+  const std::string_view bytes = rest.substr(0, size);
+  rest.remove_prefix(size);
+  return bytes;
+}
 
-Reader::Reader(std::string_view document) {
-  malformed_ = document.size() < kMinDocumentSize || read_u32(document.data()) != document.size() ||
-               document.back() != '\0';
-  if (!malformed_)
-    rest_ = document.substr(kLengthSize, document.size() - kMinDocumentSize);
+/// Removes a zero-terminated text from the front of `rest` and returns it without the zero byte.
+Bytes read_cstring(std::string_view& rest) {
+  const std::size_t end = rest.find('\0');
+  if (end == std::string_view::npos)
+    return std::nullopt;
+  const std::string_view text = rest.substr(0, end);
+  rest.remove_prefix(end + 1);
+  return text;
 }
 
-bool Reader::read_bytes(std::size_t size, std::string_view& out) {
-  if (size > rest_.size())
-    return false;
-  out = rest_.substr(0, size);
-  rest_.remove_prefix(size);
-  return true;
+/// The length field at the front of `rest`; nothing if it exceeds the bytes that there are.
+std::optional<std::size_t> peek_length(std::string_view rest) {
+  if (rest.size() < kLengthSize)
+    return std::nullopt;
+  const std::size_t length = read_u32(rest.data());
+  if (length > rest.size())
+    return std::nullopt;
+  return length;
 }
 
-bool Reader::read_text(std::string_view& out) {
-  const std::size_t end = rest_.find('\0');
-  if (end == std::string_view::npos)
-    return false;
-  out = rest_.substr(0, end);
-  rest_.remove_prefix(end + 1);
-  return true;
+/// A value whose length field counts only what follows it; `extra` more bytes belong to it.
+Bytes read_length_prefixed(std::string_view& rest, std::size_t extra) {
+  const std::optional<std::size_t> length = peek_length(rest);
+  return length ? read_bytes(rest, kLengthSize + *length + extra) : std::nullopt;
+}
+
+/// A value whose length field counts itself, as a document's does.
+Bytes read_document(std::string_view& rest) {
+  const std::optional<std::size_t> length = peek_length(rest);
+  if (!length || *length < kMinDocumentSize)
+    return std::nullopt;
+  return read_bytes(rest, *length);
+}
+
+/// The text of a string. Its length field counts the zero byte at its end.
+Bytes read_string(std::string_view& rest) {
+  const Bytes bytes = read_length_prefixed(rest, 0);
+  if (!bytes || bytes->size() < kLengthSize + 1 || bytes->back() != '\0')
+    return std::nullopt;
+  return bytes->substr(kLengthSize, bytes->size() - kLengthSize - 1);
+}
+
+/// The pattern of a regular expression; its options are skipped.
+Bytes read_regex(std::string_view& rest) {
+  const Bytes pattern = read_cstring(rest);
+  if (!pattern || !read_cstring(rest))
+    return std::nullopt;
+  return pattern;
 }
 
-bool Reader::read_sized(LengthCounts counts, std::size_t extra, std::string_view& out) {
-  if (rest_.size() < kLengthSize)
-    return false;
-  const std::size_t length = read_u32(rest_.data());
-  if (length > rest_.size())
-    return false;
-  if (counts == LengthCounts::ContentOnly)
-    return read_bytes(kLengthSize + length + extra, out);
-  return length >= kMinDocumentSize && read_bytes(length, out);
+/// Removes a value of `type` from the front of `rest`; nothing if it is malformed or the type is
+/// unknown.
+Bytes read_value(std::string_view& rest, ElementType type) {
+  switch (type) {
+  case ElementType::Double:
+  case ElementType::Date:
+  case ElementType::Timestamp:
+  case ElementType::Int64:
+    return read_bytes(rest, sizeof(std::uint64_t));
+  case ElementType::Int32:
+    return read_bytes(rest, sizeof(std::uint32_t));
+  case ElementType::Boolean:
+    return read_bytes(rest, 1);
+  case ElementType::ObjectId:
+    return read_bytes(rest, kObjectIdSize);
+  case ElementType::Decimal128:
+    return read_bytes(rest, kDecimal128Size);
+  case ElementType::String:
+  case ElementType::JavaScript:
+  case ElementType::Symbol:
+    return read_string(rest);
+  case ElementType::Document:
+  case ElementType::Array:
+  case ElementType::JavaScriptWithScope:
+    return read_document(rest);
+  case ElementType::Binary:
+    return read_length_prefixed(rest, kSubtypeSize);
+  case ElementType::DbPointer:
+    return read_length_prefixed(rest, kObjectIdSize);
+  case ElementType::Regex:
+    return read_regex(rest);
+  case ElementType::Undefined:
+  case ElementType::Null:
+  case ElementType::MaxKey:
+  case ElementType::MinKey:
+    return std::string_view();
+  }
+  return std::nullopt;
 }
 
-// The length of a string counts the zero byte at its end.
-bool Reader::read_string(std::string_view& out) {
-  if (!read_sized(LengthCounts::ContentOnly, 0, out))
-    return false;
-  if (out.size() < kLengthSize + 1 || out.back() != '\0')
-    return false;
-  out = out.substr(kLengthSize, out.size() - kLengthSize - 1);
-  return true;
+bool is_nested_document(const Element& element) {
+  return element.type == ElementType::Document || element.type == ElementType::Array;
 }
 
-bool Reader::read_regex(std::string_view& out) {
-  std::string_view options;
-  return read_text(out) && read_text(options);
+std::string encode_u64(std::uint64_t value) {
+  return wire::encode_u64_little_endian(value);
 }
 
-bool Reader::next(Element& element) {
-  if (malformed_ || rest_.empty())
-    return false;
+}  // namespace
+
+Reader::Reader(std::string_view document) {
+  is_malformed_ = document.size() < kMinDocumentSize ||
+                  read_u32(document.data()) != document.size() || document.back() != '\0';
+  if (!is_malformed_)
+    rest_ = document.substr(kLengthSize, document.size() - kMinDocumentSize);
+}
+
+std::optional<Element> Reader::next() {
+  if (is_malformed_ || rest_.empty())
+    return std::nullopt;
   const std::string_view begin = rest_;
-  element = Element{};
-  element.type = rest_.front();
+  const auto type = static_cast<ElementType>(rest_.front());
   rest_.remove_prefix(1);
-  malformed_ = !read_text(element.name) || !read_value(element);
-  element.complete = begin.substr(0, begin.size() - rest_.size());
-  return !malformed_;
-}
-
-bool Reader::read_value(Element& element) {
-  switch (element.type) {
-  case kTypeDouble:
-  case kTypeDate:
-  case kTypeTimestamp:
-  case kTypeInt64:
-    return read_bytes(8, element.value);
-  case kTypeInt32:
-    return read_bytes(4, element.value);
-  case kTypeBoolean:
-    return read_bytes(1, element.value);
-  case kTypeObjectId:
-    return read_bytes(kObjectIdSize, element.value);
-  case kTypeDecimal128:
-    return read_bytes(kDecimal128Size, element.value);
-  case kTypeString:
-  case kTypeJavaScript:
-  case kTypeSymbol:
-    return read_string(element.value);
-  case kTypeDocument:
-  case kTypeArray:
-  case kTypeJavaScriptWithScope:
-    return read_sized(LengthCounts::ItselfToo, 0, element.value);
-  case kTypeBinary:  // a subtype stands behind the length
-    return read_sized(LengthCounts::ContentOnly, 1, element.value);
-  case kTypeDbPointer:
-    return read_sized(LengthCounts::ContentOnly, kObjectIdSize, element.value);
-  case kTypeRegex:
-    return read_regex(element.value);
-  case kTypeUndefined:
-  case kTypeNull:
-  case kTypeMaxKey:
-  case kTypeMinKey:
-    return true;
-  default:
-    return false;
+  const Bytes name = read_cstring(rest_);
+  const Bytes value = name ? read_value(rest_, type) : std::nullopt;
+  if (!value) {
+    is_malformed_ = true;
+    return std::nullopt;
   }
+  return Element{type, *name, *value, begin.substr(0, begin.size() - rest_.size())};
 }
 
-bool is_well_formed(std::string_view document, int depth) {
+bool is_well_formed(std::string_view document, int levels) {
   Reader reader(document);
-  Element element;
-  while (reader.next(element)) {
-    const bool is_nested = element.type == kTypeDocument || element.type == kTypeArray;
-    if (is_nested && (depth == 0 || !is_well_formed(element.value, depth - 1)))
+  while (const std::optional<Element> element = reader.next()) {
+    if (!is_nested_document(*element))
+      continue;
+    if (levels == 0 || !is_well_formed(element->value, levels - 1))
       return false;
   }
   return !reader.is_malformed();
@@ -127,19 +158,18 @@
 
 std::optional<Element> find(std::string_view document, std::string_view name) {
   Reader reader(document);
-  Element element;
-  while (reader.next(element))
-    if (element.name == name)
+  while (std::optional<Element> element = reader.next())
+    if (element->name == name)
       return element;
   return std::nullopt;
 }
 
 std::optional<std::int64_t> to_integer(const Element& element) {
-  if (element.type == kTypeInt32)
+  if (element.type == ElementType::Int32)
     return static_cast<std::int32_t>(read_u32(element.value.data()));
-  if (element.type == kTypeInt64)
+  if (element.type == ElementType::Int64)
     return static_cast<std::int64_t>(read_u64(element.value.data()));
-  if (element.type != kTypeDouble)
+  if (element.type != ElementType::Double)
     return std::nullopt;
   const std::uint64_t bits = read_u64(element.value.data());
   double value = 0;
@@ -150,49 +180,72 @@
 }
 
 std::optional<bool> to_bool(const Element& element) {
-  if (element.type == kTypeBoolean)
+  if (element.type == ElementType::Boolean)
     return element.value[0] != '\0';
   if (const auto number = to_integer(element))
     return *number != 0;
   return std::nullopt;
 }
 
-std::string& Writer::begin_element(char type, std::string_view name) {
-  elements_.push_back(type);
+std::optional<std::int64_t> to_date(const Element& element) {
+  if (element.type != ElementType::Date)
+    return std::nullopt;
+  return static_cast<std::int64_t>(read_u64(element.value.data()));
+}
+
+std::optional<std::int64_t> to_timestamp_seconds(const Element& element) {
+  if (element.type != ElementType::Timestamp)
+    return std::nullopt;
+  return static_cast<std::int64_t>(read_u64(element.value.data()) >> 32);
+}
+
+Writer& Writer::append(ElementType type, std::string_view name, std::string_view value) {
+  elements_.push_back(static_cast<char>(type));
   elements_.append(name).push_back('\0');
-  return elements_;
+  elements_.append(value);
+  return *this;
 }
 
 Writer& Writer::append_string(std::string_view name, std::string_view value) {
-  begin_element(kTypeString, name) += encode_u32(static_cast<std::uint32_t>(value.size() + 1));
+  const std::size_t length = value.size() + 1;
+  append(ElementType::String, name, encode_u32(static_cast<std::uint32_t>(length)));
   elements_.append(value).push_back('\0');
   return *this;
 }
 
-Writer& Writer::append_document(std::string_view name, const std::string& value, char type) {
-  begin_element(type, name) += value;
-  return *this;
+Writer& Writer::append_document(std::string_view name, std::string_view document) {
+  return append(ElementType::Document, name, document);
+}
+
+Writer& Writer::append_array(std::string_view name, std::string_view array) {
+  return append(ElementType::Array, name, array);
 }
 
 Writer& Writer::append_bool(std::string_view name, bool value) {
-  begin_element(kTypeBoolean, name) += value ? '\1' : '\0';
-  return *this;
+  return append(ElementType::Boolean, name, std::string(1, value ? '\1' : '\0'));
 }
 
 Writer& Writer::append_int32(std::string_view name, std::int32_t value) {
-  begin_element(kTypeInt32, name) += encode_u32(static_cast<std::uint32_t>(value));
-  return *this;
+  return append(ElementType::Int32, name, encode_u32(static_cast<std::uint32_t>(value)));
+}
+
+Writer& Writer::append_int64(std::string_view name, std::int64_t value) {
+  return append(ElementType::Int64, name, encode_u64(static_cast<std::uint64_t>(value)));
 }
 
 Writer& Writer::append_double(std::string_view name, double value) {
-  std::int64_t bits = 0;
+  std::uint64_t bits = 0;
   std::memcpy(&bits, &value, sizeof bits);
-  return append_int64(name, bits, kTypeDouble);
+  return append(ElementType::Double, name, encode_u64(bits));
 }
 
-Writer& Writer::append_int64(std::string_view name, std::int64_t value, char type) {
-  begin_element(type, name) += wire::encode_u64_little_endian(static_cast<std::uint64_t>(value));
-  return *this;
+Writer& Writer::append_date(std::string_view name, std::int64_t unix_ms) {
+  return append(ElementType::Date, name, encode_u64(static_cast<std::uint64_t>(unix_ms)));
+}
+
+Writer& Writer::append_timestamp(std::string_view name, std::uint32_t unix_seconds,
+                                 std::uint32_t counter) {
+  return append(ElementType::Timestamp, name, encode_u32(counter) + encode_u32(unix_seconds));
 }
 
 std::string Writer::finish() const {
--- a/src/mongo/bson.h
+++ b/src/mongo/bson.h
@@ -1,5 +1,5 @@
-/// BSON documents, read in place and written, as far as the gateway needs them. Each read is
-/// checked against the bytes that there are. Pure. Source: BSON specification, version 1.1
+/// Reads BSON documents in place and writes new ones, as far as the gateway needs them. Each read
+/// is checked against the end of the document. Pure. Source: BSON specification, version 1.1
 /// (bsonspec.org).
 #pragma once
 
@@ -13,30 +13,32 @@
 
 namespace gorsebeam::mongo {
 
-/// Types of elements.
-constexpr char kTypeDouble = '\x01';
-constexpr char kTypeString = '\x02';
-constexpr char kTypeDocument = '\x03';
-constexpr char kTypeArray = '\x04';
-constexpr char kTypeBinary = '\x05';
-constexpr char kTypeUndefined = '\x06';
-constexpr char kTypeObjectId = '\x07';
-constexpr char kTypeBoolean = '\x08';
-constexpr char kTypeDate = '\x09';
-constexpr char kTypeNull = '\x0A';
-constexpr char kTypeRegex = '\x0B';
-constexpr char kTypeDbPointer = '\x0C';
-constexpr char kTypeJavaScript = '\x0D';
-constexpr char kTypeSymbol = '\x0E';
-constexpr char kTypeJavaScriptWithScope = '\x0F';
-constexpr char kTypeInt32 = '\x10';
-constexpr char kTypeTimestamp = '\x11';
-constexpr char kTypeInt64 = '\x12';
-constexpr char kTypeDecimal128 = '\x13';
-constexpr char kTypeMaxKey = '\x7F';
-constexpr char kTypeMinKey = '\xFF';
-
-/// The smallest document: its length and the zero byte at its end.
+/// The type byte of an element. A received byte need not be one of these values.
+enum class ElementType : unsigned char {
+  Double = 0x01,
+  String = 0x02,
+  Document = 0x03,
+  Array = 0x04,
+  Binary = 0x05,
+  Undefined = 0x06,
+  ObjectId = 0x07,
+  Boolean = 0x08,
+  Date = 0x09,
+  Null = 0x0A,
+  Regex = 0x0B,
+  DbPointer = 0x0C,
+  JavaScript = 0x0D,
+  Symbol = 0x0E,
+  JavaScriptWithScope = 0x0F,
+  Int32 = 0x10,
+  Timestamp = 0x11,
+  Int64 = 0x12,
+  Decimal128 = 0x13,
+  MaxKey = 0x7F,
+  MinKey = 0xFF,
+};
+
+/// The size of an empty document: its length field and the zero byte at its end.
 constexpr std::size_t kMinDocumentSize = 5;
 
 inline std::uint32_t read_u32(const char* bytes) {
@@ -51,74 +53,80 @@
   return wire::encode_u32_little_endian(value);
 }
 
-/// The views lead into the document that the element was read from.
+/// One element of a document. The views borrow from the document.
 struct Element {
-  char type = 0;
+  ElementType type = ElementType::Null;
   std::string_view name;
-  std::string_view value;     ///< Of a string: its text; of a document: with its length.
-  std::string_view complete;  ///< As it stands in its document.
+  std::string_view value;    ///< Of a string: its text. Of a document: with its length field.
+  std::string_view encoded;  ///< The whole element: type, name and value.
 };
 
-/// Walks the elements of one document; nested documents are not entered.
+/// Iterates over the elements of one document without entering nested documents.
 class Reader {
 public:
-  /// `document` is to be one complete document: its length, elements and a zero byte; anything else
-  /// is malformed.
+  /// `document` is one whole document: its length field, its elements and a zero byte. Anything
+  /// else is malformed and has no elements.
   explicit Reader(std::string_view document);
 
-  /// Returns false at the end, and where the document is malformed.
-  bool next(Element& element);
+  /// The next element; nothing at the end of the document and where it is malformed.
+  std::optional<Element> next();
 
-  [[nodiscard]] bool is_malformed() const { return malformed_; }
+  /// Whether the document, as far as it was read, is malformed.
+  [[nodiscard]] bool is_malformed() const { return is_malformed_; }
 
 private:
-  enum class LengthCounts { ContentOnly, ItselfToo };
-
-  bool read_value(Element& element);
-  bool read_bytes(std::size_t size, std::string_view& out);
-  bool read_text(std::string_view& out);  ///< Up to a zero byte, which is skipped.
-  bool read_string(std::string_view& out);
-  bool read_regex(std::string_view& out);
-
-  /// Reads a length, as many bytes as it says and `extra` more.
-  bool read_sized(LengthCounts counts, std::size_t extra, std::string_view& out);
-
   std::string_view rest_;
-  bool malformed_ = false;
+  bool is_malformed_ = false;
 };
 
-/// Whether all of a document can be read, nested documents up to `depth` levels included.
-bool is_well_formed(std::string_view document, int depth = 32);
+/// The largest number of nested levels that `is_well_formed` accepts.
+constexpr int kMaxNestedLevels = 32;
 
+/// Whether every element of a document and of its nested documents and arrays can be read.
+/// `levels` is the number of nested levels that are permitted.
+bool is_well_formed(std::string_view document, int levels = kMaxNestedLevels);
+
+/// The first element called `name`; nothing if there is none before the document's end or fault.
 std::optional<Element> find(std::string_view document, std::string_view name);
 
-/// The value of an int32, an int64 or a double without a fraction.
+/// The value of an int32, an int64, or a double without a fraction.
 std::optional<std::int64_t> to_integer(const Element& element);
 
 /// The value of a boolean, or whether a number is not zero.
 std::optional<bool> to_bool(const Element& element);
 
-/// Appends elements; `finish` returns them as a document.
+/// The value of a date, in milliseconds of Unix time.
+std::optional<std::int64_t> to_date(const Element& element);
+
+/// The seconds of a timestamp, which are Unix time. Its other half is a counter within the second.
+std::optional<std::int64_t> to_timestamp_seconds(const Element& element);
+
+/// Builds a document from the elements that are appended to it.
 class Writer {
 public:
   Writer& append_string(std::string_view name, std::string_view value);
-  Writer& append_document(std::string_view name, const std::string& value,
-                          char type = kTypeDocument);
+  Writer& append_document(std::string_view name, std::string_view document);
+
+  /// `array` is a document whose elements are named "0", "1" and so on.
+  Writer& append_array(std::string_view name, std::string_view array);
   Writer& append_bool(std::string_view name, bool value);
   Writer& append_int32(std::string_view name, std::int32_t value);
+  Writer& append_int64(std::string_view name, std::int64_t value);
   Writer& append_double(std::string_view name, double value);
+  Writer& append_date(std::string_view name, std::int64_t unix_ms);
 
-  /// An int64, or a date or a timestamp by its `type`.
-  Writer& append_int64(std::string_view name, std::int64_t value, char type = kTypeInt64);
+  /// `counter` orders the operations within one second.
+  Writer& append_timestamp(std::string_view name, std::uint32_t unix_seconds,
+                           std::uint32_t counter);
 
-  /// Without the length and the zero byte of a document.
+  /// The elements appended so far, without the length field and the zero byte of a document.
   [[nodiscard]] const std::string& elements() const { return elements_; }
 
+  /// The document with all elements appended so far.
   [[nodiscard]] std::string finish() const;
 
 private:
-  /// Appends the type and the name; the value is to be appended to the returned string.
-  std::string& begin_element(char type, std::string_view name);
+  Writer& append(ElementType type, std::string_view name, std::string_view value);
 
   std::string elements_;
 };
--- a/src/mongo/command_comment.cpp
+++ b/src/mongo/command_comment.cpp
@@ -18,9 +18,8 @@
 
 void read_document(std::string_view document, CommandComment& comment) {
   Reader reader(document);
-  Element element;
-  while (reader.next(element))
-    set_field(element.name, scalar_text(element), comment);
+  while (const std::optional<Element> element = reader.next())
+    set_field(element->name, scalar_text(*element), comment);
 }
 
 void read_text(std::string_view text, CommandComment& comment) {
@@ -36,7 +35,7 @@
 }  // namespace
 
 std::string scalar_text(const Element& element) {
-  if (element.type == kTypeString)
+  if (element.type == ElementType::String)
     return std::string(element.value);
   const auto number = to_integer(element);
   return number ? std::to_string(*number) : "";
@@ -45,9 +44,9 @@
 CommandComment read_comment(std::string_view command) {
   CommandComment comment;
   const auto element = find(command, "comment");
-  if (element && element->type == kTypeDocument)
+  if (element && element->type == ElementType::Document)
     read_document(element->value, comment);
-  if (element && element->type == kTypeString)
+  if (element && element->type == ElementType::String)
     read_text(element->value, comment);
   return comment;
 }
--- a/src/mongo/frontend.cpp
+++ b/src/mongo/frontend.cpp
@@ -79,10 +79,10 @@
 /// The name under which a client introduces itself; nothing where it gives none.
 std::optional<std::string> application_name(std::string_view hello) {
   const auto client = find(hello, "client");
-  if (!client || client->type != kTypeDocument)
+  if (!client || client->type != ElementType::Document)
     return std::nullopt;
   const auto application = find(client->value, "application");
-  if (!application || application->type != kTypeDocument)
+  if (!application || application->type != ElementType::Document)
     return std::nullopt;
   const auto name = find(application->value, "name");
   return name ? std::optional(scalar_text(*name)) : std::nullopt;
@@ -100,7 +100,7 @@
 /// The document that names a command's session; nothing where there is none.
 std::optional<Element> find_session(std::string_view command) {
   auto session = find(command, "lsid");
-  if (session && session->type != kTypeDocument)
+  if (session && session->type != ElementType::Document)
     session.reset();
   return session;
 }
@@ -160,7 +160,7 @@
                                    .append_string("1", "SystemOverloadedError")
                                    .finish();
     Writer reply = error_reply({kRateLimitExceeded, kRateLimitExceededName, "refused: try again"});
-    reply.append_document("errorLabels", labels, kTypeArray);
+    reply.append_array("errorLabels", labels);
     if (retry_after > 0)
       reply.append_int64("retryAfterMS", retry_after / kMillisecond);
     send_reply(reply);
@@ -198,14 +198,13 @@
   [[nodiscard]] proxy::Parts kept_elements(std::string_view command) const {
     proxy::Parts kept;
     Reader reader(command);
-    Element element;
-    while (reader.next(element)) {
-      if (element.name == "maxTimeMS" || (is_read_ && element.name == "$readPreference"))
+    while (const std::optional<Element> element = reader.next()) {
+      if (element->name == "maxTimeMS" || (is_read_ && element->name == "$readPreference"))
         continue;
-      if (!kept.empty() && is_directly_behind(element.complete, kept.back()))
-        kept.back() = {kept.back().data(), kept.back().size() + element.complete.size()};
+      if (!kept.empty() && is_directly_behind(element->encoded, kept.back()))
+        kept.back() = {kept.back().data(), kept.back().size() + element->encoded.size()};
       else
-        kept.push_back(element.complete);
+        kept.push_back(element->encoded);
     }
     return kept;
   }
@@ -244,8 +243,7 @@
     const std::optional<std::string_view> body = read_op_query(message.payload);
     if (!body)
       return send_malformed_error("a query is malformed");
-    Element first;
-    Reader(*body).next(first);
+    const Element first = Reader(*body).next().value_or(Element{});
     const Writer reply = is_one_of(first.name, kHelloCommands)
                              ? greet(*body)
                              : error_reply({kUnsupportedOpQuery, "UnsupportedOpQueryCommand",
@@ -271,7 +269,7 @@
     reply.append_int32("maxBsonObjectSize", max_size);
     reply.append_int32("maxMessageSizeBytes", max_size);
     reply.append_int32("maxWriteBatchSize", kMaxWriteBatchSize);
-    reply.append_int64("localTime", net::now() / kMillisecond, kTypeDate);
+    reply.append_date("localTime", net::now() / kMillisecond);
     reply.append_int32("logicalSessionTimeoutMinutes", kLogicalSessionTimeoutMinutes);
     reply.append_int32("connectionId", 1);
     reply.append_int32("minWireVersion", kMinWireVersion);
@@ -282,9 +280,10 @@
   }
 
   void handle_command(std::string_view command) {
-    Element first;
-    if (!Reader(command).next(first))
+    const std::optional<Element> element = Reader(command).next();
+    if (!element)
       return reject_command(parse_error("the command is empty"));
+    const Element& first = *element;
     if (is_one_of(first.name, kHelloCommands)) {
       send_reply(greet(command));
       stream_->input().consume(message_size_);
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -49,15 +49,13 @@
 /// The time of the last write that a hello reply reports; nothing where it reports none.
 std::optional<Nanos> last_write_date(std::string_view hello) {
   const auto last_write = find(hello, "lastWrite");
-  if (!last_write || last_write->type != kTypeDocument)
+  if (!last_write || last_write->type != ElementType::Document)
     return std::nullopt;
-  const auto date = find(last_write->value, "lastWriteDate");
-  if (!date || date->type != kTypeDate)
+  const auto element = find(last_write->value, "lastWriteDate");
+  const std::optional<std::int64_t> unix_ms = element ? to_date(*element) : std::nullopt;
+  if (!unix_ms || *unix_ms <= 0 || *unix_ms >= kMaxUnixSeconds * 1000)
     return std::nullopt;
-  const auto unix_ms = static_cast<std::int64_t>(read_u64(date->value.data()));
-  if (unix_ms <= 0 || unix_ms >= kMaxUnixSeconds * 1000)
-    return std::nullopt;
-  return unix_ms * kMillisecond;
+  return *unix_ms * kMillisecond;
 }
 
 /// Reads the reply to a health check.
@@ -79,14 +77,12 @@
 // Otherwise a demoted primary could pass as more current than it is, and a session could read from
 // before its own write.
 void read_position(std::string_view document, UpstreamResponse& answer) {
-  const auto time = find(document, "operationTime");
-  if (!time || time->type != kTypeTimestamp)
-    return;
-  const auto seconds = static_cast<std::int64_t>(read_u64(time->value.data()) >> 32);
-  if (seconds <= 0 || seconds > kMaxUnixSeconds)
+  const auto element = find(document, "operationTime");
+  const auto seconds = element ? to_timestamp_seconds(*element) : std::nullopt;
+  if (!seconds || *seconds <= 0 || *seconds > kMaxUnixSeconds)
     return;
-  answer.replication_position = seconds * kSecond;
-  answer.commit_position = (seconds + 1) * kSecond;
+  answer.replication_position = *seconds * kSecond;
+  answer.commit_position = (*seconds + 1) * kSecond;
 }
 
 class MongoUpstream : public connection_pool::UpstreamProtocol {
--- a/tests/integration/mongo_protocol.cpp
+++ b/tests/integration/mongo_protocol.cpp
@@ -62,7 +62,7 @@
     const std::string document = Writer().append_string("code", "7f").finish();
     if (request.is_write)
       command.append_string("insert", "facts")
-          .append_document("documents", Writer().append_document("0", document).finish(), '\x04');
+          .append_array("documents", Writer().append_document("0", document).finish());
     else
       command.append_string("find", "facts").append_document("filter", document);
     command.append_int32("maxTimeMS", request.timeout_ms)
@@ -107,11 +107,10 @@
       return false;
     }
     last_message_id_ = gorsebeam::mongo::read_u32(message.data() + 4);
-    Element first;
-    Reader(document).next(first);
+    const Element first = Reader(document).next().value_or(Element{});
     if (first.name == "hello") {
       const std::string last =
-          Writer().append_int64("lastWriteDate", now_ms() - replication.lag_ms, '\x09').finish();
+          Writer().append_date("lastWriteDate", now_ms() - replication.lag_ms).finish();
       reply = mongo_message(Writer()
                                 .append_bool("isWritablePrimary", replication.is_primary)
                                 .append_bool("secondary", !replication.is_primary)
@@ -184,12 +183,13 @@
                                .append_string("operationTime", "nonsense")
                                .finish(),
                            last_message_id_);
-    return mongo_message(Writer()
-                             .append_double("ok", 1)
-                             .append_string("value", value)
-                             .append_int64("operationTime", seconds << 32 | 1, '\x11')
-                             .finish(),
-                         last_message_id_);
+    return mongo_message(
+        Writer()
+            .append_double("ok", 1)
+            .append_string("value", value)
+            .append_timestamp("operationTime", static_cast<std::uint32_t>(seconds), 1)
+            .finish(),
+        last_message_id_);
   }
 
   std::string encode_unsolicited_message() const override {
--- /dev/null
+++ b/tests/mongo_bson_test.cpp
@@ -0,0 +1,114 @@
+#include "mongo/bson.h"
+
+#include <gtest/gtest.h>
+
+namespace gorsebeam::mongo {
+namespace {
+
+using namespace std::string_literals;
+
+std::string document_of(const std::string& elements) {
+  return encode_u32(static_cast<std::uint32_t>(elements.size() + kMinDocumentSize)) + elements +
+         '\0';
+}
+
+TEST(BsonWriter, EncodesEachType) {
+  const std::string nested = Writer().append_bool("b", true).finish();
+  EXPECT_EQ(nested, "\x09\0\0\0\x08"
+                    "b\0\1\0"s);
+
+  const struct {
+    Writer writer;
+    std::string elements;
+  } cases[] = {
+      {Writer().append_string("s", "xy"), "\x02s\0\3\0\0\0xy\0"s},
+      {Writer().append_document("d", nested), "\x03"
+                                              "d\0"s +
+                                                  nested},
+      {Writer().append_array("a", nested), "\x04"
+                                           "a\0"s +
+                                               nested},
+      {Writer().append_bool("f", false), "\x08"
+                                         "f\0\0"s},
+      {Writer().append_int32("i", -2), "\x10i\0\xfe\xff\xff\xff"s},
+      {Writer().append_int64("l", 258), "\x12l\0\2\1\0\0\0\0\0\0"s},
+      {Writer().append_double("n", 1), "\x01n\0\0\0\0\0\0\0\xf0\x3f"s},
+      {Writer().append_date("t", 3), "\x09t\0\3\0\0\0\0\0\0\0"s},
+      {Writer().append_timestamp("o", 5, 7), "\x11o\0\7\0\0\0\5\0\0\0"s},
+  };
+
+  for (const auto& each : cases) {
+    EXPECT_EQ(each.writer.elements(), each.elements);
+    EXPECT_EQ(each.writer.finish(), document_of(each.elements));
+    EXPECT_TRUE(is_well_formed(each.writer.finish()));
+  }
+}
+
+TEST(BsonReader, ReturnsElementsInOrderAndThenNothing) {
+  const std::string document = Writer().append_int32("one", 1).append_string("two", "2").finish();
+  Reader reader(document);
+  const auto one = reader.next();
+  ASSERT_TRUE(one);
+  EXPECT_EQ(one->name, "one");
+  EXPECT_EQ(to_integer(*one), 1);
+  EXPECT_EQ(one->encoded, Writer().append_int32("one", 1).elements());
+  const auto two = reader.next();
+  ASSERT_TRUE(two);
+  EXPECT_EQ(two->value, "2");
+  EXPECT_FALSE(reader.next());
+  EXPECT_FALSE(reader.is_malformed());
+}
+
+TEST(BsonReader, RejectsMalformedDocuments) {
+  const std::string malformed[] = {
+      "",
+      "\4\0\0\0"s,
+      "\6\0\0\0\0"s,                                        // longer than its bytes
+      "\5\0\0\0\1"s,                                        // no zero byte at the end
+      document_of("\x10i"s),                                // no end of the name
+      document_of("\x10i\0\1\0\0"s),                        // an int32 of three bytes
+      document_of("\x02s\0\3\0\0\0xyz"s),                   // a string without its zero byte
+      document_of("\x02s\0\xff\xff\xff\x7f"s),              // a length beyond the document
+      document_of("\x02s\0\0\0\0\0"s),                      // a string shorter than its zero byte
+      document_of("\x03"s + "d\0"s + "\4\0\0\0\0\0\0\0"s),  // a document shorter than its frame
+      document_of("\x20u\0"s),                              // an unknown type
+  };
+  for (const std::string& document : malformed) {
+    Reader reader(document);
+    while (reader.next()) {
+    }
+    EXPECT_TRUE(reader.is_malformed()) << testing::PrintToString(document);
+    EXPECT_FALSE(is_well_formed(document)) << testing::PrintToString(document);
+  }
+}
+
+TEST(BsonReader, BoundsNestedLevels) {
+  std::string document = Writer().finish();
+  for (int level = 0; level < kMaxNestedLevels; ++level)
+    document = Writer().append_document("d", document).finish();
+  EXPECT_TRUE(is_well_formed(document));
+  EXPECT_FALSE(is_well_formed(Writer().append_array("d", document).finish()));
+}
+
+TEST(BsonElement, ConvertsValuesOfFittingTypesOnly) {
+  const std::string document = Writer()
+                                   .append_double("whole", 20)
+                                   .append_double("fraction", 20.5)
+                                   .append_string("text", "20")
+                                   .append_date("date", 1700000000123)
+                                   .append_timestamp("time", 1700000000, 9)
+                                   .finish();
+  EXPECT_EQ(to_integer(*find(document, "whole")), 20);
+  EXPECT_EQ(to_integer(*find(document, "fraction")), std::nullopt);
+  EXPECT_EQ(to_integer(*find(document, "text")), std::nullopt);
+  EXPECT_EQ(to_bool(*find(document, "whole")), true);
+  EXPECT_EQ(to_bool(*find(document, "text")), std::nullopt);
+  EXPECT_EQ(to_date(*find(document, "date")), 1700000000123);
+  EXPECT_EQ(to_date(*find(document, "time")), std::nullopt);
+  EXPECT_EQ(to_timestamp_seconds(*find(document, "time")), 1700000000);
+  EXPECT_EQ(to_timestamp_seconds(*find(document, "date")), std::nullopt);
+  EXPECT_FALSE(find(document, "absent"));
+}
+
+}  // namespace
+}  // namespace gorsebeam::mongo
