--- a/src/connection_pool/connection_pool.cpp
+++ b/src/connection_pool/connection_pool.cpp
@@ -9,7 +9,7 @@
 
 using proxy::AttemptId;
 
-ConnectionPool::ConnectionPool(proxy::RequestBroker& broker, WireFactory make_protocol,
+ConnectionPool::ConnectionPool(proxy::RequestBroker& broker, UpstreamProtocolFactory make_protocol,
                                const PoolLimits& limits)
     : broker_(broker), make_protocol_(make_protocol), limits_(limits), deletion_timer_([this] {
         discarded_.clear();
--- a/src/connection_pool/connection_pool.h
+++ b/src/connection_pool/connection_pool.h
@@ -26,7 +26,8 @@
 /// connections are closed and no use is completed any more.
 class ConnectionPool : public proxy::Upstream, private PooledConnection::Owner {
 public:
-  ConnectionPool(proxy::RequestBroker& broker, WireFactory make_protocol, const PoolLimits& limits);
+  ConnectionPool(proxy::RequestBroker& broker, UpstreamProtocolFactory make_protocol,
+                 const PoolLimits& limits);
   ConnectionPool(const ConnectionPool&) = delete;
   ConnectionPool& operator=(const ConnectionPool&) = delete;
   ~ConnectionPool() override;
@@ -77,7 +78,7 @@
   void erase_if_unused(EndpointId endpoint);
 
   proxy::RequestBroker& broker_;
-  WireFactory make_protocol_;
+  UpstreamProtocolFactory make_protocol_;
   PoolLimits limits_;
   std::map<EndpointId, EndpointConnections> endpoints_;
   std::unordered_map<PooledConnection*, std::unique_ptr<PooledConnection>> connections_;
--- a/src/connection_pool/pooled_connection.cpp
+++ b/src/connection_pool/pooled_connection.cpp
@@ -67,13 +67,13 @@
 }
 
 void PooledConnection::connected() {
-  const std::string greeting = protocol_->greeting();
-  if (greeting.empty()) {
+  const std::string handshake = protocol_->handshake_message();
+  if (handshake.empty()) {
     become_ready();
     return;
   }
   state_ = State::AwaitingGreeting;
-  stream_->write({greeting});
+  stream_->write({handshake});
 }
 
 void PooledConnection::become_ready() {
@@ -101,8 +101,8 @@
   if (idle_since_ > 0)
     idle_time_ = net::now() - idle_since_;
   timer_.at(use_.deadline);
-  stream_->write(use_.is_health_check ? protocol_->probe()
-                                      : protocol_->request(use_.call->body(left)));
+  stream_->write(use_.is_health_check ? protocol_->health_check_message()
+                                      : protocol_->frame_request(use_.call->body(left)));
   if (stream_->all_written())
     flushed();
 }
@@ -137,7 +137,7 @@
 void PooledConnection::read_greeting() {
   std::size_t used = 0;
   bool is_rejected = false;
-  const ParseStep step = protocol_->parse_greeting(stream_->input().view(), used, is_rejected);
+  const ParseStep step = protocol_->parse_handshake(stream_->input().view(), used, is_rejected);
   if (step == ParseStep::More)
     return;
   if (is_rejected) {
@@ -156,7 +156,8 @@
   const std::string_view input = stream_->input().view();
   std::size_t used = 0;
   proxy::UpstreamResponse response;
-  const ParseStep step = protocol_->answer(input, false, use_.is_health_check, response, used);
+  const ParseStep step =
+      protocol_->parse_response(input, false, use_.is_health_check, response, used);
   const PoolLimits& limits = owner_.limits();
   const bool has_memory =
       net::total_buffered_bytes() <= limits.buffered || input.size() <= kMaxSmallResponse;
@@ -193,7 +194,8 @@
   proxy::UpstreamResponse response;
   std::size_t used = 0;
   const std::string_view input = stream_->input().view();
-  if (protocol_->answer(input, true, use_.is_health_check, response, used) == ParseStep::Done)
+  if (protocol_->parse_response(input, true, use_.is_health_check, response, used) ==
+      ParseStep::Done)
     complete_use(response, AfterUse::Close);
   else
     complete_use(response_with(AttemptStatus::Reset), AfterUse::Broken);
--- a/src/connection_pool/upstream_protocol.h
+++ b/src/connection_pool/upstream_protocol.h
@@ -25,26 +25,29 @@
   virtual ~UpstreamProtocol() = default;
 
   /// The first bytes on a new connection; empty if it is ready as soon as it is connected.
-  virtual std::string greeting() = 0;
+  virtual std::string handshake_message() = 0;
 
-  /// Reads the endpoint's response to the greeting from its first byte on. With `Done`, `used` is
-  /// its size and the connection is ready, or `turned_away` is set: the endpoint rejected it.
-  virtual ParseStep parse_greeting(std::string_view in, std::size_t& used, bool& turned_away) = 0;
+  /// Reads the endpoint's response to the handshake from its first byte on. With `Done`,
+  /// `consumed_bytes` is its size and the connection is ready, or `is_rejected` is set: the
+  /// endpoint rejected it.
+  virtual ParseStep parse_handshake(std::string_view in, std::size_t& consumed_bytes,
+                                    bool& is_rejected) = 0;
 
   /// Frames a request body; the parts are valid until the next call of this object.
-  virtual proxy::Parts request(const proxy::Parts& body) = 0;
+  virtual proxy::Parts frame_request(const proxy::Parts& body) = 0;
 
   /// The message of a health check; valid until the next call of this object.
-  virtual proxy::Parts probe() = 0;
-
-  /// Reads a response, to a health check if `to_probe`, from its first byte on. `ended`: no more
-  /// bytes will arrive. With `Done`, `used` is its size and `answer` its meaning, which borrows
-  /// from `in`. `Broken`: it is no response at all.
-  virtual ParseStep answer(std::string_view in, bool ended, bool to_probe,
-                           proxy::UpstreamResponse& answer, std::size_t& used) = 0;
+  virtual proxy::Parts health_check_message() = 0;
+
+  /// Reads a response, to a health check if `is_health_check`, from its first byte on. `ended`: no
+  /// more bytes will arrive. With `Done`, `consumed_bytes` is its size and `response` its meaning,
+  /// which borrows from `in`. `Broken`: it is no response at all.
+  virtual ParseStep parse_response(std::string_view in, bool ended, bool is_health_check,
+                                   proxy::UpstreamResponse& response,
+                                   std::size_t& consumed_bytes) = 0;
 };
 
 /// Makes the protocol of a new connection.
-using WireFactory = std::unique_ptr<UpstreamProtocol> (*)();
+using UpstreamProtocolFactory = std::unique_ptr<UpstreamProtocol> (*)();
 
 }  // namespace gorsebeam::connection_pool
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -69,10 +69,10 @@
     share.pool.connect_timeout = profile.settings.connect_timeout;
   share.pool.keepalive = profile.keepalive;
   const std::uint64_t seed = plan_.config.seed;
-  postgres_ = std::make_unique<ProtocolPath>(profile, seed, postgres::make_wire, share,
+  postgres_ = std::make_unique<ProtocolPath>(profile, seed, postgres::make_upstream_protocol, share,
                                              postgres::make_connection(contracts_, classifier_));
   if (serves_mongo)
-    mongo_ = std::make_unique<ProtocolPath>(profile, ~seed, mongo::make_wire, share,
+    mongo_ = std::make_unique<ProtocolPath>(profile, ~seed, mongo::make_upstream_protocol, share,
                                             mongo::make_connection(contracts_));
 }
 
--- a/src/gateway/protocol_path.cpp
+++ b/src/gateway/protocol_path.cpp
@@ -14,10 +14,11 @@
 }  // namespace
 
 ProtocolPath::ProtocolPath(const settings::DeploymentProfile& profile, std::uint64_t seed,
-                           connection_pool::WireFactory make_wire, const ResourceShare& share,
+                           connection_pool::UpstreamProtocolFactory make_upstream_protocol,
+                           const ResourceShare& share,
                            frontend::Frontend::ConnectionFactory make_connection)
-    : broker_(profile.settings, seed), pool_(broker_, make_wire, share.pool), share_(share),
-      frontend_(broker_, share.frontend, std::move(make_connection)) {
+    : broker_(profile.settings, seed), pool_(broker_, make_upstream_protocol, share.pool),
+      share_(share), frontend_(broker_, share.frontend, std::move(make_connection)) {
   broker_.attach(pool_);
 }
 
--- a/src/gateway/protocol_path.h
+++ b/src/gateway/protocol_path.h
@@ -16,8 +16,8 @@
 class ProtocolPath {
 public:
   ProtocolPath(const settings::DeploymentProfile& profile, std::uint64_t seed,
-               connection_pool::WireFactory make_wire, const ResourceShare& share,
-               frontend::Frontend::ConnectionFactory make_connection);
+               connection_pool::UpstreamProtocolFactory make_upstream_protocol,
+               const ResourceShare& share, frontend::Frontend::ConnectionFactory make_connection);
 
   /// Applies the operators' limits within the path's own share.
   void apply_limits(const config::pb::Limits& limits);
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -59,35 +59,35 @@
 }
 
 /// Reads the reply to a health check.
-void read_hello(std::string_view document, UpstreamResponse& answer) {
+void read_hello(std::string_view document, UpstreamResponse& response) {
   const bool is_primary = is_set(document, "isWritablePrimary") || is_set(document, "ismaster");
   const bool is_replica = is_set(document, "secondary");
   if (!is_ok(document) || (!is_primary && !is_replica)) {
-    answer.status = AttemptStatus::Error;
+    response.status = AttemptStatus::Error;
     return;
   }
-  answer.status = AttemptStatus::Ok;
-  answer.load_report.is_primary = is_primary;
+  response.status = AttemptStatus::Ok;
+  response.load_report.is_primary = is_primary;
   if (const auto position = last_write_date(document))
-    answer.load_report.replication_position = position;
+    response.load_report.replication_position = position;
 }
 
 // The seconds of operationTime are Unix time. The endpoint has applied all writes up to them; a
 // write's commit lies somewhere within that second, so a read that must see it needs the next one.
 // Otherwise a demoted primary could pass as more current than it is, and a session could read from
 // before its own write.
-void read_position(std::string_view document, UpstreamResponse& answer) {
+void read_position(std::string_view document, UpstreamResponse& response) {
   const auto element = find(document, "operationTime");
   const auto seconds = element ? to_timestamp_seconds(*element) : std::nullopt;
   if (!seconds || *seconds <= 0 || *seconds > kMaxUnixSeconds)
     return;
-  answer.replication_position = *seconds * kSecond;
-  answer.commit_position = (*seconds + 1) * kSecond;
+  response.replication_position = *seconds * kSecond;
+  response.commit_position = (*seconds + 1) * kSecond;
 }
 
 class MongoUpstream : public connection_pool::UpstreamProtocol {
 public:
-  std::string greeting() override {
+  std::string handshake_message() override {
     const std::string client =
         Writer()
             .append_document("application", Writer().append_string("name", "gorsebeam").finish())
@@ -104,19 +104,20 @@
                          ++last_sent_id_, 0);
   }
 
-  ParseStep parse_greeting(std::string_view in, std::size_t& used, bool& turned_away) override {
+  ParseStep parse_handshake(std::string_view in, std::size_t& consumed_bytes,
+                            bool& is_rejected) override {
     Reply reply;
     const ParseStep step = read_reply(in, reply);
     if (step != ParseStep::Done)
       return step;
-    used = reply.size;
+    consumed_bytes = reply.size;
     if (is_ok(reply.document))
       return ParseStep::Done;
-    turned_away = code_of(reply.document) == kRateLimitExceeded;
+    is_rejected = code_of(reply.document) == kRateLimitExceeded;
     return ParseStep::Broken;
   }
 
-  proxy::Parts request(const proxy::Parts& body) override {
+  proxy::Parts frame_request(const proxy::Parts& body) override {
     std::size_t size = 0;
     for (const std::string_view part : body)
       size += part.size();
@@ -126,37 +127,37 @@
     return parts;
   }
 
-  proxy::Parts probe() override {
+  proxy::Parts health_check_message() override {
     header_ =
         encode_op_msg(Writer().append_int32("hello", 1).append_string("$db", "admin").finish(),
                       ++last_sent_id_, 0);
     return {header_};
   }
 
-  ParseStep answer(std::string_view in, bool, bool to_probe, UpstreamResponse& answer,
-                   std::size_t& used) override {
-    answer = UpstreamResponse{};
+  ParseStep parse_response(std::string_view in, bool, bool is_health_check,
+                           UpstreamResponse& response, std::size_t& consumed_bytes) override {
+    response = UpstreamResponse{};
     Reply reply;
     const ParseStep step = read_reply(in, reply);
     if (step != ParseStep::Done)
       return step;
-    used = reply.size;
-    if (to_probe) {
-      read_hello(reply.document, answer);
+    consumed_bytes = reply.size;
+    if (is_health_check) {
+      read_hello(reply.document, response);
       return ParseStep::Done;
     }
-    read_position(reply.document, answer);
+    read_position(reply.document, response);
     if (is_ok(reply.document)) {
-      answer.status = AttemptStatus::Ok;
-      answer.value = {reply.sections};
+      response.status = AttemptStatus::Ok;
+      response.value = {reply.sections};
       return ParseStep::Done;
     }
     const std::int32_t code = code_of(reply.document);
-    answer.status = status_of(code);
+    response.status = status_of(code);
     if (code == kNotWritablePrimary)
-      answer.role = Role::Replica;
-    if (answer.status == AttemptStatus::Error)
-      answer.value = {reply.sections};
+      response.role = Role::Replica;
+    if (response.status == AttemptStatus::Error)
+      response.value = {reply.sections};
     return ParseStep::Done;
   }
 
@@ -198,7 +199,7 @@
 
 }  // namespace
 
-std::unique_ptr<connection_pool::UpstreamProtocol> make_wire() {
+std::unique_ptr<connection_pool::UpstreamProtocol> make_upstream_protocol() {
   return std::make_unique<MongoUpstream>();
 }
 
--- a/src/postgres/upstream_protocol.cpp
+++ b/src/postgres/upstream_protocol.cpp
@@ -16,8 +16,8 @@
 constexpr std::size_t kMessageHeaderSize = 5;
 constexpr std::size_t kRowHeaderSize = 6;  // the number of columns, and the length of the first
 constexpr std::uint32_t kNullLength = 0xffffffffU;
-constexpr std::string_view kGreetingTypes = "RSKZEN";
-constexpr std::string_view kAnswerTypes = "TDCESNZ";
+constexpr std::string_view kHandshakeTypes = "RSKZEN";
+constexpr std::string_view kResponseTypes = "TDCESNZ";
 
 /// Whether a count of columns, as two bytes, is one.
 bool is_one_column(std::string_view count) {
@@ -66,9 +66,9 @@
 }
 
 /// Collects the messages of one answer to a simple query.
-class AnswerParser {
+class ResponseParser {
 public:
-  AnswerParser(bool is_health_check, UpstreamResponse& response)
+  ResponseParser(bool is_health_check, UpstreamResponse& response)
       : is_health_check_(is_health_check), response_(response) {}
 
   /// Returns false where the message shows that this is no answer.
@@ -167,7 +167,7 @@
 
 class PostgresUpstream : public connection_pool::UpstreamProtocol {
 public:
-  std::string greeting() override {
+  std::string handshake_message() override {
     std::string body = wire::encode_u32_big_endian(kProtocolVersion3);
     for (const char* word : {"user", "gorsebeam", "database", "crm"})
       body.append(word).push_back('\0');
@@ -175,28 +175,29 @@
     return wire::encode_u32_big_endian(static_cast<std::uint32_t>(body.size() + 4)) + body;
   }
 
-  ParseStep parse_greeting(std::string_view in, std::size_t& used, bool& turned_away) override {
+  ParseStep parse_handshake(std::string_view in, std::size_t& consumed_bytes,
+                            bool& is_rejected) override {
     Message message;
     for (std::string_view rest = in;; rest.remove_prefix(message.complete.size())) {
       const Framing framing = read_message(rest, kMaxMessageLength, message);
-      if (framing == Framing::Incomplete && !is_hopeless(rest, kGreetingTypes))
+      if (framing == Framing::Incomplete && !is_hopeless(rest, kHandshakeTypes))
         return ParseStep::More;
       if (framing != Framing::Complete)
         return ParseStep::Broken;
       if (message.type == 'E') {
-        turned_away = error_field(message.body, 'C') == kTooManyConnections;
+        is_rejected = error_field(message.body, 'C') == kTooManyConnections;
         return ParseStep::Broken;
       }
       if (message.type == 'R' && !is_authentication_ok(message.body))
         return ParseStep::Broken;
       if (message.type != 'Z')
         continue;
-      used = offset_behind(message, in);
+      consumed_bytes = offset_behind(message, in);
       return ParseStep::Done;
     }
   }
 
-  proxy::Parts request(const proxy::Parts& body) override {
+  proxy::Parts frame_request(const proxy::Parts& body) override {
     std::size_t length = 5;  // the length itself, and the zero byte at the end of the text
     for (const std::string_view part : body)
       length += part.size();
@@ -207,26 +208,26 @@
     return parts;
   }
 
-  proxy::Parts probe() override {
+  proxy::Parts health_check_message() override {
     header_ = encode_message('Q', std::string_view("SHOW gauges\0", 12));
     return {header_};
   }
 
-  ParseStep answer(std::string_view in, bool ended, bool to_probe, UpstreamResponse& answer,
-                   std::size_t& used) override {
-    answer = UpstreamResponse{};
-    AnswerParser parser(to_probe, answer);
+  ParseStep parse_response(std::string_view in, bool ended, bool is_health_check,
+                           UpstreamResponse& response, std::size_t& consumed_bytes) override {
+    response = UpstreamResponse{};
+    ResponseParser parser(is_health_check, response);
     Message message;
     std::string_view rest = in;
     while (!parser.is_ready()) {
       const Framing framing = read_message(rest, kMaxMessageLength, message);
       if (framing == Framing::Malformed)
         return ParseStep::Broken;
-      if (framing == Framing::Incomplete && is_hopeless(rest, kAnswerTypes))
+      if (framing == Framing::Incomplete && is_hopeless(rest, kResponseTypes))
         return ParseStep::Broken;
       if (framing == Framing::Incomplete)
         break;
-      used = offset_behind(message, in);
+      consumed_bytes = offset_behind(message, in);
       if (!parser.add(message))
         return ParseStep::Broken;
       rest.remove_prefix(message.complete.size());
@@ -244,7 +245,7 @@
 
 }  // namespace
 
-std::unique_ptr<connection_pool::UpstreamProtocol> make_wire() {
+std::unique_ptr<connection_pool::UpstreamProtocol> make_upstream_protocol() {
   return std::make_unique<PostgresUpstream>();
 }
 
--- a/src/postgres/upstream_protocol.h
+++ b/src/postgres/upstream_protocol.h
@@ -6,6 +6,6 @@
 
 namespace gorsebeam::postgres {
 
-std::unique_ptr<connection_pool::UpstreamProtocol> make_wire();
+std::unique_ptr<connection_pool::UpstreamProtocol> make_upstream_protocol();
 
 }  // namespace gorsebeam::postgres
--- a/tests/integration/postgres_response_parsing_test.cpp
+++ b/tests/integration/postgres_response_parsing_test.cpp
@@ -12,7 +12,8 @@
 
 ParseStep parse(const std::string& bytes, gorsebeam::proxy::UpstreamResponse& response) {
   std::size_t used = 0;
-  return gorsebeam::postgres::make_wire()->answer(bytes, false, false, response, used);
+  return gorsebeam::postgres::make_upstream_protocol()->parse_response(bytes, false, false,
+                                                                       response, used);
 }
 
 // What can never become a response is known from the bytes that arrived, before any time-out; a
--- a/tests/upstream_protocol_test.cpp
+++ b/tests/upstream_protocol_test.cpp
@@ -20,7 +20,8 @@
                          encode_message('Z', "I");
   proxy::UpstreamResponse answer;
   std::size_t used = 0;
-  EXPECT_EQ(make_wire()->answer(in, false, true, answer, used), connection_pool::ParseStep::Done);
+  EXPECT_EQ(make_upstream_protocol()->parse_response(in, false, true, answer, used),
+            connection_pool::ParseStep::Done);
   EXPECT_EQ(answer.status, AttemptStatus::Ok);
   return answer.load_report;
 }
