--- a/src/mongo/frontend.cpp
+++ b/src/mongo/frontend.cpp
@@ -65,10 +65,10 @@
 
 Writer error_reply(const CommandError& error) {
   return Writer()
-      .real("ok", 0)
-      .text("errmsg", error.text)
-      .small("code", error.code)
-      .text("codeName", error.name);
+      .append_double("ok", 0)
+      .append_string("errmsg", error.text)
+      .append_int32("code", error.code)
+      .append_string("codeName", error.name);
 }
 
 Writer over_limit_reply() {
@@ -78,10 +78,10 @@
 /// The name under which a client introduces itself; nothing where it gives none.
 std::optional<std::string> application_name(std::string_view hello) {
   const auto client = find(hello, "client");
-  if (!client || client->type != kTypeDocument)
+  if (!client || client->type != ElementType::Document)
     return std::nullopt;
   const auto application = find(client->value, "application");
-  if (!application || application->type != kTypeDocument)
+  if (!application || application->type != ElementType::Document)
     return std::nullopt;
   const auto name = find(application->value, "name");
   return name ? std::optional(scalar_text(*name)) : std::nullopt;
@@ -99,7 +99,7 @@
 /// The document that names a command's session; nothing where there is none.
 std::optional<Element> find_session(std::string_view command) {
   auto session = find(command, "lsid");
-  if (session && session->type != kTypeDocument)
+  if (session && session->type != ElementType::Document)
     session.reset();
   return session;
 }
@@ -124,13 +124,15 @@
     const OpMsg op_msg = read_op_msg(message.payload).value_or(OpMsg{});
     const proxy::Parts kept = kept_elements(op_msg.body);
     Writer added;
-    added.large("maxTimeMS", std::max<Duration::rep>(left / 1ms, 1));
+    added.append_int64("maxTimeMS", std::max<Duration::rep>(left / 1ms, 1));
     if (is_read_)
-      added.document("$readPreference", Writer().text("mode", "primaryPreferred").take());
+      added.append_document("$readPreference",
+                            Writer().append_string("mode", "primaryPreferred").finish());
     const std::string& added_elements = added.elements();
     const std::size_t size = kMinDocumentSize + total_size(kept) + added_elements.size();
     // Flags; then the kind and the length of the command; then the added elements and the end.
-    rewritten_ = u32(0) + '\0' + u32(static_cast<std::uint32_t>(size)) + added_elements + '\0';
+    rewritten_ =
+        encode_u32(0) + '\0' + encode_u32(static_cast<std::uint32_t>(size)) + added_elements + '\0';
     const std::string_view rewritten = rewritten_;
     proxy::Parts parts{rewritten.substr(0, 4), op_msg.before, rewritten.substr(4, 5)};
     parts.insert(parts.end(), kept.begin(), kept.end());
@@ -141,7 +143,8 @@
 
   void respond(const proxy::Parts& value) override {
     const std::size_t size = 4 + total_size(value);
-    const std::string head = encode_header(size, ++last_sent_id_, request_id_, kOpMsg) + u32(0);
+    const std::string head =
+        encode_header(size, ++last_sent_id_, request_id_, kOpMsg) + encode_u32(0);
     proxy::Parts parts{head};
     parts.insert(parts.end(), value.begin(), value.end());
     stream_->write(parts);
@@ -151,12 +154,14 @@
   void reject(Duration retry_after) override {
     // Drivers send a write again on the first label, which is harmless; newer ones wait on the
     // second.
-    const std::string labels =
-        Writer().text("0", "RetryableWriteError").text("1", "SystemOverloadedError").take();
+    const std::string labels = Writer()
+                                   .append_string("0", "RetryableWriteError")
+                                   .append_string("1", "SystemOverloadedError")
+                                   .finish();
     Writer reply = error_reply({kRateLimitExceeded, kRateLimitExceededName, "refused: try again"});
-    reply.document("errorLabels", labels, kTypeArray);
+    reply.append_array("errorLabels", labels);
     if (retry_after > 0ms)
-      reply.large("retryAfterMS", retry_after / 1ms);
+      reply.append_int64("retryAfterMS", retry_after / 1ms);
     send_reply(reply);
     finish();
   }
@@ -168,7 +173,7 @@
 
 private:
   void send_reply(const Writer& reply) {
-    stream_->write({encode_op_msg(reply.take(), ++last_sent_id_, request_id_)});
+    stream_->write({encode_op_msg(reply.finish(), ++last_sent_id_, request_id_)});
   }
 
   void finish() {
@@ -192,14 +197,13 @@
   [[nodiscard]] proxy::Parts kept_elements(std::string_view command) const {
     proxy::Parts kept;
     Reader reader(command);
-    Element element;
-    while (reader.next(element)) {
-      if (element.name == "maxTimeMS" || (is_read_ && element.name == "$readPreference"))
+    while (const std::optional<Element> element = reader.next()) {
+      if (element->name == "maxTimeMS" || (is_read_ && element->name == "$readPreference"))
         continue;
-      if (!kept.empty() && is_directly_behind(element.complete, kept.back()))
-        kept.back() = {kept.back().data(), kept.back().size() + element.complete.size()};
+      if (!kept.empty() && is_directly_behind(element->encoded, kept.back()))
+        kept.back() = {kept.back().data(), kept.back().size() + element->encoded.size()};
       else
-        kept.push_back(element.complete);
+        kept.push_back(element->encoded);
     }
     return kept;
   }
@@ -238,13 +242,12 @@
     const std::optional<std::string_view> body = read_op_query(message.payload);
     if (!body)
       return send_malformed_error("a query is malformed");
-    Element first;
-    Reader(*body).next(first);
+    const Element first = Reader(*body).next().value_or(Element{});
     const Writer reply = is_one_of(first.name, kHelloCommands)
                              ? greet(*body)
                              : error_reply({kUnsupportedOpQuery, "UnsupportedOpQueryCommand",
                                             "only a greeting may be an OP_QUERY"});
-    stream_->write({encode_op_reply(reply.take(), ++last_sent_id_, request_id_)});
+    stream_->write({encode_op_reply(reply.finish(), ++last_sent_id_, request_id_)});
     stream_->input().consume(message_size_);
     if (is_over_limit())
       close_when_written(frontend::CloseReason::ErrorSent);
@@ -257,25 +260,29 @@
       team_ = std::move(*name);
     const auto max_size = static_cast<std::int32_t>(frontend_.limits().message_bytes);
     Writer reply;
-    reply.truth("helloOk", true).truth("ismaster", true).truth("isWritablePrimary", true);
-    reply.text("msg", "isdbgrid");  // a router: drivers leave the choice of the server to it
-    reply.small("maxBsonObjectSize", max_size);
-    reply.small("maxMessageSizeBytes", max_size);
-    reply.small("maxWriteBatchSize", kMaxWriteBatchSize);
-    reply.large("localTime", net::now().time_since_epoch() / 1ms, kTypeDate);
-    reply.small("logicalSessionTimeoutMinutes", kLogicalSessionTimeoutMinutes);
-    reply.small("connectionId", 1);
-    reply.small("minWireVersion", kMinWireVersion);
-    reply.small("maxWireVersion", kMaxWireVersion);
-    reply.truth("readOnly", false);
-    reply.real("ok", 1);
+    reply.append_bool("helloOk", true)
+        .append_bool("ismaster", true)
+        .append_bool("isWritablePrimary", true);
+    reply.append_string("msg",
+                        "isdbgrid");  // a router: drivers leave the choice of the server to it
+    reply.append_int32("maxBsonObjectSize", max_size);
+    reply.append_int32("maxMessageSizeBytes", max_size);
+    reply.append_int32("maxWriteBatchSize", kMaxWriteBatchSize);
+    reply.append_date("localTime", net::now().time_since_epoch() / 1ms);
+    reply.append_int32("logicalSessionTimeoutMinutes", kLogicalSessionTimeoutMinutes);
+    reply.append_int32("connectionId", 1);
+    reply.append_int32("minWireVersion", kMinWireVersion);
+    reply.append_int32("maxWireVersion", kMaxWireVersion);
+    reply.append_bool("readOnly", false);
+    reply.append_double("ok", 1);
     return reply;
   }
 
   void handle_command(std::string_view command) {
-    Element first;
-    if (!Reader(command).next(first))
+    const std::optional<Element> element = Reader(command).next();
+    if (!element)
       return reject_command(parse_error("the command is empty"));
+    const Element& first = *element;
     if (is_one_of(first.name, kHelloCommands)) {
       send_reply(greet(command));
       stream_->input().consume(message_size_);
@@ -299,8 +306,8 @@
   void answer_locally(std::string_view command_name) {
     Writer reply;
     if (is_one_of(command_name, kBuildInfoCommands))
-      reply.text("version", "6.0.0");
-    send_reply(reply.real("ok", 1));
+      reply.append_string("version", "6.0.0");
+    send_reply(reply.append_double("ok", 1));
     stream_->input().consume(message_size_);
   }
 
@@ -357,7 +364,7 @@
     const TimePoint now = net::now();
     Duration allowed = settings.deadline;
     if (const auto limit = find(command, "maxTimeMS")) {
-      const auto limit_ms = integer(*limit);
+      const auto limit_ms = to_integer(*limit);
       if (!limit_ms || *limit_ms < 0 || *limit_ms > kMaxDeadlineMs)
         return parse_error("maxTimeMS is out of range");
       if (*limit_ms > 0)  // 0 means no limit in the protocol
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -15,12 +15,12 @@
 
 bool is_ok(std::string_view document) {
   const auto ok = find(document, "ok");
-  return ok && truth(*ok).value_or(false);
+  return ok && to_bool(*ok).value_or(false);
 }
 
 std::int32_t code_of(std::string_view document) {
   const auto code = find(document, "code");
-  return code ? static_cast<std::int32_t>(integer(*code).value_or(0)) : 0;
+  return code ? static_cast<std::int32_t>(to_integer(*code).value_or(0)) : 0;
 }
 
 /// The endpoint did not apply the command where the status is `Misdirected` (no primary, or too far
@@ -41,79 +41,81 @@
 
 bool is_set(std::string_view document, const char* name) {
   const auto element = find(document, name);
-  return element && truth(*element).value_or(false);
+  return element && to_bool(*element).value_or(false);
 }
 
 /// The time of the last write that a hello reply reports; nothing where it reports none.
 std::optional<ReplicationPosition> last_write_date(std::string_view hello) {
   const auto last_write = find(hello, "lastWrite");
-  if (!last_write || last_write->type != kTypeDocument)
+  if (!last_write || last_write->type != ElementType::Document)
     return std::nullopt;
-  const auto date = find(last_write->value, "lastWriteDate");
-  if (!date || date->type != kTypeDate)
+  const auto element = find(last_write->value, "lastWriteDate");
+  const std::optional<std::int64_t> unix_ms = element ? to_date(*element) : std::nullopt;
+  if (!unix_ms || *unix_ms <= 0 || *unix_ms >= kMaxUnixSeconds * 1000)
     return std::nullopt;
-  const auto unix_ms = static_cast<std::int64_t>(read_u64(date->value.data()));
-  if (unix_ms <= 0 || unix_ms >= kMaxUnixSeconds * 1000)
-    return std::nullopt;
-  return ReplicationPosition(std::chrono::milliseconds(unix_ms));
+  return ReplicationPosition(std::chrono::milliseconds(*unix_ms));
 }
 
 /// Reads the reply to a health check.
-void read_hello(std::string_view document, UpstreamResponse& answer) {
+void read_hello(std::string_view document, UpstreamResponse& response) {
   const bool is_primary = is_set(document, "isWritablePrimary") || is_set(document, "ismaster");
   const bool is_replica = is_set(document, "secondary");
   if (!is_ok(document) || (!is_primary && !is_replica)) {
-    answer.status = AttemptStatus::Error;
+    response.status = AttemptStatus::Error;
     return;
   }
-  answer.status = AttemptStatus::Ok;
-  answer.load_report.is_primary = is_primary;
+  response.status = AttemptStatus::Ok;
+  response.load_report.is_primary = is_primary;
   if (const auto position = last_write_date(document))
-    answer.load_report.replication_position = position;
+    response.load_report.replication_position = position;
 }
 
 // The seconds of operationTime are Unix time. The endpoint has applied all writes up to them; a
 // write's commit lies somewhere within that second, so a read that must see it needs the next one.
 // Otherwise a demoted primary could pass as more current than it is, and a session could read from
 // before its own write.
-void read_position(std::string_view document, UpstreamResponse& answer) {
-  const auto time = find(document, "operationTime");
-  if (!time || time->type != kTypeTimestamp)
-    return;
-  const auto seconds = static_cast<std::int64_t>(read_u64(time->value.data()) >> 32);
-  if (seconds <= 0 || seconds > kMaxUnixSeconds)
+void read_position(std::string_view document, UpstreamResponse& response) {
+  const auto element = find(document, "operationTime");
+  const auto seconds = element ? to_timestamp_seconds(*element) : std::nullopt;
+  if (!seconds || *seconds <= 0 || *seconds > kMaxUnixSeconds)
     return;
-  answer.replication_position = ReplicationPosition(std::chrono::seconds(seconds));
-  answer.commit_position = ReplicationPosition(std::chrono::seconds(seconds + 1));
+  response.replication_position = ReplicationPosition(std::chrono::seconds(*seconds));
+  response.commit_position = ReplicationPosition(std::chrono::seconds(*seconds + 1));
 }
 
 class MongoUpstream : public connection_pool::UpstreamProtocol {
 public:
-  std::string greeting() override {
+  std::string handshake_message() override {
     const std::string client =
         Writer()
-            .document("application", Writer().text("name", "gorsebeam").take())
-            .document("driver", Writer().text("name", "gorsebeam").text("version", "1").take())
-            .document("os", Writer().text("type", "Linux").take())
-            .take();
-    return encode_op_msg(
-        Writer().small("hello", 1).text("$db", "admin").document("client", client).take(),
-        ++last_sent_id_, 0);
+            .append_document("application", Writer().append_string("name", "gorsebeam").finish())
+            .append_document(
+                "driver",
+                Writer().append_string("name", "gorsebeam").append_string("version", "1").finish())
+            .append_document("os", Writer().append_string("type", "Linux").finish())
+            .finish();
+    return encode_op_msg(Writer()
+                             .append_int32("hello", 1)
+                             .append_string("$db", "admin")
+                             .append_document("client", client)
+                             .finish(),
+                         ++last_sent_id_, 0);
   }
 
-  ParseStep parse_greeting(std::string_view in, std::size_t& used, bool& turned_away) override {
+  ParseStep parse_handshake(std::string_view in, std::size_t& consumed_bytes,
+                            bool& is_rejected) override {
     Reply reply;
     const ParseStep step = read_reply(in, reply);
     if (step != ParseStep::Done)
       return step;
-    used = reply.size;
+    consumed_bytes = reply.size;
     if (is_ok(reply.document))
       return ParseStep::Done;
-    turned_away = code_of(reply.document) == kRateLimitExceeded;
+    is_rejected = code_of(reply.document) == kRateLimitExceeded;
     return ParseStep::Broken;
   }
 
-  proxy::Parts request(const proxy::Parts& body) override {
+  proxy::Parts frame_request(const proxy::Parts& body) override {
     std::size_t size = 0;
     for (const std::string_view part : body)
       size += part.size();
@@ -123,36 +125,37 @@
     return parts;
   }
 
-  proxy::Parts probe() override {
+  proxy::Parts health_check_message() override {
     header_ =
-        encode_op_msg(Writer().small("hello", 1).text("$db", "admin").take(), ++last_sent_id_, 0);
+        encode_op_msg(Writer().append_int32("hello", 1).append_string("$db", "admin").finish(),
+                      ++last_sent_id_, 0);
     return {header_};
   }
 
-  ParseStep answer(std::string_view in, bool, bool to_probe, UpstreamResponse& answer,
-                   std::size_t& used) override {
-    answer = UpstreamResponse{};
+  ParseStep parse_response(std::string_view in, bool, bool is_health_check,
+                           UpstreamResponse& response, std::size_t& consumed_bytes) override {
+    response = UpstreamResponse{};
     Reply reply;
     const ParseStep step = read_reply(in, reply);
     if (step != ParseStep::Done)
       return step;
-    used = reply.size;
-    if (to_probe) {
-      read_hello(reply.document, answer);
+    consumed_bytes = reply.size;
+    if (is_health_check) {
+      read_hello(reply.document, response);
       return ParseStep::Done;
     }
-    read_position(reply.document, answer);
+    read_position(reply.document, response);
     if (is_ok(reply.document)) {
-      answer.status = AttemptStatus::Ok;
-      answer.value = {reply.sections};
+      response.status = AttemptStatus::Ok;
+      response.value = {reply.sections};
       return ParseStep::Done;
     }
     const std::int32_t code = code_of(reply.document);
-    answer.status = status_of(code);
+    response.status = status_of(code);
     if (code == kNotWritablePrimary)
-      answer.role = Role::Replica;
-    if (answer.status == AttemptStatus::Error)
-      answer.value = {reply.sections};
+      response.role = Role::Replica;
+    if (response.status == AttemptStatus::Error)
+      response.value = {reply.sections};
     return ParseStep::Done;
   }
 
@@ -194,7 +197,7 @@
 
 }  // namespace
 
-std::unique_ptr<connection_pool::UpstreamProtocol> make_wire() {
+std::unique_ptr<connection_pool::UpstreamProtocol> make_upstream_protocol() {
   return std::make_unique<MongoUpstream>();
 }
 
