--- a/tests/fault_soak/stand_ins.cpp
+++ b/tests/fault_soak/stand_ins.cpp
@@ -92,7 +92,7 @@
   input.clear();
   stream = Stream::connect(gateway.process->address(), *this);
   if (stream)
-    stream->write({protocol().client_greeting()});
+    stream->write({protocol().client_handshake()});
 }
 
 void World::Client::send_next() {
--- a/tests/integration/client_admission_test.cpp
+++ b/tests/integration/client_admission_test.cpp
@@ -12,14 +12,14 @@
 class ClientAdmission : public GatewayIntegrationTest {
 protected:
   [[nodiscard]] static std::vector<std::string> malformed_inputs() {
-    const std::string greeting = protocol().client_greeting();
+    const std::string handshake = protocol().client_handshake();
     const std::string request = protocol().encode_request(read_request("cut"));
-    std::vector<std::string> inputs{std::string(64, '\xff'), greeting + std::string(64, '\xff'),
+    std::vector<std::string> inputs{std::string(64, '\xff'), handshake + std::string(64, '\xff'),
                                     std::string(64, '\0')};
     for (std::size_t position = 0; position < request.size(); position += 3) {
       std::string corrupted = request;
       corrupted[position] = static_cast<char>(corrupted[position] ^ 0x55);
-      inputs.push_back(greeting + corrupted);
+      inputs.push_back(handshake + corrupted);
     }
     return inputs;
   }
@@ -38,7 +38,7 @@
     return clients;
   }
 
-  // False if the client was rejected, as on a starved machine its greeting may come too late.
+  // False if the client was rejected, as on a starved machine its handshake may arrive too late.
   [[nodiscard]] static bool serves_new_client(GatewayHarness& harness, const std::string& id) {
     const auto client = harness.connect_client();
     client->send_request(read_request(id));
--- a/tests/integration/client_disconnects_test.cpp
+++ b/tests/integration/client_disconnects_test.cpp
@@ -18,10 +18,10 @@
 
   static void expect_drops_waiting_requests(std::size_t min_bytes, DisconnectKind kind) {
     WarmGateway warm(protocol(), 2, 8, long_connect_timeout());
-    warm.harness.hold_greetings();
+    warm.harness.pause_handshakes();
     const auto leaving = warm.harness.connect_client();
     leaving->write(encode_requests(min_bytes));
-    static_cast<void>(warm.harness.await_held_greeting());
+    static_cast<void>(warm.harness.await_paused_handshake());
     leaving->await_flushed();
 
     if (kind == DisconnectKind::ShutDownWriting) {
@@ -29,10 +29,10 @@
       leaving->await_close("the gateway to end its side");
     } else {
       leaving->close();
-      await_gateway_loop_turns(*warm.client, "u");
+      await_gateway_loop_iterations(*warm.client, "u");
     }
 
-    warm.harness.release_greetings();
+    warm.harness.resume_handshakes();
     expect_reads_served(*warm.client, "b", 12);
     ASSERT_EQ(warm.harness.attempt_count_with_prefix("left-"), 0);
     ASSERT_TRUE(leaving->responses.empty());
@@ -89,11 +89,11 @@
         endpoint->close_connections();
     else
       leaving->send_request(read_request("left-0"));
-    await_gateway_loop_turns(*warm.client, "u");
+    await_gateway_loop_iterations(*warm.client, "u");
     ASSERT_TRUE(leaving->responses.empty());
 
     leaving->close();
-    await_gateway_loop_turns(*warm.client, "v");
+    await_gateway_loop_iterations(*warm.client, "v");
 
     harness.set_listed_status(ListedStatus::Up);
     harness.publish_inventory();
@@ -113,20 +113,20 @@
   // Together the rounds have more clients than may connect.
   for (int round = 0; round < 4; ++round) {
     const std::string round_suffix = std::to_string(round) + "-";
-    harness.hold_greetings();
+    harness.pause_handshakes();
     const auto burst = connect_burst(harness, round);
-    static_cast<void>(harness.await_held_greeting());
+    static_cast<void>(harness.await_paused_handshake());
     for (const auto& client : burst)
       client->await_flushed();
-    await_gateway_loop_turns(*warm.client, "u" + round_suffix);
+    await_gateway_loop_iterations(*warm.client, "u" + round_suffix);
     for (const auto& client : burst) {
       ASSERT_TRUE(client->responses.empty());
       ASSERT_FALSE(client->closed_by_gateway);
     }
     for (const auto& client : burst)
       client->close();
-    await_gateway_loop_turns(*warm.client, "v" + round_suffix);
-    harness.release_greetings();
+    await_gateway_loop_iterations(*warm.client, "v" + round_suffix);
+    harness.resume_handshakes();
     expect_reads_served(*warm.client, "b" + round_suffix, 12);
   }
   ASSERT_EQ(harness.attempt_count_with_prefix("left-"), 0);
--- a/tests/integration/held_up_loop_test.cpp
+++ b/tests/integration/event_loop_stall_test.cpp
@@ -95,10 +95,10 @@
   Clients clients;
 };
 
-class HeldUpWatch : public GatewayIntegrationTest {};
+class EndpointWatchAfterStall : public GatewayIntegrationTest {};
 
 // The silence timer is due when the gateway runs again, and the list is there to be read.
-TEST_P(HeldUpWatch, IsReadBeforeItCountsAsSilent) {
+TEST_P(EndpointWatchAfterStall, ReadsPendingListBeforeSilenceTimeout) {
   WatchedGateway watched(protocol());
   const StubEndpoint& draining = watched.freeze_drain_and_send(43);
   const int requests_before = draining.request_count;
@@ -113,7 +113,7 @@
 }
 
 // The requests and the list are there together, and the clients' connections are the older ones.
-TEST_P(HeldUpWatch, IsReadBeforeRequestsThatCameAfterIt) {
+TEST_P(EndpointWatchAfterStall, ReadsPendingListBeforeLaterRequests) {
   WatchedGateway watched(protocol());
   watched.reopen_watch();
   const StubEndpoint& draining = watched.freeze_drain_and_send(43);
@@ -128,7 +128,7 @@
 }
 
 // SIGHUP names another agent while the list of the present one waits to be read.
-TEST_P(HeldUpWatch, IsReadBeforeAReloadClosesIt) {
+TEST_P(EndpointWatchAfterStall, ReadsPendingListBeforeReloadClosesWatch) {
   WatchedGateway watched(protocol());
   DiscoveryAgent next_agent;
   const StubEndpoint& draining = watched.freeze_drain_and_send(43);
@@ -145,20 +145,20 @@
   watched.harness.expect_invariants_and_running();
 }
 
-INSTANTIATE_TEST_SUITE_P(, HeldUpWatch, postgres_only(), protocol_name);
+INSTANTIATE_TEST_SUITE_P(, EndpointWatchAfterStall, postgres_only(), protocol_name);
 
-class HeldUpLoop : public GatewayIntegrationTest {};
+class EventLoopStall : public GatewayIntegrationTest {};
 
-// The connection's timeout is due when the gateway runs again, and its greeting is there.
-TEST_P(HeldUpLoop, ConnectionThatOpenedInTimeIsNoFailure) {
+// The connection's timeout is due when the gateway runs again, and its handshake reply has arrived.
+TEST_P(EventLoopStall, KeepsConnectionThatOpenedBeforeTimeout) {
   PlatformSettings settings;
   settings.connect_timeout_ms = 1500;
   WarmGateway warm(protocol(), 2, 8, settings);
-  warm.harness.hold_greetings();
+  warm.harness.pause_handshakes();
   warm.client->send_request(read_request("opened", 6000));
-  static_cast<void>(warm.harness.await_held_greeting());
+  static_cast<void>(warm.harness.await_paused_handshake());
   warm.harness.gateway.freeze();
-  warm.harness.release_greetings();
+  warm.harness.resume_handshakes();
   run_main_loop_for(kBeyondConnectTimeout);
 
   warm.harness.gateway.resume();
@@ -170,7 +170,7 @@
 }
 
 // The attempt's timeout and the request's deadline are due, and the response is there.
-TEST_P(HeldUpLoop, ResponseThatArrivedInTimeIsServed) {
+TEST_P(EventLoopStall, DeliversResponseThatArrivedBeforeDeadline) {
   WarmGateway warm(protocol(), 2, 8);
   warm.harness.script = {ScriptedResponse::NoResponse};
   warm.client->send_request(keyed_write("answered"));
@@ -187,7 +187,7 @@
 }
 
 // A request is read long after it arrived: its client has waited all the while.
-TEST_P(HeldUpLoop, ForwardsNoMoreTimeThanTheClientHasLeft) {
+TEST_P(EventLoopStall, ForwardsNoMoreThanRemainingClientTime) {
   constexpr int kTimeoutMs = 2000;
   constexpr int kSlackMs = 150;
   WarmGateway warm(protocol(), 2, 8);
@@ -206,12 +206,12 @@
 }
 
 // The rest of a message came in time, and the bound on incomplete ones is due.
-TEST_P(HeldUpLoop, MessageThatWasCompletedInTimeIsServed) {
+TEST_P(EventLoopStall, ServesMessageThatWasCompletedBeforeTimeout) {
   WarmGateway warm(protocol(), 2, 8);
   const std::string message = protocol().encode_request(read_request("halves", 6000));
   warm.client->write(message.substr(0, message.size() / 2));
   const auto other = warm.harness.connect_client();
-  await_gateway_loop_turns(*other, "turn");
+  await_gateway_loop_iterations(*other, "turn");
   warm.harness.gateway.freeze();
   warm.harness.sent_requests["halves"] = 1;
   warm.client->write(message.substr(message.size() / 2));
@@ -226,7 +226,7 @@
 
 // The client's end and the end of its first attempt are both there, and the attempt's connection is
 // the older one.
-TEST_P(HeldUpLoop, RetriesNothingForAClientThatHasLeft) {
+TEST_P(EventLoopStall, DoesNotRetryForDisconnectedClient) {
   WarmGateway warm(protocol(), 3, 24);
   const auto leaving = warm.harness.connect_client();
   warm.harness.script = {ScriptedResponse::NoResponse};
@@ -247,7 +247,7 @@
 
 // The former primary has said that it is a replica, and then another write comes, on a connection
 // that is older than the endpoint's.
-TEST_P(HeldUpLoop, ResponsesAreReadBeforeLaterRequests) {
+TEST_P(EventLoopStall, ReadsResponsesBeforeLaterRequests) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
   const auto later = harness.connect_client();
@@ -278,7 +278,7 @@
 }
 
 // An idle connection has rested for longer than its endpoint keeps it, and its retirement is due.
-TEST_P(HeldUpLoop, UsesNoConnectionThatEndpointsHaveClosedMeanwhile) {
+TEST_P(EventLoopStall, DoesNotReuseConnectionIdleBeyondKeepalive) {
   PlatformSettings settings;
   settings.keepalive_ms = 2000;
   WarmGateway warm(protocol(), 2, 8, settings);
@@ -298,7 +298,7 @@
 }
 
 // The log's pipe is full, as nobody reads it; the gateway serves on.
-TEST_P(HeldUpLoop, LogThatNobodyReadsHoldsNothingUp) {
+TEST_P(EventLoopStall, IsNotCausedByFullLogPipe) {
   constexpr int kFailures = 40;             // each logs a line of about 190 bytes
   constexpr int kReadsBetweenFailures = 9;  // so that no endpoint is ejected for its errors
   constexpr milliseconds kInterval{200};    // the log takes five lines of an event in a second
@@ -315,6 +315,6 @@
   warm.harness.expect_invariants_and_running();
 }
 
-INSTANTIATE_TEST_SUITE_P(, HeldUpLoop, both_protocols(), protocol_name);
+INSTANTIATE_TEST_SUITE_P(, EventLoopStall, both_protocols(), protocol_name);
 
 }  // namespace
--- a/tests/integration/gateway_integration_test.h
+++ b/tests/integration/gateway_integration_test.h
@@ -32,7 +32,7 @@
   std::unique_ptr<TestClient> client;
 };
 
-/// Settings under which no held greeting runs into the connect time-out.
+/// Settings under which no paused handshake exceeds the connect timeout.
 inline PlatformSettings long_connect_timeout() {
   PlatformSettings settings;
   settings.connect_timeout_ms = 20'000;
--- a/tests/integration/mongo_protocol.cpp
+++ b/tests/integration/mongo_protocol.cpp
@@ -35,7 +35,7 @@
 public:
   const char* name() const override { return "mongo"; }
 
-  std::string client_greeting() const override {  // as drivers open: OP_QUERY on admin.$cmd
+  std::string client_handshake() const override {  // as drivers open: OP_QUERY on admin.$cmd
     const std::string application =
         Writer().document("application", Writer().text("name", "portal").take()).take();
     const std::string body =
@@ -72,7 +72,7 @@
       const std::string message = input.substr(0, gorsebeam::mongo::read_u32(input.data()));
       input.erase(0, message.size());
       if (gorsebeam::mongo::read_u32(message.data() + 12) == 1)
-        continue;  // OP_REPLY, to the greeting
+        continue;  // OP_REPLY, to the handshake
       const std::string document = message.substr(21);
       if (!gorsebeam::mongo::well_formed(document)) {
         report_callback_failure("the gateway sent a client a malformed document");
--- a/tests/integration/postgres_protocol.cpp
+++ b/tests/integration/postgres_protocol.cpp
@@ -55,7 +55,7 @@
 public:
   [[nodiscard]] const char* name() const override { return "postgres"; }
 
-  [[nodiscard]] std::string client_greeting() const override {
+  [[nodiscard]] std::string client_handshake() const override {
     const std::string body =
         encode_big_endian(196608) + std::string("user\0portal\0database\0crm\0\0", 26);
     return encode_big_endian(static_cast<std::uint32_t>(body.size() + 4)) + body;
@@ -78,7 +78,7 @@
   std::optional<ClientResult> decode_response(std::string& input,
                                               std::string& value) const override {
     std::optional<ClientResult> result;
-    bool greeting = false;
+    bool is_handshake = false;
     for (std::size_t at = 0; input.size() >= at + 5;) {
       const std::size_t size = 1 + decode_big_endian(input, at + 1);
       if (input.size() < at + size)
@@ -87,7 +87,7 @@
       const std::string body = input.substr(at + 5, size - 5);
       at += size;
       if (type == 'R')
-        greeting = true;
+        is_handshake = true;
       if (type == 'C')
         result = ClientResult::Served;
       if (type == 'D')
@@ -100,9 +100,9 @@
         continue;
       input.erase(0, at);
       at = 0;
-      if (!greeting || result)
+      if (!is_handshake || result)
         return result;
-      greeting = false;
+      is_handshake = false;
     }
     return std::nullopt;
   }
--- a/tests/integration/protocol.h
+++ b/tests/integration/protocol.h
@@ -60,13 +60,13 @@
   virtual ~Protocol() = default;
   /// `postgres` or `mongo`, as test names show it.
   [[nodiscard]] virtual const char* name() const = 0;
-  [[nodiscard]] virtual std::string client_greeting() const = 0;
+  [[nodiscard]] virtual std::string client_handshake() const = 0;
   [[nodiscard]] virtual std::string encode_request(const Request& request) const = 0;
   /// Removes one response from `input`, and sets `value` from it; nothing while it is incomplete.
   virtual std::optional<ClientResult> decode_response(std::string& input,
                                                       std::string& value) const = 0;
   /// Removes one message from `input`; false while it is incomplete. Sets `request` if the message
-  /// is a client's request, else `reply` to the response to a greeting or health check.
+  /// is a client's request, else `reply` to the response to a handshake or health check.
   virtual bool decode_endpoint_message(std::string& input, const ReplicationStatus& replication,
                                        std::optional<Request>& request,
                                        std::string& reply) const = 0;
--- a/tests/integration/race_conditions_test.cpp
+++ b/tests/integration/race_conditions_test.cpp
@@ -15,14 +15,14 @@
   for (const bool is_write : {false, true}) {
     SCOPED_TRACE(is_write ? "a write" : "a read");
     WarmGateway warm(protocol(), 3, 12, long_connect_timeout());
-    warm.harness.hold_greetings();
+    warm.harness.pause_handshakes();
     warm.client->send_request(is_write ? keyed_write("late") : read_request("late"));
-    StubEndpoint& draining = warm.harness.await_held_greeting();
+    StubEndpoint& draining = warm.harness.await_paused_handshake();
     draining.listed_status = ListedStatus::Draining;
     warm.harness.publish_inventory();
     const int requests_before = draining.request_count;
 
-    warm.harness.release_greetings();
+    warm.harness.resume_handshakes();
 
     ASSERT_EQ(warm.client->await_response(),
               is_write ? ClientResult::Rejected : ClientResult::Served);
@@ -36,19 +36,19 @@
 
 TEST_P(RaceConditions, DoesNotRetryOnEndpointDrainedDuringConnect) {
   WarmGateway warm(protocol(), 4, 12, long_connect_timeout());
-  warm.harness.hold_greetings();
+  warm.harness.pause_handshakes();
   warm.client->send_request(read_request("again"));
-  StubEndpoint& first = warm.harness.await_held_greeting();
-  first.release_greetings();
+  StubEndpoint& first = warm.harness.await_paused_handshake();
+  first.resume_handshakes();
   warm.harness.script = {ScriptedResponse::ResetConnection};
   warm.harness.await_first_attempt("again");
-  StubEndpoint& second = warm.harness.await_held_greeting();
+  StubEndpoint& second = warm.harness.await_paused_handshake();
   ASSERT_NE(&second, &first);
   second.listed_status = ListedStatus::Draining;
   warm.harness.publish_inventory();
   const int requests_before = second.request_count;
 
-  warm.harness.release_greetings();
+  warm.harness.resume_handshakes();
 
   ASSERT_EQ(warm.client->await_response(), ClientResult::Served);
   ASSERT_EQ(second.request_count, requests_before);
@@ -60,19 +60,19 @@
   GatewayHarness harness(protocol(), 3, 0);
   harness.set_platform_settings(long_connect_timeout());
   for (const auto& endpoint : harness.endpoints)
-    endpoint->holds_greetings = true;
+    endpoint->pauses_handshakes = true;
   harness.start();  // sends each endpoint a health check
   for (const auto& endpoint : harness.endpoints)
     wait_until(
         [&] {
-          return endpoint->held_greeting_count() == 1;
+          return endpoint->paused_handshake_count() == 1;
         },
         "the first health check's connection to " + endpoint->name);
   const StubEndpoint& draining = *harness.endpoints[1];
   harness.endpoints[1]->listed_status = ListedStatus::Draining;
   harness.publish_inventory();
 
-  harness.release_greetings();
+  harness.resume_handshakes();
 
   const auto client = harness.connect_client();
   expect_reads_served(*client, "a", 12);
@@ -91,12 +91,12 @@
 // comes next, or is closed.
 TEST_P(RaceConditions, DoesNotWriteRequestThatEndedDuringConnect) {
   WarmGateway warm(protocol(), 2, 8, long_connect_timeout());
-  warm.harness.hold_greetings();
+  warm.harness.pause_handshakes();
   warm.client->send_request(read_request("over", 300));
-  static_cast<void>(warm.harness.await_held_greeting());
+  static_cast<void>(warm.harness.await_paused_handshake());
   ASSERT_EQ(warm.client->await_response(), ClientResult::Rejected);
 
-  warm.harness.release_greetings();
+  warm.harness.resume_handshakes();
 
   expect_reads_served(*warm.client, "b", 12);
   ASSERT_EQ(warm.harness.attempt_count("over"), 0);
@@ -120,12 +120,12 @@
   write.timeout_ms = 60'000;
   warm.client->send_request(write);
   warm.harness.await_first_attempt("keyed");
-  // The attempt ends by a reset; the retry's connection opens when its greeting is released.
-  warm.harness.hold_greetings();
-  static_cast<void>(warm.harness.await_held_greeting());
+  // The attempt ends by a reset; the retry's connection opens when its handshake resumes.
+  warm.harness.pause_handshakes();
+  static_cast<void>(warm.harness.await_paused_handshake());
   run_main_loop_for(2 * std::chrono::milliseconds(settings.deduplication_window_ms));
 
-  warm.harness.release_greetings();
+  warm.harness.resume_handshakes();
 
   ASSERT_EQ(warm.client->await_response(), ClientResult::Failed);
   ASSERT_EQ(warm.harness.attempt_count("keyed"), 1);
--- a/tests/integration/request_outcomes_test.cpp
+++ b/tests/integration/request_outcomes_test.cpp
@@ -122,7 +122,7 @@
   harness.expect_invariants_and_running();
 }
 
-// Requests are written right behind the greeting, several at once.
+// Requests are written right after the handshake, several at once.
 TEST_P(RequestOutcomes, AnswerEachPipelinedRequestOnce) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
--- a/tests/integration/stub_endpoint.cpp
+++ b/tests/integration/stub_endpoint.cpp
@@ -47,10 +47,10 @@
       return false;
     if (request)
       reply = respond(*request);
-    else if (greeted)
+    else if (is_handshake_complete)
       ++endpoint.health_check_count;
-    if (!std::exchange(greeted, true) && endpoint.holds_greetings)
-      held_greeting = std::exchange(reply, "");
+    if (!std::exchange(is_handshake_complete, true) && endpoint.pauses_handshakes)
+      paused_handshake_reply = std::exchange(reply, "");
     if (!stream->open())
       return false;
     if (!reply.empty())
@@ -102,8 +102,8 @@
   StubEndpoint& endpoint;
   std::shared_ptr<Stream> stream;
   std::string input;
-  std::string held_greeting;
-  bool greeted = false;
+  std::string paused_handshake_reply;
+  bool is_handshake_complete = false;
   std::size_t attempt_number = 0;  ///< 1 + index in GatewayHarness::attempts; 0: none in flight.
   gint64 last_used_at = g_get_monotonic_time();
 };
@@ -131,18 +131,18 @@
       }));
 }
 
-std::size_t StubEndpoint::held_greeting_count() const {
+std::size_t StubEndpoint::paused_handshake_count() const {
   return static_cast<std::size_t>(
       std::count_if(connections_.begin(), connections_.end(), [](const auto& connection) {
-        return connection->stream->open() && !connection->held_greeting.empty();
+        return connection->stream->open() && !connection->paused_handshake_reply.empty();
       }));
 }
 
-void StubEndpoint::release_greetings() {
-  holds_greetings = false;
+void StubEndpoint::resume_handshakes() {
+  pauses_handshakes = false;
   for (const auto& connection : connections_)
-    if (connection->stream->open() && !connection->held_greeting.empty())
-      connection->stream->write({std::exchange(connection->held_greeting, "")});
+    if (connection->stream->open() && !connection->paused_handshake_reply.empty())
+      connection->stream->write({std::exchange(connection->paused_handshake_reply, "")});
 }
 
 void StubEndpoint::respond_to_open_attempts(ScriptedResponse response) {
--- a/tests/integration/stub_endpoint.h
+++ b/tests/integration/stub_endpoint.h
@@ -23,9 +23,9 @@
   StubEndpoint(const StubEndpoint&) = delete;
   StubEndpoint& operator=(const StubEndpoint&) = delete;
 
-  [[nodiscard]] std::size_t held_greeting_count() const;
-  /// Sends the held greetings; no greeting is held from then on.
-  void release_greetings();
+  [[nodiscard]] std::size_t paused_handshake_count() const;
+  /// Sends the paused handshake replies; no handshake is paused from then on.
+  void resume_handshakes();
   [[nodiscard]] int open_connection_count() const;
   /// Sends `response` to each request that has had none.
   void respond_to_open_attempts(ScriptedResponse response = ScriptedResponse::Succeed);
@@ -42,9 +42,9 @@
   bool listed_as_primary;
   ReplicationStatus replication;
   int request_count = 0;
-  int health_check_count = 0;       ///< Without the greetings that open connections.
+  int health_check_count = 0;       ///< Without the handshakes that open connections.
   std::size_t min_value_bytes = 0;  ///< Values are padded to this length.
-  bool holds_greetings = false;     ///< New connections get no greeting until they are released.
+  bool pauses_handshakes = false;   ///< No new connection gets a handshake reply meanwhile.
   int idle_reset_ms = 0;            ///< Resets a connection at the first message after so long an
                                     ///< idle time; 0: never.
   int idle_reset_count = 0;
--- a/tests/integration/test_harness.cpp
+++ b/tests/integration/test_harness.cpp
@@ -148,33 +148,33 @@
 
 std::unique_ptr<TestClient> GatewayHarness::connect_client() {
   auto client = connect_silent_client();
-  client->write(protocol.client_greeting());
+  client->write(protocol.client_handshake());
   return client;
 }
 
-void GatewayHarness::hold_greetings() {
+void GatewayHarness::pause_handshakes() {
   for (const auto& endpoint : endpoints) {
-    endpoint->holds_greetings = true;
+    endpoint->pauses_handshakes = true;
     endpoint->close_connections();
   }
 }
 
-StubEndpoint& GatewayHarness::await_held_greeting() const {
+StubEndpoint& GatewayHarness::await_paused_handshake() const {
   StubEndpoint* found = nullptr;
   wait_until(
       [&] {
         for (const auto& endpoint : endpoints)
-          if (endpoint->held_greeting_count() > 0)
+          if (endpoint->paused_handshake_count() > 0)
             found = endpoint.get();
         return found != nullptr;
       },
-      "a connection whose greeting is held");
+      "a connection whose handshake is paused");
   return *found;
 }
 
-void GatewayHarness::release_greetings() {
+void GatewayHarness::resume_handshakes() {
   for (const auto& endpoint : endpoints)
-    endpoint->release_greetings();
+    endpoint->resume_handshakes();
 }
 
 void GatewayHarness::set_listed_status(ListedStatus status) {
@@ -248,7 +248,7 @@
   }
 }
 
-void await_gateway_loop_turns(TestClient& client, const std::string& id_prefix) {
+void await_gateway_loop_iterations(TestClient& client, const std::string& id_prefix) {
   for (int i = 0; i < 40; ++i) {
     const std::string id = id_prefix + std::to_string(i);
     ASSERT_EQ(client.send_and_await({id, "unheard-of", "", 2000, false, ""}), ClientResult::Failed);
--- a/tests/integration/test_harness.h
+++ b/tests/integration/test_harness.h
@@ -46,7 +46,7 @@
   ~GatewayHarness();
 
   void start();
-  /// A client that has sent its greeting.
+  /// A client that has sent its handshake.
   std::unique_ptr<TestClient> connect_client();
   /// A client that has sent nothing.
   std::unique_ptr<TestClient> connect_silent_client();
@@ -70,11 +70,12 @@
 
   /// Has new clients connect to the address that the program logged last.
   void update_address();
-  /// Closes all connections to the endpoints; new ones get no greeting until release_greetings().
-  void hold_greetings();
-  /// Waits until an endpoint holds a greeting, and returns the endpoint.
-  [[nodiscard]] StubEndpoint& await_held_greeting() const;
-  void release_greetings();
+  /// Closes all connections to the endpoints; new ones get no handshake reply until
+  /// resume_handshakes().
+  void pause_handshakes();
+  /// Waits until a handshake is paused at an endpoint, and returns the endpoint.
+  [[nodiscard]] StubEndpoint& await_paused_handshake() const;
+  void resume_handshakes();
   void set_listed_status(ListedStatus status);
   /// Makes each further value so long at least.
   void set_min_value_bytes(std::size_t bytes);
@@ -117,7 +118,7 @@
 
 /// Sends requests that fail without an attempt, one after the other, so that the gateway has read
 /// what other clients sent before.
-void await_gateway_loop_turns(TestClient& client, const std::string& id_prefix);
+void await_gateway_loop_iterations(TestClient& client, const std::string& id_prefix);
 /// Asserts that `text` contains `part`.
 void expect_contains(const std::string& text, const std::string& part);
 
