--- a/bench/config.cpp
+++ b/bench/config.cpp
@@ -1,7 +1,7 @@
 /// Measures what configuration from a control service costs: the time from a push to the change in
 /// force, by the number of members, and the tail of request latencies while versions are applied,
 /// against none, in turns within one run.
-#include "control/service.h"
+#include "fake_control_plane/service.h"
 
 #include <algorithm>
 #include <array>
@@ -11,7 +11,7 @@
 
 using namespace test_harness;
 using namespace std::chrono_literals;
-using stand_in::Service;
+using fake_control_plane::ControlService;
 namespace pb = gorsebeam::config::v1;
 
 namespace {
@@ -81,13 +81,13 @@
 int main() {
   throw_on_fatal_failures();
   GatewayHarness harness(postgres(), 3, 0);
-  Service service;
+  ControlService service;
   harness.write_operator_file("control_service { node: 'bench' address: '" + service.address() +
                               "' }");
   harness.start();
   wait_until(
       [&] {
-        return service.heard().size() >= 3;
+        return service.received_requests().size() >= 3;
       },
       "the subscriptions");
   std::uint64_t generation = 0;
@@ -107,9 +107,9 @@
       const gint64 start = g_get_monotonic_time();
       const std::string nonce = service.push(m, "v");
       run_loop_until([&] {
-        return service.heard().back().nonce == nonce;
+        return service.received_requests().back().nonce == nonce;
       });
-      if (!service.heard().back().error.empty())
+      if (!service.received_requests().back().error.empty())
         return 1;
       client->send_request({"p" + std::to_string(generation), "any", "", 2000, false});
       run_loop_until([&] {
@@ -122,7 +122,7 @@
                 quantile(took, 1));
     std::fflush(stdout);
   }
-  static_cast<void>(service.answer(service.push(members(harness, ++generation, 0), "few")));
+  static_cast<void>(service.await_ack(service.push(members(harness, ++generation, 0), "few")));
 
   // Turns of one second with and without 50 versions a second, four clients asking at a steady pace
   // of 400 a second.
--- a/tests/control/service.cpp
+++ b/tests/fake_control_plane/service.cpp
@@ -8,7 +8,7 @@
 #include <list>
 #include <mutex>
 
-namespace stand_in {
+namespace fake_control_plane {
 
 using gorsebeam::net::Listener;
 using gorsebeam::net::SocketHandle;
@@ -16,7 +16,7 @@
 namespace xds = gorsebeam::xds::v3;
 namespace ads = envoy::service::discovery::v3;
 
-struct Service::Self : ads::AggregatedDiscoveryService::Service {
+struct ControlService::Self : ads::AggregatedDiscoveryService::Service {
   using Call = grpc::ServerReaderWriter<xds::DiscoveryResponse, xds::DiscoveryRequest>;
 
   grpc::Status StreamAggregatedResources(grpc::ServerContext* context, Call* call) override {
@@ -45,14 +45,14 @@
   Call* current_call = nullptr;
   grpc::ServerContext* current_context = nullptr;
   grpc::Status stream_status;
-  std::vector<Heard> heard;
+  std::vector<ReceivedRequest> heard;
   int streams = 0;
   int nonces = 0;
   int port = 0;
   std::unique_ptr<grpc::Server> server;
 };
 
-Service::Service() : self_(std::make_unique<Self>()) {
+ControlService::ControlService() : self_(std::make_unique<Self>()) {
   grpc::ServerBuilder builder;
   builder.AddListeningPort("127.0.0.1:0", grpc::InsecureServerCredentials(), &self_->port);
   builder.RegisterService(self_.get());
@@ -61,37 +61,37 @@
   test_harness::require(self_->server && self_->port > 0, "the control service cannot listen");
 }
 
-Service::~Service() {
-  go_away();
+ControlService::~ControlService() {
+  shut_down();
 }
 
-void Service::go_away() {
+void ControlService::shut_down() {
   if (!self_->server)
     return;
   self_->server->Shutdown(std::chrono::system_clock::now());
   self_->server.reset();
 }
 
-std::string Service::address() const {
+std::string ControlService::address() const {
   return "127.0.0.1:" + std::to_string(self_->port);
 }
 
-int Service::streams() const {
+int ControlService::stream_count() const {
   const std::lock_guard<std::mutex> lock(self_->mutex);
   return self_->streams;
 }
 
-bool Service::streaming() const {
+bool ControlService::has_open_stream() const {
   const std::lock_guard<std::mutex> lock(self_->mutex);
   return self_->current_call != nullptr;
 }
 
-std::vector<Heard> Service::heard() const {
+std::vector<ReceivedRequest> ControlService::received_requests() const {
   const std::lock_guard<std::mutex> lock(self_->mutex);
   return self_->heard;
 }
 
-std::string Service::push(const std::vector<const google::protobuf::Message*>& resources,
+std::string ControlService::push(const std::vector<const google::protobuf::Message*>& resources,
                           const std::string& version, const std::string& type_url) {
   xds::DiscoveryResponse response;
   response.set_version_info(version);
@@ -105,10 +105,10 @@
   return response.nonce();
 }
 
-std::string Service::answer(const std::string& nonce) const {
+std::string ControlService::await_ack(const std::string& nonce) const {
   const auto find = [&] {
-    std::vector<Heard> found;
-    for (const Heard& h : heard())
+    std::vector<ReceivedRequest> found;
+    for (const ReceivedRequest& request : received_requests())
       if (h.nonce == nonce)
         found.push_back(h);
     return found;
@@ -122,16 +122,16 @@
   return find()[0].error;
 }
 
-void Service::end(int code, const std::string& words) {
+void ControlService::end(int code, const std::string& words) {
   const std::lock_guard<std::mutex> lock(self_->mutex);
   test_harness::require(self_->current_context != nullptr, "no stream is open");
   self_->stream_status = grpc::Status(static_cast<grpc::StatusCode>(code), words);
   self_->current_context->TryCancel();
 }
 
-// ---- Cable
+// ---- FaultyProxy
 
-struct Cable::Pair {
+struct FaultyProxy::Pair {
   struct End : Stream::Events {
     explicit End(Pair& pair, bool service) : pair(pair), service(service) {}
 
@@ -144,7 +144,7 @@
     void ended(const std::string&) override { pair.end(); }
   };
 
-  Pair(Cable::Self& cable, SocketHandle socket, const std::string& to) : cable(cable) {
+  Pair(FaultyProxy::Self& cable, SocketHandle socket, const std::string& to) : cable(cable) {
     near.stream = Stream::adopt(std::move(socket), near);
     far.stream = Stream::connect(to, far);
   }
@@ -156,12 +156,12 @@
     far.stream->close();
   }
 
-  Cable::Self& cable;
+  FaultyProxy::Self& cable;
   End near{*this, false};
   End far{*this, true};
 };
 
-struct Cable::Self {
+struct FaultyProxy::Self {
   std::list<std::unique_ptr<Pair>> pairs;
   std::string to;
   bool silent = false;
@@ -173,7 +173,7 @@
   }};
 };
 
-void Cable::Pair::carry(End& from) {
+void FaultyProxy::Pair::carry(End& from) {
   std::string bytes(from.stream->input().view());
   from.stream->input().consume(bytes.size());
   if (cable.silent)
@@ -192,35 +192,35 @@
   end();
 }
 
-Cable::Cable(const std::string& to) : self_(std::make_unique<Self>()) {
+FaultyProxy::FaultyProxy(const std::string& to) : self_(std::make_unique<Self>()) {
   self_->to = to;
   const auto error = self_->listener.listen("127.0.0.1:0");
   test_harness::require(!error,
                         error ? "a stand-in cannot listen: " + error->message : std::string());
 }
 
-Cable::~Cable() = default;
+FaultyProxy::~FaultyProxy() = default;
 
-std::string Cable::address() const {
+std::string FaultyProxy::address() const {
   return self_->listener.address();
 }
 
-void Cable::cut_after(std::size_t bytes) {
+void FaultyProxy::disconnect_after(std::size_t bytes) {
   self_->left = bytes;
 }
 
-void Cable::silence(bool on) {
+void FaultyProxy::silence(bool on) {
   self_->silent = on;
 }
 
-int Cable::connections() const {
+int FaultyProxy::connection_count() const {
   return self_->connections;
 }
 
-// ---- Script
+// ---- ScriptedPeer
 
-struct Script::Link : Stream::Events {
-  Link(Script::Self& script, SocketHandle socket, const std::string& bytes)
+struct ScriptedPeer::Link : Stream::Events {
+  Link(ScriptedPeer::Self& script, SocketHandle socket, const std::string& bytes)
       : script(script), stream(Stream::adopt(std::move(socket), *this)) {
     stream->write({bytes});
   }
@@ -228,11 +228,11 @@
   void received() override { stream->input().consume(stream->input().size()); }
 
   void ended(const std::string&) override;
-  Script::Self& script;
+  ScriptedPeer::Self& script;
   std::shared_ptr<Stream> stream;
 };
 
-struct Script::Self {
+struct ScriptedPeer::Self {
   std::string bytes;
   std::list<std::unique_ptr<Link>> links;
   int ended = 0;
@@ -241,32 +241,32 @@
   }};
 };
 
-void Script::Link::ended(const std::string&) {
+void ScriptedPeer::Link::ended(const std::string&) {
   ++script.ended;
 }
 
-Script::Script(std::string bytes) : self_(std::make_unique<Self>()) {
+ScriptedPeer::ScriptedPeer(std::string bytes) : self_(std::make_unique<Self>()) {
   self_->bytes = std::move(bytes);
   const auto error = self_->listener.listen("127.0.0.1:0");
   test_harness::require(!error,
                         error ? "a stand-in cannot listen: " + error->message : std::string());
 }
 
-Script::~Script() = default;
+ScriptedPeer::~ScriptedPeer() = default;
 
-std::string Script::address() const {
+std::string ScriptedPeer::address() const {
   return self_->listener.address();
 }
 
-int Script::connections() const {
+int ScriptedPeer::connection_count() const {
   return static_cast<int>(self_->links.size());
 }
 
-int Script::ended() const {
+int ScriptedPeer::ended() const {
   return self_->ended;
 }
 
-std::string frame(int type, int flags, int stream, const std::string& payload) {
+std::string http2_frame(int type, int flags, int stream, const std::string& payload) {
   std::string bytes;
   for (int shift = 16; shift >= 0; shift -= 8)
     bytes += static_cast<char>(payload.size() >> shift & 0xff);
@@ -277,15 +277,15 @@
   return bytes + payload;
 }
 
-std::string settings_frame() {
-  return frame(4, 0, 0, "");
+std::string http2_settings_frame() {
+  return http2_frame(4, 0, 0, "");
 }
 
-std::string grpc_headers_frame() {
+std::string http2_grpc_headers_frame() {
   // HPACK: ":status 200" is entry 8 of the static table; "content-type" is 31, its value a literal
   // without indexing.
   const std::string type = "application/grpc";
-  return frame(1, 4, 1, std::string("\x88\x0f\x10", 3) + static_cast<char>(type.size()) + type);
+  return http2_frame(1, 4, 1, std::string("\x88\x0f\x10", 3) + static_cast<char>(type.size()) + type);
 }
 
-}  // namespace stand_in
+}  // namespace fake_control_plane
--- a/tests/control/service.h
+++ b/tests/fake_control_plane/service.h
@@ -11,12 +11,12 @@
 #include <string>
 #include <vector>
 
-namespace stand_in {
+namespace fake_control_plane {
 
 namespace pb = gorsebeam::config::v1;
 
 /// One request of the gateway.
-struct Heard {
+struct ReceivedRequest {
   std::string type;
   std::string version;
   std::string nonce;
@@ -27,19 +27,19 @@
 
 /// An aggregated discovery service. Its server runs on threads of libgrpc++; the functions may be
 /// called from the test's thread alone.
-class Service {
+class ControlService {
 public:
-  Service();
-  ~Service();
+  ControlService();
+  ~ControlService();
   [[nodiscard]] std::string address() const;
 
   /// Returns how many streams were opened so far.
-  [[nodiscard]] int streams() const;
+  [[nodiscard]] int stream_count() const;
 
-  [[nodiscard]] bool streaming() const;
+  [[nodiscard]] bool has_open_stream() const;
 
   /// Returns all requests so far, on whatever stream.
-  [[nodiscard]] std::vector<Heard> heard() const;
+  [[nodiscard]] std::vector<ReceivedRequest> received_requests() const;
 
   /// Sends one response of the first message's type, or of `type_url`, on the present stream;
   /// returns its nonce.
@@ -52,18 +52,18 @@
 
   /// Waits for the answer to `nonce` and returns its error, which is empty for an ACK. Fails the
   /// test if there are two.
-  [[nodiscard]] std::string answer(const std::string& nonce) const;
+  [[nodiscard]] std::string await_ack(const std::string& nonce) const;
 
-  std::string push_and_answer(const google::protobuf::Message& resource,
+  std::string push_and_await_ack(const google::protobuf::Message& resource,
                               const std::string& version) {
-    return answer(push(resource, version));
+    return await_ack(push(resource, version));
   }
 
   /// Ends the stream with a status.
   void end(int code, const std::string& words);
 
   /// Ends the server, which listens no more.
-  void go_away();
+  void shut_down();
 
 private:
   struct Self;
@@ -71,20 +71,20 @@
 };
 
 /// Carries bytes between a gateway and a service, on the main loop.
-class Cable {
+class FaultyProxy {
 public:
-  explicit Cable(const std::string& to);
-  ~Cable();
+  explicit FaultyProxy(const std::string& to);
+  ~FaultyProxy();
   [[nodiscard]] std::string address() const;
 
   /// Resets the connection once so many bytes have come from the service from now on.
-  void cut_after(std::size_t bytes);
+  void disconnect_after(std::size_t bytes);
 
   /// Discards all bytes, either way, while it is on.
   void silence(bool on);
 
   /// Returns how many connections were accepted so far.
-  [[nodiscard]] int connections() const;
+  [[nodiscard]] int connection_count() const;
 
 private:
   struct Pair;
@@ -93,14 +93,14 @@
 };
 
 /// Sends the same bytes to every connection, and discards what comes.
-class Script {
+class ScriptedPeer {
 public:
-  explicit Script(std::string bytes);
-  ~Script();
+  explicit ScriptedPeer(std::string bytes);
+  ~ScriptedPeer();
   [[nodiscard]] std::string address() const;
 
   /// Returns how many connections were accepted so far.
-  [[nodiscard]] int connections() const;
+  [[nodiscard]] int connection_count() const;
 
   /// Returns how many connections the gateway has ended.
   [[nodiscard]] int ended() const;
@@ -112,12 +112,12 @@
 };
 
 /// Returns an HTTP/2 frame (RFC 9113, section 4.1).
-std::string frame(int type, int flags, int stream, const std::string& payload);
+std::string http2_frame(int type, int flags, int stream, const std::string& payload);
 
 /// Returns an empty SETTINGS frame.
-std::string settings_frame();
+std::string http2_settings_frame();
 
 /// Returns a HEADERS frame on stream 1: `:status` 200 and `content-type` application/grpc.
-std::string grpc_headers_frame();
+std::string http2_grpc_headers_frame();
 
-}  // namespace stand_in
+}  // namespace fake_control_plane
--- a/tests/integration/control_plane_test_support.cpp
+++ b/tests/integration/control_plane_test_support.cpp
@@ -57,10 +57,10 @@
   return contracts;
 }
 
-void await_subscriptions(const stand_in::Service& service) {
+void await_subscriptions(const fake_control_plane::ControlService& service) {
   wait_until(
       [&] {
-        return service.heard().size() >= kSubscriptionCount;
+        return service.received_requests().size() >= kSubscriptionCount;
       },
       "the gateway to subscribe");
 }
@@ -103,18 +103,18 @@
       awaited);
 }
 
-void BackgroundLoad::await_subscriptions(const stand_in::Service& service) {
+void BackgroundLoad::await_subscriptions(const fake_control_plane::ControlService& service) {
   wait_until(
       [&] {
-        return service.heard().size() >= kSubscriptionCount;
+        return service.received_requests().size() >= kSubscriptionCount;
       },
       "the gateway to subscribe");
 }
 
-void BackgroundLoad::await_new_stream(const stand_in::Service& service, int earlier_stream_count) {
+void BackgroundLoad::await_new_stream(const fake_control_plane::ControlService& service, int earlier_stream_count) {
   wait_until(
       [&] {
-        return service.streams() > earlier_stream_count;
+        return service.stream_count() > earlier_stream_count;
       },
       "the gateway to open a new stream");
 }
--- a/tests/integration/control_plane_test_support.h
+++ b/tests/integration/control_plane_test_support.h
@@ -2,7 +2,7 @@
 /// service serves, and clients that send requests all the while.
 #pragma once
 
-#include "control/service.h"
+#include "fake_control_plane/service.h"
 #include "gateway_integration_test.h"
 
 #include <list>
@@ -41,7 +41,7 @@
 };
 
 /// Waits until the gateway has subscribed to each of the service's resource types.
-void await_subscriptions(const stand_in::Service& service);
+void await_subscriptions(const fake_control_plane::ControlService& service);
 
 /// Clients that each send the next request when the last has its response.
 class BackgroundLoad {
@@ -50,8 +50,8 @@
 
   /// As test_harness::wait_until(), with the clients active.
   void wait_until(const std::function<bool()>& condition, const std::string& awaited);
-  void await_subscriptions(const stand_in::Service& service);
-  void await_new_stream(const stand_in::Service& service, int earlier_stream_count);
+  void await_subscriptions(const fake_control_plane::ControlService& service);
+  void await_new_stream(const fake_control_plane::ControlService& service, int earlier_stream_count);
   void await_responses(int count);
   /// Until a client gets such a result, counted from now.
   void await_result(ClientResult result);
--- a/tests/integration/control_snapshot_test.cpp
+++ b/tests/integration/control_snapshot_test.cpp
@@ -10,7 +10,7 @@
 #include <unistd.h>
 
 using namespace test_harness;
-using stand_in::Service;
+using fake_control_plane::ControlService;
 
 namespace {
 
@@ -37,10 +37,10 @@
 
 void ControlSnapshot::write_snapshot_of_accepted_version() const {
   ControlledGateway gateway(protocol());
-  Service service;
+  ControlService service;
   gateway.start({service.address()}, operator_text_);
   await_subscriptions(service);
-  ASSERT_EQ(service.push_and_answer(gateway.contracts(3, {"save"}), "c3"), "");
+  ASSERT_EQ(service.push_and_await_ack(gateway.contracts(3, {"save"}), "c3"), "");
   wait_until(
       [&] {
         return access(path_.c_str(), F_OK) == 0;
@@ -68,10 +68,10 @@
   unlink((path_ + ".new").c_str());  // of a program that was killed as it wrote
   ASSERT_EQ(rmdir(folder_.c_str()), 0);
   ControlledGateway gateway(protocol());
-  Service service;
+  ControlService service;
   gateway.start({service.address()}, operator_text_);
   await_subscriptions(service);
-  ASSERT_EQ(service.push_and_answer(gateway.contracts(1), "c1"), "");
+  ASSERT_EQ(service.push_and_await_ack(gateway.contracts(1), "c1"), "");
   gateway.harness.gateway.await_log("snapshot_write_failed");
   const auto client = gateway.harness.connect_client();
   ASSERT_EQ(client->send_and_await(read_request("one")), ClientResult::Served);
--- a/tests/integration/control_stream_test.cpp
+++ b/tests/integration/control_stream_test.cpp
@@ -3,10 +3,10 @@
 #include "control_plane_test_support.h"
 
 using namespace test_harness;
-using stand_in::frame;
-using stand_in::grpc_headers_frame;
-using stand_in::Service;
-using stand_in::settings_frame;
+using fake_control_plane::http2_frame;
+using fake_control_plane::http2_grpc_headers_frame;
+using fake_control_plane::ControlService;
+using fake_control_plane::http2_settings_frame;
 
 namespace {
 
@@ -14,21 +14,21 @@
 protected:
   // Cuts the stream within pushes: in the head of a frame, in the head of a message, in a message,
   // and between two resource types of one change.
-  static void expect_recovery_from_cuts(ControlledGateway& gateway, Service& service,
-                                        stand_in::Cable& cable, BackgroundLoad& load,
+  static void expect_recovery_from_cuts(ControlledGateway& gateway, ControlService& service,
+                                        fake_control_plane::FaultyProxy& cable, BackgroundLoad& load,
                                         std::uint64_t& generation);
-  static void expect_recovery_from_silence(ControlledGateway& gateway, Service& service,
-                                           stand_in::Cable& cable, BackgroundLoad& load,
+  static void expect_recovery_from_silence(ControlledGateway& gateway, ControlService& service,
+                                           fake_control_plane::FaultyProxy& cable, BackgroundLoad& load,
                                            std::uint64_t& generation);
 };
 
-void ControlStream::expect_recovery_from_cuts(ControlledGateway& gateway, Service& service,
-                                              stand_in::Cable& cable, BackgroundLoad& load,
+void ControlStream::expect_recovery_from_cuts(ControlledGateway& gateway, ControlService& service,
+                                              fake_control_plane::FaultyProxy& cable, BackgroundLoad& load,
                                               std::uint64_t& generation) {
   for (const std::size_t byte_count : {4, 11, 40, 400}) {
     SCOPED_TRACE("cut after " + std::to_string(byte_count) + " bytes");
-    const int stream_count = service.streams();
-    cable.cut_after(byte_count);
+    const int stream_count = service.stream_count();
+    cable.disconnect_after(byte_count);
     ++generation;
     pb::Contracts half = test_harness::ControlledGateway::contracts(generation);
     half.mutable_team(0)->mutable_class_(0)->set_tries(3);
@@ -37,19 +37,19 @@
     load.await_new_stream(service, stream_count);
     load.wait_until(
         [&] {
-          return service.heard().back().nonce.empty() || service.streaming();
+          return service.received_requests().back().nonce.empty() || service.has_open_stream();
         },
         "the gateway to subscribe again");
     load.await_responses(20);
     ++generation;
-    ASSERT_EQ(service.push_and_answer(gateway.contracts(generation), "whole"), "");
+    ASSERT_EQ(service.push_and_await_ack(gateway.contracts(generation), "whole"), "");
   }
 }
 
-void ControlStream::expect_recovery_from_silence(ControlledGateway& gateway, Service& service,
-                                                 stand_in::Cable& cable, BackgroundLoad& load,
+void ControlStream::expect_recovery_from_silence(ControlledGateway& gateway, ControlService& service,
+                                                 fake_control_plane::FaultyProxy& cable, BackgroundLoad& load,
                                                  std::uint64_t& generation) {
-  const int stream_count = service.streams();
+  const int stream_count = service.stream_count();
   cable.silence(true);
   load.wait_until(
       [&] {
@@ -59,28 +59,28 @@
   cable.silence(false);
   load.await_new_stream(service, stream_count);
   ++generation;
-  ASSERT_EQ(service.push_and_answer(gateway.contracts(generation), "again"), "");
+  ASSERT_EQ(service.push_and_await_ack(gateway.contracts(generation), "again"), "");
   ASSERT_TRUE(gateway.has_logged("control_stream_restored"));
 }
 
 // Each loss is noticed, the configuration in force stays, and the service is found again.
 TEST_P(ControlStream, RecoversFromEachKindOfLoss) {
   ControlledGateway gateway(protocol());
-  Service service;
-  stand_in::Cable cable(service.address());
+  ControlService service;
+  fake_control_plane::FaultyProxy cable(service.address());
   gateway.start({cable.address()});
   BackgroundLoad load(gateway.harness, 4);
   load.await_subscriptions(service);
   std::uint64_t generation = 1;
-  ASSERT_EQ(service.push_and_answer(gateway.contracts(generation), "c1"), "");
+  ASSERT_EQ(service.push_and_await_ack(gateway.contracts(generation), "c1"), "");
 
   expect_recovery_from_cuts(gateway, service, cable, load, generation);
   expect_recovery_from_silence(gateway, service, cable, load, generation);
-  const int stream_count = service.streams();
+  const int stream_count = service.stream_count();
   service.end(14, "maintenance");
   load.await_new_stream(service, stream_count);
   ASSERT_TRUE(gateway.has_logged("it ended the call with status"));
-  service.go_away();
+  service.shut_down();
   load.wait_until(
       [&] {
         return gateway.has_logged("Connection reset") || gateway.has_logged("closed by the peer") ||
@@ -95,20 +95,20 @@
 
 TEST_P(ControlStream, KeepsNewerVersionAgainstLaggingService) {
   ControlledGateway gateway(protocol());
-  auto current = std::make_unique<Service>();
-  Service lagging;
+  auto current = std::make_unique<ControlService>();
+  ControlService lagging;
   gateway.start({current->address(), lagging.address()});
   await_subscriptions(*current);
-  ASSERT_EQ(current->push_and_answer(gateway.contracts(9), "c9"), "");
-  current->go_away();
+  ASSERT_EQ(current->push_and_await_ack(gateway.contracts(9), "c9"), "");
+  current->shut_down();
   wait_until(
       [&] {
-        return lagging.heard().size() >= 3 && lagging.streaming();
+        return lagging.received_requests().size() >= 3 && lagging.has_open_stream();
       },
       "the gateway to subscribe at the other address");
-  ASSERT_EQ(lagging.heard()[0].version, "c9") << "the subscription names the version in force";
+  ASSERT_EQ(lagging.received_requests()[0].version, "c9") << "the subscription names the version in force";
   expect_contains(
-      lagging.push_and_answer(test_harness::ControlledGateway::contracts(8, {"save"}), "c8"),
+      lagging.push_and_await_ack(test_harness::ControlledGateway::contracts(8, {"save"}), "c8"),
       "generation 8 is older than 9");
   const auto client = gateway.harness.connect_client();
   ASSERT_EQ(client->send_and_await(read_request("fine")), ClientResult::Served);
@@ -128,25 +128,25 @@
 }
 
 std::vector<BrokenPeer> broken_peers() {
-  const std::string start = settings_frame() + grpc_headers_frame();
-  const std::string pings = repeat(frame(6, 0, 0, "12345678"), 3000);
-  const std::string many_settings = repeat(frame(4, 0, 0, ""), 3000);
+  const std::string start = http2_settings_frame() + http2_grpc_headers_frame();
+  const std::string pings = repeat(http2_frame(6, 0, 0, "12345678"), 3000);
+  const std::string many_settings = repeat(http2_frame(4, 0, 0, ""), 3000);
   // HPACK literals without indexing, of 300 bytes each.
   const std::string header =
       std::string("\x00\x03", 2) + "abc" + std::string("\x7f\xad\x01", 3) + std::string(300, 'v');
   const std::string headers = std::string("\x88", 1) + repeat(header, 50);
   return {
-      {start + frame(0, 0, 1, std::string("\0\xff\xff\xff\xff", 5) + "x"), "longer than 4 MiB"},
-      {start + frame(0, 0, 1, std::string("\1\0\0\0\1", 5) + "x"), "compressed"},
-      {start + frame(0, 0, 1, std::string("\0\0\0\0\2", 5) + "\xff\xff"), "cannot be read"},
-      {settings_frame() + frame(1, 4, 1, headers), "over 16 KiB"},
+      {start + http2_frame(0, 0, 1, std::string("\0\xff\xff\xff\xff", 5) + "x"), "longer than 4 MiB"},
+      {start + http2_frame(0, 0, 1, std::string("\1\0\0\0\1", 5) + "x"), "compressed"},
+      {start + http2_frame(0, 0, 1, std::string("\0\0\0\0\2", 5) + "\xff\xff"), "cannot be read"},
+      {http2_settings_frame() + http2_frame(1, 4, 1, headers), "over 16 KiB"},
       {start + pings, "floods"},
       {start + many_settings, "floods"},
-      {settings_frame() + frame(1, 5, 1, "\x8d"), "HTTP status 404"},
-      {start + frame(7, 0, 0, std::string(8, '\0')), "goes away"},
+      {http2_settings_frame() + http2_frame(1, 5, 1, "\x8d"), "HTTP status 404"},
+      {start + http2_frame(7, 0, 0, std::string(8, '\0')), "goes away"},
       {"HTTP/1.1 400 Bad Request\r\n\r\n", "control_stream_lost"},
       {std::string(20000, '\xff'), "control_stream_lost"},
-      {settings_frame() + frame(0, 0, 3, "nobody's"), "broke the rules"},
+      {http2_settings_frame() + http2_frame(0, 0, 3, "nobody's"), "broke the rules"},
   };
 }
 
@@ -156,12 +156,12 @@
   for (const BrokenPeer& peer : broken_peers()) {
     SCOPED_TRACE(peer.log_text);
     ControlledGateway gateway(protocol(), 2);
-    stand_in::Script script(peer.bytes);
+    fake_control_plane::ScriptedPeer script(peer.bytes);
     gateway.start({script.address()});
     BackgroundLoad load(gateway.harness, 2);
     load.wait_until(
         [&] {
-          return script.connections() >= 2 && gateway.has_logged(peer.log_text);
+          return script.connection_count() >= 2 && gateway.has_logged(peer.log_text);
         },
         std::string("a second connection and the log text: ") + peer.log_text);
     load.await_responses(10);
--- a/tests/integration/control_versions_test.cpp
+++ b/tests/integration/control_versions_test.cpp
@@ -3,7 +3,7 @@
 #include "control_plane_test_support.h"
 
 using namespace test_harness;
-using stand_in::Service;
+using fake_control_plane::ControlService;
 
 namespace {
 
@@ -22,7 +22,7 @@
                               const std::string& version) {
     const std::string nonce = service_.push(resource, version);
     load_->await_responses(5);
-    return service_.answer(nonce);
+    return service_.await_ack(nonce);
   }
 
   void expect_bad_resources_rejected();
@@ -37,7 +37,7 @@
   void expect_size_bounded();
 
   ControlledGateway gateway_;
-  Service service_;
+  ControlService service_;
   std::unique_ptr<BackgroundLoad> load_;
 };
 
@@ -56,7 +56,7 @@
   const pb::Contracts good = test_harness::ControlledGateway::contracts(2);
   pb::Contracts bad = test_harness::ControlledGateway::contracts(2, {"nothing"});
   bad.mutable_team(0)->set_name("other");
-  expect_contains(service_.answer(service_.push({&good, &bad}, "one-bad")),
+  expect_contains(service_.await_ack(service_.push({&good, &bad}, "one-bad")),
                   "'nothing' is no class of the settings");
   expect_contains(push_under_load(test_harness::ControlledGateway::contracts(0), "old"),
                   "no generation");
@@ -70,10 +70,10 @@
   expect_contains(push_under_load(unknown_field, "unknown"),
                   "team[0]: field number 99 of Team is not known to this version");
   const pb::Contracts good = test_harness::ControlledGateway::contracts(2);
-  expect_contains(service_.answer(service_.push({&good}, "strange", "type.googleapis.com/other")),
+  expect_contains(service_.await_ack(service_.push({&good}, "strange", "type.googleapis.com/other")),
                   "is not known here");
   expect_contains(
-      service_.answer(service_.push({}, "none", "type.googleapis.com/gorsebeam.config.v1.Members")),
+      service_.await_ack(service_.push({}, "none", "type.googleapis.com/gorsebeam.config.v1.Members")),
       "no resource");
 }
 
@@ -101,7 +101,7 @@
   if (removed->listed_as_primary)
     removed = harness.endpoints[1].get();  // the group keeps its primary
   removed->listed_status = ListedStatus::Removed;
-  const std::string error = service_.push_and_answer(gateway_.members(6), "m6");
+  const std::string error = service_.push_and_await_ack(gateway_.members(6), "m6");
   require(error.empty(), "version m6 is rejected: " + error);
   run_main_loop_for(std::chrono::milliseconds(250));
   const int request_count = removed->request_count;
@@ -168,7 +168,7 @@
   ASSERT_EQ(push_under_load(none, "m9"), "");
   load_->await_responses(10);
   load_->pause();
-  ASSERT_EQ(service_.push_and_answer(gateway_.members(10), "m10"), "");
+  ASSERT_EQ(service_.push_and_await_ack(gateway_.members(10), "m10"), "");
   load_->resume();
   load_->await_result(ClientResult::Served);
 }
@@ -179,7 +179,7 @@
     nonces.push_back(service_.push(test_harness::ControlledGateway::contracts(100 + i), "b"));
   load_->await_responses(50);
   for (const std::string& nonce : nonces)
-    ASSERT_EQ(service_.answer(nonce), "");
+    ASSERT_EQ(service_.await_ack(nonce), "");
 }
 
 // New limits hold for requests that arrive from then on.
@@ -218,7 +218,7 @@
   }
   ASSERT_EQ(push_under_load(many, "many"), "");
   ASSERT_EQ(push_under_load(gateway_.members(12), "few"), "");
-  const int stream_count = service_.streams();
+  const int stream_count = service_.stream_count();
   for (int i = 0; i < 150'000; ++i)
     *list.Add() = list.at(3);
   service_.push(many, "too-much");
@@ -228,7 +228,7 @@
 
 TEST_P(ControlPlaneVersions, ApplyOrAreRejectedUnderLoad) {
   start_under_load();
-  ASSERT_EQ(service_.heard()[0].node, "gw-1");
+  ASSERT_EQ(service_.received_requests()[0].node, "gw-1");
   ASSERT_EQ(push_under_load(gateway_.members(1), "m1"), "");
   ASSERT_EQ(push_under_load(gateway_.contracts(1), "c1"), "");
   load_->await_responses(40);
@@ -256,7 +256,7 @@
 // The groups of PostgreSQL are known from the list.
 TEST_P(ControlPlaneDependencies, ApplyTogetherOrNotAtAll) {
   ControlledGateway gateway(protocol());
-  Service service;
+  ControlService service;
   gateway.start({service.address()});
   await_subscriptions(service);
   pb::Contracts contracts = test_harness::ControlledGateway::contracts(1);
@@ -268,14 +268,14 @@
   member.set_address("127.0.0.1:9");
   member.set_group(7);
 
-  expect_contains(service.answer(service.push(contracts, "alone")),
+  expect_contains(service.await_ack(service.push(contracts, "alone")),
                   "group 7 of team 'portal' has no member");
   contracts.set_generation(2);
   const std::string nonce = service.push(contracts, "c2");
   gateway.harness.gateway.await_log("config_version_pending");
-  ASSERT_EQ(service.push_and_answer(members, "m1"), "");
-  ASSERT_EQ(service.answer(nonce), "");
-  expect_contains(service.push_and_answer(gateway.members(2), "m2"),
+  ASSERT_EQ(service.push_and_await_ack(members, "m1"), "");
+  ASSERT_EQ(service.await_ack(nonce), "");
+  expect_contains(service.push_and_await_ack(gateway.members(2), "m2"),
                   "group 7 of team 'portal' has no member");
   const auto client = gateway.harness.connect_client();
   ASSERT_EQ(client->send_and_await(read_request("fine")), ClientResult::Served);
