--- a/bench/config.cpp
+++ b/bench/config.cpp
@@ -1,7 +1,8 @@
 /// Measures what configuration from a control service costs: the time from a push to the change in
 /// force, by the number of members, and the tail of request latencies while versions are applied,
 /// against none, in turns within one run.
-#include "fake_control_plane/service.h"
+#include "fake_control_plane/control_service.h"
+#include "integration/test_harness.h"
 
 #include <algorithm>
 #include <array>
--- a/bench/grpc_idle.cpp
+++ b/bench/grpc_idle.cpp
@@ -1,7 +1,7 @@
 // Compares the memory of an idle xDS stream on libgrpc++, which the gateway does not use, with that
 // of a session on nghttp2 and the main loop, which it does. Prints the resident memory of the
 // process, in KiB, before and after, and its threads.
-#include "fake_control_plane/service.h"
+#include "integration/event_wait.h"
 
 #include "grpc/channel.h"
 #include "xds/discovery_codec.h"
--- a/tests/integration/control_plane_test_support.h
+++ b/tests/integration/control_plane_test_support.h
@@ -2,9 +2,10 @@
 /// service serves, and clients that send requests all the while.
 #pragma once
 
-#include "fake_control_plane/service.h"
 #include "gateway_integration_test.h"
 
+#include "fake_control_plane/control_service.h"
+
 #include <list>
 #include <map>
 #include <string>
@@ -51,7 +52,8 @@
   /// As test_harness::wait_until(), with the clients active.
   void wait_until(const std::function<bool()>& condition, const std::string& awaited);
   void await_subscriptions(const fake_control_plane::ControlService& service);
-  void await_new_stream(const fake_control_plane::ControlService& service, int earlier_stream_count);
+  void await_new_stream(const fake_control_plane::ControlService& service,
+                        int earlier_stream_count);
   void await_responses(int count);
   /// Until a client gets such a result, counted from now.
   void await_result(ClientResult result);
