--- a/tests/integration/control_stream_test.cpp
+++ b/tests/integration/control_stream_test.cpp
@@ -13,87 +13,106 @@
 
 constexpr int kGrpcUnavailable = 14;
 
-class ControlStream : public GatewayIntegrationTest {
+class ControlStream : public GatewayIntegrationTest {};
+
+// A gateway whose connection to the control service passes a faulty proxy, under load.
+class ControlStreamRecovery : public GatewayIntegrationTest {
 protected:
-  // Cuts the stream within pushes: in the head of a frame, in the head of a message, in a message,
-  // and between two resource types of one change.
-  static void expect_recovery_from_cuts(ControlledGateway& gateway, ControlService& service,
-                                        FaultyProxy& proxy, BackgroundLoad& load,
-                                        std::uint64_t& generation);
-  static void expect_recovery_from_silence(ControlledGateway& gateway, ControlService& service,
-                                           FaultyProxy& proxy, BackgroundLoad& load,
-                                           std::uint64_t& generation);
-};
+  ControlStreamRecovery() : gateway_(protocol()), proxy_(service_.address()) {}
 
-void ControlStream::expect_recovery_from_cuts(ControlledGateway& gateway, ControlService& service,
-                                              FaultyProxy& proxy, BackgroundLoad& load,
-                                              std::uint64_t& generation) {
-  for (const std::size_t byte_count : {4, 11, 40, 400}) {
-    SCOPED_TRACE("cut after " + std::to_string(byte_count) + " bytes");
-    const int stream_count = service.stream_count();
-    proxy.disconnect_after(byte_count);
-    ++generation;
-    pb::Contracts half = test_harness::ControlledGateway::contracts(generation);
-    half.mutable_team(0)->mutable_class_(0)->set_tries(3);
-    service.push(half, "half");
-    service.push(gateway.members(generation), "half");
-    load.await_new_stream(service, stream_count);
-    load.wait_until(
-        [&] {
-          return service.received_requests().back().nonce.empty() || service.has_open_stream();
-        },
-        "the gateway to subscribe again");
-    load.await_responses(20);
-    ++generation;
-    ASSERT_EQ(service.push_and_await_ack(gateway.contracts(generation), "whole"), "");
+  void start_under_load() {
+    gateway_.start({proxy_.address()});
+    load_ = std::make_unique<BackgroundLoad>(gateway_.harness, 4);
+    load_->await_subscriptions(service_);
+    expect_next_contracts_accepted("c1");
+  }
+
+  void expect_next_contracts_accepted(const std::string& version) {
+    ++generation_;
+    ASSERT_EQ(service_.push_and_await_ack(ControlledGateway::contracts(generation_), version), "");
   }
+
+  void expect_recovery_from_cut(std::size_t byte_count);
+  void expect_recovery_from_silence();
+  void expect_recovery_from_ended_stream();
+  void expect_requests_served_without_service();
+
+  ControlledGateway gateway_;
+  ControlService service_;
+  FaultyProxy proxy_;
+  std::unique_ptr<BackgroundLoad> load_;
+  std::uint64_t generation_ = 0;
+};
+
+// Cuts the connection within the push of two resource types that belong to one change.
+void ControlStreamRecovery::expect_recovery_from_cut(std::size_t byte_count) {
+  SCOPED_TRACE("cut after " + std::to_string(byte_count) + " bytes");
+  const int stream_count = service_.stream_count();
+  proxy_.disconnect_after(byte_count);
+  ++generation_;
+  pb::Contracts incomplete = ControlledGateway::contracts(generation_);
+  incomplete.mutable_team(0)->mutable_class_(0)->set_tries(3);
+  service_.push(incomplete, "half");
+  service_.push(gateway_.members(generation_), "half");
+
+  load_->await_new_stream(service_, stream_count);
+
+  load_->wait_until(
+      [&] {
+        return service_.received_requests().back().nonce.empty() || service_.has_open_stream();
+      },
+      "the gateway to subscribe again");
+  load_->await_responses(20);
+  expect_next_contracts_accepted("whole");
 }
 
-void ControlStream::expect_recovery_from_silence(ControlledGateway& gateway,
-                                                 ControlService& service, FaultyProxy& proxy,
-                                                 BackgroundLoad& load, std::uint64_t& generation) {
-  const int stream_count = service.stream_count();
-  proxy.start_discarding();
-  load.wait_until(
+void ControlStreamRecovery::expect_recovery_from_silence() {
+  const int stream_count = service_.stream_count();
+  proxy_.start_discarding();
+  load_->wait_until(
       [&] {
-        return gateway.has_logged("it is silent, also when asked");
+        return gateway_.has_logged("it is silent, also when asked");
       },
       "the gateway to notice the silence");
-  proxy.resume_forwarding();
-  load.await_new_stream(service, stream_count);
-  ++generation;
-  ASSERT_EQ(service.push_and_await_ack(gateway.contracts(generation), "again"), "");
-  ASSERT_TRUE(gateway.has_logged("control_stream_restored"));
+  proxy_.resume_forwarding();
+  load_->await_new_stream(service_, stream_count);
+  expect_next_contracts_accepted("again");
+  ASSERT_TRUE(gateway_.has_logged("control_stream_restored"));
 }
 
-// Each loss is noticed, the configuration in force stays, and the service is found again.
-TEST_P(ControlStream, RecoversFromEachKindOfLoss) {
-  ControlledGateway gateway(protocol());
-  ControlService service;
-  FaultyProxy proxy(service.address());
-  gateway.start({proxy.address()});
-  BackgroundLoad load(gateway.harness, 4);
-  load.await_subscriptions(service);
-  std::uint64_t generation = 1;
-  ASSERT_EQ(service.push_and_await_ack(gateway.contracts(generation), "c1"), "");
-
-  expect_recovery_from_cuts(gateway, service, proxy, load, generation);
-  expect_recovery_from_silence(gateway, service, proxy, load, generation);
-  const int stream_count = service.stream_count();
-  service.end_stream(kGrpcUnavailable, "maintenance");
-  load.await_new_stream(service, stream_count);
-  ASSERT_TRUE(gateway.has_logged("it ended the call with status"));
-  service.shut_down();
-  load.wait_until(
+void ControlStreamRecovery::expect_recovery_from_ended_stream() {
+  const int stream_count = service_.stream_count();
+  service_.end_stream(kGrpcUnavailable, "maintenance");
+  load_->await_new_stream(service_, stream_count);
+  ASSERT_TRUE(gateway_.has_logged("it ended the call with status"));
+}
+
+void ControlStreamRecovery::expect_requests_served_without_service() {
+  service_.shut_down();
+  load_->wait_until(
       [&] {
-        return gateway.has_logged("Connection reset") || gateway.has_logged("closed by the peer") ||
-               gateway.has_logged("goes away");
+        return gateway_.has_logged("Connection reset") ||
+               gateway_.has_logged("closed by the peer") || gateway_.has_logged("goes away");
       },
       "the gateway to notice the service's end");
-  load.await_responses(50);
-  load.expect_all_served();
-  load.pause();
-  gateway.harness.expect_invariants();
+  load_->await_responses(50);
+  load_->expect_all_served();
+}
+
+// The gateway notices each loss, keeps the configuration in force, and subscribes again.
+TEST_P(ControlStreamRecovery, ResubscribesAfterEachKindOfLoss) {
+  start_under_load();
+
+  // The cuts lie in the header of a frame, in the header of a message, in a message, and between
+  // the two resource types.
+  for (const std::size_t byte_count : {4, 11, 40, 400})
+    expect_recovery_from_cut(byte_count);
+  expect_recovery_from_silence();
+  expect_recovery_from_ended_stream();
+  expect_requests_served_without_service();
+
+  load_->pause();
+  gateway_.harness.expect_invariants();
 }
 
 TEST_P(ControlStream, KeepsNewerVersionAgainstLaggingService) {
@@ -111,9 +130,8 @@
       "the gateway to subscribe at the other address");
   ASSERT_EQ(lagging.received_requests()[0].version, "c9")
       << "the subscription names the version in force";
-  expect_contains(
-      lagging.push_and_await_ack(test_harness::ControlledGateway::contracts(8, {"save"}), "c8"),
-      "generation 8 is older than 9");
+  expect_contains(lagging.push_and_await_ack(ControlledGateway::contracts(8, {"save"}), "c8"),
+                  "generation 8 is older than 9");
   const auto client = gateway.harness.connect_client();
   ASSERT_EQ(client->send_and_await(read_request("fine")), ClientResult::Served);
   gateway.harness.expect_invariants();
@@ -131,6 +149,10 @@
   return all;
 }
 
+std::string data_frame(const std::string& payload) {
+  return http2_frame(Http2FrameType::Data, kNoFlags, kFirstStream, payload);
+}
+
 std::vector<BrokenPeer> broken_peers() {
   const std::string start = http2_settings_frame() + http2_grpc_headers_frame();
   const std::string pings =
@@ -142,15 +164,9 @@
       std::string("\x00\x03", 2) + "abc" + std::string("\x7f\xad\x01", 3) + std::string(300, 'v');
   const std::string headers = std::string("\x88", 1) + repeat(header, 50);
   return {
-      {start + http2_frame(Http2FrameType::Data, kNoFlags, kFirstStream,
-                           std::string("\0\xff\xff\xff\xff", 5) + "x"),
-       "longer than 4 MiB"},
-      {start + http2_frame(Http2FrameType::Data, kNoFlags, kFirstStream,
-                           std::string("\1\0\0\0\1", 5) + "x"),
-       "compressed"},
-      {start + http2_frame(Http2FrameType::Data, kNoFlags, kFirstStream,
-                           std::string("\0\0\0\0\2", 5) + "\xff\xff"),
-       "cannot be read"},
+      {start + data_frame(std::string("\0\xff\xff\xff\xff", 5) + "x"), "longer than 4 MiB"},
+      {start + data_frame(std::string("\1\0\0\0\1", 5) + "x"), "compressed"},
+      {start + data_frame(std::string("\0\0\0\0\2", 5) + "\xff\xff"), "cannot be read"},
       {http2_settings_frame() +
            http2_frame(Http2FrameType::Headers, kEndHeaders, kFirstStream, headers),
        "over 16 KiB"},
@@ -169,18 +185,18 @@
   };
 }
 
-// The connection of a peer that breaks the protocol or floods ends and is opened again; requests do
-// not notice.
+// The gateway closes the connection to a peer that breaks the protocol or floods, and connects
+// again. Requests are not affected.
 TEST_P(ControlStream, EndsConnectionOfPeerThatBreaksProtocol) {
   for (const BrokenPeer& peer : broken_peers()) {
     SCOPED_TRACE(peer.log_text);
     ControlledGateway gateway(protocol(), 2);
-    ScriptedPeer script(peer.bytes);
-    gateway.start({script.address()});
+    const ScriptedPeer scripted_peer(peer.bytes);
+    gateway.start({scripted_peer.address()});
     BackgroundLoad load(gateway.harness, 2);
     load.wait_until(
         [&] {
-          return script.connection_count() >= 2 && gateway.has_logged(peer.log_text);
+          return scripted_peer.connection_count() >= 2 && gateway.has_logged(peer.log_text);
         },
         std::string("a second connection and the log text: ") + peer.log_text);
     load.await_responses(10);
@@ -191,5 +207,6 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(, ControlStream, both_protocols(), protocol_name);
+INSTANTIATE_TEST_SUITE_P(, ControlStreamRecovery, both_protocols(), protocol_name);
 
 }  // namespace
