--- a/tests/integration/client_admission_test.cpp
+++ b/tests/integration/client_admission_test.cpp
@@ -63,7 +63,7 @@
   }
 
   // Clients that send one request and stay are closed after 2 s to make room.
-  static void expect_clients_that_stay_make_room(GatewayHarness& harness) {
+  static void expect_surplus_clients_evicted(GatewayHarness& harness) {
     Clients clients;
     for (int i = 0; i < 60; ++i) {
       clients.push_back(harness.connect_client());
@@ -106,7 +106,7 @@
   ASSERT_TRUE(harness.gateway.is_running());
 }
 
-TEST_P(ClientAdmission, ServesActiveClientsBesideIdleAndFloodingOnes) {
+TEST_P(ClientAdmission, ServesActiveClientsDespiteIdleAndFloodingClients) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
   const auto usual = harness.connect_client();
@@ -119,7 +119,7 @@
         ++served_count;
     expect_idle_clients_closed(harness, idle_clients);
   }
-  expect_clients_that_stay_make_room(harness);
+  expect_surplus_clients_evicted(harness);
 
   // A request whose id is in flight is not sent a second time, whichever client sends it; requests
   // under other ids are served.
@@ -142,7 +142,7 @@
 
 // The error that precedes the end of a connection reaches a client that goes on writing: a reset
 // does not discard it.
-TEST_P(ClientAdmission, DeliversErrorToClientThatWritesOnWhenClosed) {
+TEST_P(ClientAdmission, DeliversErrorToClientThatKeepsWriting) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
   const auto usual = harness.connect_client();
--- a/tests/integration/config_commands_test.cpp
+++ b/tests/integration/config_commands_test.cpp
@@ -15,7 +15,7 @@
 }
 
 // Files of the same meaning do not differ, and the formatter changes no meaning.
-TEST(ConfigCommands, FormatAndCompareByMeaning) {
+TEST(ConfigCommands, FormatAndCompareFilesByContent) {
   const std::string folder = make_temporary_folder();
   const std::string original = write_text_file(
       folder, "old.textproto",
--- a/tests/integration/control_snapshot_test.cpp
+++ b/tests/integration/control_snapshot_test.cpp
@@ -109,7 +109,7 @@
 }
 
 // Nothing is connected or written, though a state folder is named.
-TEST_P(ControlSnapshot, IsNotWrittenWithoutControlService) {
+TEST_P(ControlSnapshot, WritesNothingWithoutControlService) {
   GatewayHarness harness(protocol(), 2, 0, operator_text_);
   harness.start();
   const auto client = harness.connect_client();
--- a/tests/integration/control_versions_test.cpp
+++ b/tests/integration/control_versions_test.cpp
@@ -226,7 +226,7 @@
   ASSERT_TRUE(gateway_.has_logged("longer than 4 MiB"));
 }
 
-TEST_P(ControlPlaneVersions, ApplyOrAreRejectedUnderLoad) {
+TEST_P(ControlPlaneVersions, AppliesValidAndRejectsInvalidVersionsUnderLoad) {
   start_under_load();
   ASSERT_EQ(service_.received_requests()[0].node, "gw-1");
   ASSERT_EQ(push_under_load(gateway_.members(1), "m1"), "");
@@ -254,7 +254,7 @@
 
 // Contracts that name a group and the endpoints of the group arrive in any order, or not at all.
 // The groups of PostgreSQL are known from the list.
-TEST_P(ControlPlaneDependencies, ApplyTogetherOrNotAtAll) {
+TEST_P(ControlPlaneDependencies, AppliesDependentResourcesTogetherOrNotAtAll) {
   ControlledGateway gateway(protocol());
   ControlService service;
   gateway.start({service.address()});
--- a/tests/integration/discovery_watch_test.cpp
+++ b/tests/integration/discovery_watch_test.cpp
@@ -135,7 +135,7 @@
 // Lists that are indented, have no length and no end, arrive out of order, or are cut by a reset;
 // a chunk whose size does not end; and a list that changed while the agent was away. An endpoint
 // that was listed as draining or removed gets nothing from then on.
-TEST_P(DiscoveryWatch, AppliesNewestListWhateverBreaksOrReordersTheWatch) {
+TEST_P(DiscoveryWatch, AppliesNewestListWhenWatchBreaksOrReordersLists) {
   GatewayHarness harness(protocol(), 3, 0);
   DiscoveryAgent agent;
   harness.use_discovery(agent.listener.address());
--- a/tests/integration/endpoint_lifecycle_test.cpp
+++ b/tests/integration/endpoint_lifecycle_test.cpp
@@ -9,7 +9,7 @@
 
 // An endpoint gets nothing new 250 ms after it is listed as draining at the latest; other endpoints
 // serve what arrives meanwhile.
-TEST_P(EndpointLifecycle, SendsNothingNewToDrainingEndpoint) {
+TEST_P(EndpointLifecycle, SendsNoNewRequestsToDrainingEndpoint) {
   GatewayHarness harness(protocol(), 3, 0);
   harness.start();
   const auto client = harness.connect_client();
@@ -33,7 +33,7 @@
   harness.expect_invariants_and_running();
 }
 
-TEST_P(EndpointLifecycle, ServesReadsAfterEndpointDies) {
+TEST_P(EndpointLifecycle, ServesReadsAfterEndpointFailure) {
   GatewayHarness harness(protocol(), 3, 0);
   harness.start();
   const auto client = harness.connect_client();
--- a/tests/integration/inventory_files_test.cpp
+++ b/tests/integration/inventory_files_test.cpp
@@ -72,7 +72,7 @@
   ASSERT_EQ(rows[1].endpoint.group, 3);
 }
 
-TEST(InventoryFiles, LoadOrEndStartWithLineAndField) {
+TEST(InventoryFiles, LoadOrPreventStartWithLineAndField) {
   const std::string folder = make_temporary_folder();
   expect_csv_loads(folder);
   expect_yaml_loads(folder);
--- a/tests/integration/request_outcomes_test.cpp
+++ b/tests/integration/request_outcomes_test.cpp
@@ -76,7 +76,7 @@
 
 class SessionConsistency : public GatewayIntegrationTest {};
 
-TEST_P(RequestOutcomes, FollowScriptedResponsesTheSameOnEachProtocol) {
+TEST_P(RequestOutcomes, DoNotDependOnProtocol) {
   for (const OutcomeCase& outcome : outcome_cases()) {
     SCOPED_TRACE("request " + outcome.request.id);
     GatewayHarness harness(protocol(), 3, 0);
@@ -103,7 +103,7 @@
 }
 
 // The endpoint that is listed as the primary is a replica by now and rejects the write.
-TEST_P(RequestOutcomes, DeliverWriteRejectedByListedPrimaryToActualPrimary) {
+TEST_P(RequestOutcomes, RetryWriteRejectedByListedPrimaryAtActualPrimary) {
   GatewayHarness harness(protocol(), 3, 2);
   harness.start();
   const auto client = harness.connect_client();
@@ -138,7 +138,7 @@
 // While a session's write is in flight, and after it ended without a response, its endpoint may
 // have executed it. The session's reads go where the write would be visible, and to no replica that
 // lags, though no response has confirmed the write.
-TEST_P(SessionConsistency, ReadsGoToPrimaryWhileWriteMayHaveRun) {
+TEST_P(SessionConsistency, SendsReadsToPrimaryWhileWriteMayHaveRun) {
   GatewayHarness harness(protocol(), 3, 0);
   harness.start();
   const auto client = harness.connect_client();
--- a/tests/integration/shutdown_test.cpp
+++ b/tests/integration/shutdown_test.cpp
@@ -11,7 +11,7 @@
 
 // New connections are served for a while, requests in flight get their responses, and the program
 // exits.
-TEST_P(Shutdown, ServesLateClientsAndEndsRequestsInFlightBeforeExit) {
+TEST_P(Shutdown, ServesLateClientsAndCompletesRequestsInFlightBeforeExit) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
   const auto client = harness.connect_client();
@@ -35,7 +35,7 @@
 
 // Once the listener is closed, a request on a connection that stays open for one in flight is
 // rejected and not sent. Neither a second SIGTERM nor SIGHUP opens the listener again.
-TEST_P(Shutdown, RejectsNewWorkAfterListenerCloses) {
+TEST_P(Shutdown, RejectsNewRequestsAfterListenerCloses) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
   const auto client = harness.connect_client();
@@ -134,7 +134,7 @@
 // The program ends while responses are half written, as their client reads nothing: it waits for
 // the client and rejects the requests behind that it has not begun. It can start again at once
 // where it listened.
-TEST_P(Shutdown, WaitsForClientThatReadsSlowlyAndFreesItsAddress) {
+TEST_P(Shutdown, WaitsForSlowReaderAndFreesListenAddress) {
   constexpr int kRequestCount = 160;  // far more than the kernel holds of such responses
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
--- a/tests/integration/upstream_bytes_test.cpp
+++ b/tests/integration/upstream_bytes_test.cpp
@@ -8,7 +8,7 @@
 class UpstreamBytes : public GatewayIntegrationTest {};
 
 // A complete message or half of one arrives on an idle connection before the next request does.
-TEST_P(UpstreamBytes, UnsolicitedOnesAreNoResponse) {
+TEST_P(UpstreamBytes, DiscardsUnsolicitedBytes) {
   const std::string message = protocol().encode_unsolicited_message();
   for (const std::string& bytes : {message, message.substr(0, message.size() / 2)}) {
     SCOPED_TRACE(bytes == message ? "a complete message" : "half a message");
@@ -30,7 +30,7 @@
   }
 }
 
-TEST_P(UpstreamBytes, UnboundedResponseEndsItsAttempt) {
+TEST_P(UpstreamBytes, EndsAttemptWithUnboundedResponse) {
   WarmGateway warm(protocol(), 2, 12);
   warm.harness.script = {ScriptedResponse::UnboundedResponse};
   ASSERT_EQ(warm.client->send_and_await(read_request("unbounded")), ClientResult::Served);
