--- a/tests/integration/client_admission_test.cpp
+++ b/tests/integration/client_admission_test.cpp
@@ -1,4 +1,4 @@
-// Clients that send malformed input, hold connections, or write without reading.
+// Clients that send malformed input, keep connections open, or write without reading.
 #include "gateway_integration_test.h"
 
 #include <algorithm>
@@ -24,7 +24,7 @@
     return inputs;
   }
 
-  // 250 clients that say nothing, with 25 that send half a request.
+  // 250 clients that send nothing, and 25 that send half a request.
   [[nodiscard]] static Clients connect_idle_clients(GatewayHarness& harness) {
     const std::string half_request = protocol().encode_request(read_request("half")).substr(0, 30);
     Clients clients;
@@ -38,7 +38,8 @@
     return clients;
   }
 
-  // False if the client was rejected, as on a starved machine its handshake may arrive too late.
+  // Returns false if the gateway rejects the client: on an overloaded machine its handshake may
+  // arrive too late.
   [[nodiscard]] static bool serves_new_client(GatewayHarness& harness, const std::string& id) {
     const auto client = harness.connect_client();
     client->send_request(read_request(id));
@@ -57,12 +58,12 @@
   static void expect_idle_clients_closed(GatewayHarness& harness, const Clients& clients) {
     for (const auto& client : clients)
       client->await_close("an idle client to be closed");
-    // They sent no request, so that what they were told is no response.
+    // They sent no request, so the errors that they received do not count as responses.
     for (const auto& client : clients)
       harness.response_count -= static_cast<int>(client->responses.size());
   }
 
-  // Clients that send one request and stay are closed after 2 s to make room.
+  // Clients that stay connected after one request are closed after 2 s to free capacity.
   static void expect_surplus_clients_evicted(GatewayHarness& harness) {
     Clients clients;
     for (int i = 0; i < 60; ++i) {
@@ -96,8 +97,8 @@
                    std::string(1 << 20, 'x'));
   oversized->await_close("an oversized message to be rejected");
 
-  // An unknown class, and a write under a class for reads, fail with an error; their connection
-  // goes on.
+  // An unknown class, and a write under a class for reads, fail with an error; the connection stays
+  // open.
   const auto client = harness.connect_client();
   ASSERT_EQ(client->send_and_await({"u", "unheard-of", "", 2000, false, ""}), ClientResult::Failed);
   ASSERT_EQ(client->send_and_await({"v", "any", "k", 2000, true, ""}), ClientResult::Failed);
@@ -121,8 +122,8 @@
   }
   expect_surplus_clients_evicted(harness);
 
-  // A request whose id is in flight is not sent a second time, whichever client sends it; requests
-  // under other ids are served.
+  // A request whose id is in flight fails, even from another client; requests with other ids are
+  // served.
   const auto other = harness.connect_client();
   const auto flooding = harness.connect_client();
   harness.script = {ScriptedResponse::NoResponse};
@@ -140,22 +141,22 @@
   harness.expect_invariants_and_running();
 }
 
-// The error that precedes the end of a connection reaches a client that goes on writing: a reset
-// does not discard it.
+// The error that the gateway sends before it closes a connection reaches a client that keeps
+// writing: no reset discards it.
 TEST_P(ClientAdmission, DeliversErrorToClientThatKeepsWriting) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
   const auto usual = harness.connect_client();
   ASSERT_EQ(usual->send_and_await(read_request("usual")), ClientResult::Served);
-  // More clients than the gateway lets linger at once.
+  // More clients than may linger at the same time.
   for (int i = 0; i < 20; ++i) {
     const auto client = harness.connect_client();
-    // The first bytes are rejected while the rest is unread.
+    // The gateway rejects the first bytes while the others are unread.
     client->write(std::string(64 * 1024, '\xff'));
     client->await_close("a client with malformed input to be closed");
     ASSERT_EQ(client->close_reason, "closed by the peer");
     ASSERT_GT(client->unparsed_input.size() + client->responses.size(), 0U);
-    // It sent no request, so that what it was told is no response.
+    // It sent no request, so the error that it received does not count as a response.
     harness.response_count -= static_cast<int>(client->responses.size());
   }
   harness.expect_invariants_and_running();
--- a/tests/integration/client_disconnects_test.cpp
+++ b/tests/integration/client_disconnects_test.cpp
@@ -57,8 +57,8 @@
   }
 };
 
-// The gateway notices at once, and sends none of the client's requests, whatever lies behind the
-// first and however the client disconnects.
+// The gateway detects the disconnect at once and sends none of the client's requests, for any
+// number of bytes behind the first request and either kind of disconnect.
 TEST_P(ClientDisconnects, DropsRequestThatWaitsForConnection) {
   for (const std::size_t min_bytes : {0, 20'000, 300'000}) {
     for (const DisconnectKind kind : {DisconnectKind::Close, DisconnectKind::ShutDownWriting}) {
@@ -69,8 +69,8 @@
   }
 }
 
-// The request waits, before its first attempt or before a retry, as all endpoints drain. Once one
-// is up again, the request is not sent.
+// The request waits, before its first attempt or before a retry, because all endpoints drain. The
+// gateway does not send it when they are up again.
 TEST_P(ClientDisconnects, DropsRequestThatWaitsForEndpoint) {
   for (const bool was_attempted : {false, true}) {
     SCOPED_TRACE(was_attempted ? "before a retry" : "before the first attempt");
@@ -101,16 +101,16 @@
     ASSERT_EQ(harness.attempt_count("left-0"), was_attempted ? 1 : 0);
     harness.sent_requests.erase("left-0");
     if (was_attempted)
-      harness.sent_requests["left-0"] = 0;  // it was sent, and gets no response
+      harness.sent_requests["left-0"] = 0;  // it was sent and gets no response
     harness.expect_invariants_and_running();
   }
 }
 
-// Nothing of theirs is sent, and the clients that come next find capacity.
+// The gateway sends none of their requests, and clients that connect later find capacity.
 TEST_P(ClientDisconnects, DropsRequestsOfBurstAndFreesCapacity) {
   WarmGateway warm(protocol(), 2, 8, long_connect_timeout());
   GatewayHarness& harness = warm.harness;
-  // Together the rounds have more clients than may connect.
+  // The rounds together have more clients than may be connected at the same time.
   for (int round = 0; round < 4; ++round) {
     const std::string round_suffix = std::to_string(round) + "-";
     harness.pause_handshakes();
--- a/tests/integration/config_commands_test.cpp
+++ b/tests/integration/config_commands_test.cpp
@@ -14,7 +14,7 @@
   return output;
 }
 
-// Files of the same meaning do not differ, and the formatter changes no meaning.
+// Files with the same content do not differ, and the formatter does not change the content.
 TEST(ConfigCommands, FormatAndCompareFilesByContent) {
   const std::string folder = make_temporary_folder();
   const std::string original = write_text_file(
--- a/tests/integration/configuration_files_test.cpp
+++ b/tests/integration/configuration_files_test.cpp
@@ -106,7 +106,7 @@
   expect_contains(output, "'listen'");
 }
 
-// Each ends the start before anything is made of the settings.
+// Each prevents the start before anything is created from the settings.
 void expect_setting_errors(const std::string& folder, const std::string& config) {
   std::ifstream good_file(config);
   const std::string good{std::istreambuf_iterator<char>(good_file), {}};
--- a/tests/integration/contracts_test.cpp
+++ b/tests/integration/contracts_test.cpp
@@ -1,4 +1,4 @@
-// Team contracts, and the classification of SQL statements, as the operators' file sets them.
+// Team contracts and the classification of SQL statements, both set in the operators' file.
 #include "gateway_integration_test.h"
 
 #include <cstring>
--- a/tests/integration/control_plane_test_support.h
+++ b/tests/integration/control_plane_test_support.h
@@ -1,5 +1,5 @@
-/// What the control-plane tests share: a gateway with a control service, the resources that the
-/// service serves, and clients that send requests all the while.
+/// The common set-up of the control-plane tests: a gateway with a control service, the resources
+/// that the service sends, and clients that send requests meanwhile.
 #pragma once
 
 #include "gateway_integration_test.h"
@@ -19,11 +19,11 @@
 google::protobuf::RepeatedPtrField<pb::Member>& endpoint_list(pb::Members& members,
                                                               const Protocol& protocol);
 
-/// The operators' file that names control services, with `operator_text` behind.
+/// The operators' file that names control services, followed by `operator_text`.
 std::string control_service_file(const std::vector<std::string>& addresses,
                                  const std::string& operator_text = "");
 
-/// A gateway that has its configuration from control services.
+/// A gateway that gets its configuration from control services.
 class ControlledGateway {
 public:
   explicit ControlledGateway(const Protocol& protocol, std::size_t endpoint_count = 3);
@@ -32,7 +32,7 @@
 
   bool has_logged(const std::string& text) { return harness.gateway.has_logged(text); }
 
-  /// The harness's endpoints as they are listed now.
+  /// The harness's endpoints with their current listed status.
   [[nodiscard]] pb::Members members(std::uint64_t generation) const;
   /// A contract of team `portal` for `classes`.
   [[nodiscard]] static pb::Contracts
@@ -44,7 +44,7 @@
 /// Waits until the gateway has subscribed to each of the service's resource types.
 void await_subscriptions(const fake_control_plane::ControlService& service);
 
-/// Clients that each send the next request when the last has its response.
+/// Clients that each send the next request once the last one has its response.
 class BackgroundLoad {
 public:
   BackgroundLoad(GatewayHarness& harness, int client_count);
@@ -55,9 +55,9 @@
   void await_new_stream(const fake_control_plane::ControlService& service,
                         int earlier_stream_count);
   void await_responses(int count);
-  /// Until a client gets such a result, counted from now.
+  /// Waits until a client gets `result`, counted from now.
   void await_result(ClientResult result);
-  /// Sends no more requests, and waits for the responses to those in flight.
+  /// Stops sending and waits for the responses to the requests in flight.
   void pause();
 
   void resume() { paused_ = false; }
--- a/tests/integration/control_snapshot_test.cpp
+++ b/tests/integration/control_snapshot_test.cpp
@@ -1,5 +1,5 @@
-// The snapshot of accepted versions on disk; a gateway without a control service; and a listener
-// that moves at a reload.
+// The snapshot of accepted versions on disk, a gateway without a control service, and a listener
+// whose address changes at a reload.
 #include "control_plane_test_support.h"
 
 #include "snapshot_store/snapshot_codec.h"
@@ -20,9 +20,11 @@
       : folder_(make_temporary_folder()), path_(folder_ + "/last-good"),
         operator_text_("state_folder: '" + folder_ + "'\n") {}
 
-  // Has a gateway accept contracts that allow only class `save`, and write them.
+  // Lets a gateway accept contracts that allow only class `save`, and waits until it has written
+  // them.
   void write_snapshot_of_accepted_version() const;
-  // Starts a gateway that finds no service, and expects `log_text` and the result of a read.
+  // Starts a gateway that cannot reach a control service, and expects `log_text` and the result of
+  // a read.
   void expect_start_from_snapshot(ClientResult read_result, const char* log_text) const;
   void expect_serves_without_folder() const;
 
@@ -65,7 +67,7 @@
 
 void ControlSnapshot::expect_serves_without_folder() const {
   unlink(path_.c_str());
-  unlink((path_ + ".new").c_str());  // of a program that was killed as it wrote
+  unlink((path_ + ".new").c_str());  // left by a program that was killed during a write
   ASSERT_EQ(rmdir(folder_.c_str()), 0);
   ControlledGateway gateway(protocol());
   ControlService service;
@@ -78,11 +80,11 @@
   gateway.harness.expect_invariants();
 }
 
-// A damaged, newer or unfit snapshot is logged and ignored; a missing folder does not prevent
-// serving.
+// The gateway logs and ignores a snapshot that is damaged, newer or not valid here, and serves
+// requests without the folder.
 TEST_P(ControlSnapshot, RestoresAcceptedVersionAndIgnoresUnusableSnapshot) {
   write_snapshot_of_accepted_version();
-  // Its team may only save.
+  // The restored contract allows no reads.
   expect_start_from_snapshot(ClientResult::Failed,
                              "snapshot_restored versions=\"contracts version c3\"");
   const std::string& folder = folder_;
@@ -108,7 +110,7 @@
   expect_serves_without_folder();
 }
 
-// Nothing is connected or written, though a state folder is named.
+// The gateway connects to no service and writes nothing, although a state folder is configured.
 TEST_P(ControlSnapshot, WritesNothingWithoutControlService) {
   GatewayHarness harness(protocol(), 2, 0, operator_text_);
   harness.start();
@@ -124,7 +126,7 @@
 
 class ListenerReload : public GatewayIntegrationTest {};
 
-// The listener moves while a request on it is in flight; the log becomes JSON.
+// The listener's address changes while a request is in flight; the log format becomes JSON.
 TEST_P(ListenerReload, MovesListenerAndKeepsConnections) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
--- a/tests/integration/control_versions_test.cpp
+++ b/tests/integration/control_versions_test.cpp
@@ -1,5 +1,5 @@
-// Versions from the control service that are good, bad, out of order, or in conflict with what
-// runs.
+// Versions from the control service that are valid, invalid, out of order, or in conflict with the
+// requests in flight.
 #include "control_plane_test_support.h"
 
 using namespace test_harness;
@@ -17,7 +17,7 @@
     load_->await_subscriptions(service_);
   }
 
-  // The reason of the gateway's rejection, empty if it accepts the version.
+  // Returns the error of the gateway's NACK, empty for an ACK.
   std::string push_under_load(const google::protobuf::Message& resource,
                               const std::string& version) {
     const std::string nonce = service_.push(resource, version);
@@ -70,11 +70,12 @@
   expect_contains(push_under_load(unknown_field, "unknown"),
                   "team[0]: field number 99 of Team is not known to this version");
   const pb::Contracts good = test_harness::ControlledGateway::contracts(2);
-  expect_contains(service_.await_ack(service_.push({&good}, "strange", "type.googleapis.com/other")),
-                  "is not known here");
   expect_contains(
-      service_.await_ack(service_.push({}, "none", "type.googleapis.com/gorsebeam.config.v1.Members")),
-      "no resource");
+      service_.await_ack(service_.push({&good}, "strange", "type.googleapis.com/other")),
+      "is not known here");
+  expect_contains(service_.await_ack(
+                      service_.push({}, "none", "type.googleapis.com/gorsebeam.config.v1.Members")),
+                  "no resource");
 }
 
 void ControlPlaneVersions::expect_older_generation_rejected_unless_rolled_back() {
@@ -88,15 +89,15 @@
   load_->expect_all_served();
 }
 
-// The endpoint that holds a request is removed: the request still gets its one response, and the
-// endpoint gets nothing new. Returns the removed endpoint.
+// An endpoint with a request in flight is removed: the request still gets its one response, and the
+// endpoint gets no new requests. Returns the removed endpoint.
 StubEndpoint& ControlPlaneVersions::expect_removal_under_request_in_flight() {
   GatewayHarness& harness = gateway_.harness;
   const auto waiting = harness.connect_client();
   load_->pause();
   harness.script = {ScriptedResponse::NoResponse};
-  waiting->send_request(read_request("held", 700));
-  harness.await_first_attempt("held");
+  waiting->send_request(read_request("in-flight", 700));
+  harness.await_first_attempt("in-flight");
   StubEndpoint* removed = harness.attempts.back().endpoint;
   if (removed->listed_as_primary)
     removed = harness.endpoints[1].get();  // the group keeps its primary
@@ -107,7 +108,7 @@
   const int request_count = removed->request_count;
   load_->resume();
   load_->await_responses(60);
-  // Never beside a second attempt: the harness checks that.
+  // The harness checks that no second attempt was in flight meanwhile.
   const ClientResult result = waiting->await_response();
   require(result == ClientResult::Rejected,
           "the request in flight ends as " + testing::PrintToString(result));
@@ -152,8 +153,8 @@
   ASSERT_EQ(moved.request_count, request_count);
 }
 
-// The class is removed, then the team, then the whole group: requests fail or are rejected, each
-// once, until the group is back.
+// The class is removed, then the team, then the whole group: each request fails or is rejected
+// once, until the group is listed again.
 void ControlPlaneVersions::expect_requests_follow_removed_class_team_and_group() {
   ASSERT_EQ(push_under_load(gateway_.contracts(6, {"save"}), "c6"), "");
   load_->await_result(ClientResult::Failed);
@@ -182,7 +183,7 @@
     ASSERT_EQ(service_.await_ack(nonce), "");
 }
 
-// New limits hold for requests that arrive from then on.
+// New limits apply to requests that arrive after them.
 void ControlPlaneVersions::expect_limits_applied() {
   pb::Limits limits;
   limits.set_generation(1);
@@ -198,20 +199,21 @@
         return sender->closed_by_gateway;
       },
       "the oversized request to be rejected");
-  // It never was a request, so that what the client was told is no response.
+  // It was never accepted as a request, so the error does not count as a response.
   gateway_.harness.response_count -= static_cast<int>(sender->responses.size());
   limits.set_generation(2);
   limits.set_message_kib(4);
   expect_contains(push_under_load(limits, "l2"), "message_kib: is out of range; give 64 to 16384");
 }
 
-// 10,000 more endpoints in other groups are accepted; a message over the bound ends the stream.
+// The gateway accepts 10,000 more endpoints in other groups; a message over the limit ends the
+// stream.
 void ControlPlaneVersions::expect_size_bounded() {
   pb::Members many = gateway_.members(11);
   auto& list = endpoint_list(many, protocol());
   for (int i = 0; i < 10'000; ++i) {
     pb::Member& member = *list.Add();
-    member.set_name("crowd-" + std::to_string(i));
+    member.set_name("extra-" + std::to_string(i));
     member.set_group(1000 + static_cast<unsigned>(i) / 4);
     member.set_address("127.0.0.1:" + std::to_string(1 + i % 60000));
     member.set_state(pb::Member::DRAINING);
@@ -252,8 +254,8 @@
 
 class ControlPlaneDependencies : public GatewayIntegrationTest {};
 
-// Contracts that name a group and the endpoints of the group arrive in any order, or not at all.
-// The groups of PostgreSQL are known from the list.
+// Contracts that name a group, and the endpoints of that group, arrive in any order or not at all.
+// The list defines PostgreSQL's groups.
 TEST_P(ControlPlaneDependencies, AppliesDependentResourcesTogetherOrNotAtAll) {
   ControlledGateway gateway(protocol());
   ControlService service;
--- a/tests/integration/discovery_agent.h
+++ b/tests/integration/discovery_agent.h
@@ -1,4 +1,4 @@
-/// A stand-in for the discovery agent that serves the endpoint list over a watch.
+/// A scripted discovery agent, which serves the endpoint list over a watch.
 #pragma once
 
 #include "net/listener.h"
@@ -11,25 +11,25 @@
 
 class GatewayHarness;
 
-/// Serves one watch at a time: a chunked HTTP response with one JSON object a line.
+/// Serves one watch at a time: a chunked HTTP response with one JSON object per line.
 class DiscoveryAgent : gorsebeam::net::Stream::Events {
 public:
   DiscoveryAgent();
   DiscoveryAgent(const DiscoveryAgent&) = delete;
   DiscoveryAgent& operator=(const DiscoveryAgent&) = delete;
 
-  /// The list of group 0 as the harness's endpoints are listed now, as one line.
+  /// Returns one line: the list of group 0 with the current listed status of each endpoint.
   static std::string encode_list(const GatewayHarness& harness, int revision);
   void await_watch_request();
   /// Awaits the watch request and begins a chunked response.
   void accept_watch();
   void send_chunk(const std::string& line);
   void send_list(const GatewayHarness& harness, int revision);
-  /// Resets the connection under the response.
+  /// Resets the connection of the watch with a TCP RST.
   void reset_connection();
 
   std::string received_request;
-  std::shared_ptr<gorsebeam::net::Stream> stream;  ///< Of the present watch.
+  std::shared_ptr<gorsebeam::net::Stream> stream;  ///< Of the current watch.
   int connection_count = 0;
   gorsebeam::net::Listener listener;
 
--- a/tests/integration/endpoint_lifecycle_test.cpp
+++ b/tests/integration/endpoint_lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that drain, disappear, die or reset idle connections.
+// Endpoints that drain, are removed, fail or reset idle connections.
 #include "gateway_integration_test.h"
 
 using namespace test_harness;
@@ -7,8 +7,8 @@
 
 class EndpointLifecycle : public GatewayIntegrationTest {};
 
-// An endpoint gets nothing new 250 ms after it is listed as draining at the latest; other endpoints
-// serve what arrives meanwhile.
+// An endpoint gets no new requests later than 250 ms after it is listed as draining; other
+// endpoints serve the requests that arrive meanwhile.
 TEST_P(EndpointLifecycle, SendsNoNewRequestsToDrainingEndpoint) {
   GatewayHarness harness(protocol(), 3, 0);
   harness.start();
@@ -22,7 +22,7 @@
   expect_reads_served(*client, "b", 40);
   ASSERT_EQ(draining.request_count, requests_before);
 
-  // The idle connections to a removed endpoint are closed at once, not when they grow old.
+  // Idle connections to a removed endpoint are closed at once, not when their lifetime ends.
   draining.listed_status = ListedStatus::Removed;
   harness.publish_inventory();
   wait_until(
@@ -43,8 +43,8 @@
   harness.expect_invariants_and_running();
 }
 
-// Endpoints reset idle connections long before the settings say so. After a few resets the gateway
-// replaces such connections in place of using them.
+// Endpoints reset idle connections much earlier than the settings say. After a few resets the
+// gateway replaces such connections instead of using them.
 TEST_P(EndpointLifecycle, ReplacesConnectionsThatEndpointsResetWhenIdle) {
   GatewayHarness harness(protocol(), 3, 0);
   harness.start();
@@ -62,7 +62,8 @@
   for (const auto& endpoint : harness.endpoints)
     reset_count += endpoint->idle_reset_count;
   ASSERT_GT(reset_count, 0);
-  // Eight resets suffice for each range of idle times, of which a busy machine may cause several.
+  // The gateway learns from eight resets per range of idle times; on a busy machine the idle times
+  // may fall into several ranges.
   ASSERT_LE(reset_count, 30);
   harness.expect_invariants_and_running();
 }
--- a/tests/integration/event_wait.cpp
+++ b/tests/integration/event_wait.cpp
@@ -18,7 +18,7 @@
 
 void throw_pending_callback_failure(const std::string& awaited) {
   const bool failed = std::exchange(callback_failed, false);
-  require(!failed, "a stand-in found a violation while the test waited for: " + awaited);
+  require(!failed, "a test peer found a violation while the test waited for: " + awaited);
 }
 
 class ThrowingListener : public testing::EmptyTestEventListener {
--- a/tests/integration/gateway_process.h
+++ b/tests/integration/gateway_process.h
@@ -22,8 +22,8 @@
   void start(const std::string& config_path, const std::string& operator_file_path,
              const std::string& protocol_label);
   void send_signal(int number);
-  /// Stops the program: from the return of this call to resume() it does nothing, and what arrives
-  /// for it waits in the kernel.
+  /// Stops the program: from the return of this call until resume() it does not run, and the
+  /// kernel buffers what arrives for it.
   void freeze();
 
   void resume() { send_signal(SIGCONT); }
@@ -36,14 +36,14 @@
   /// Waits for the program to exit; -1 if a signal ended it.
   int await_exit_code();
 
-  /// Has the program's log hold one page, and not the pipe's usual size.
+  /// Reduces the pipe of the program's log to one page.
   void shrink_log_pipe() const;
 
   /// Reads what the program has logged so far into `log`.
   void read_log();
   bool has_logged(const std::string& text, std::size_t from = 0);
   void await_log(const std::string& text, std::size_t from = 0);
-  /// The address of the last listener for `protocol_label` that the log names.
+  /// The address of the last listener for `protocol_label` in the log.
   [[nodiscard]] std::string last_listener_address(const std::string& protocol_label) const;
 
   std::string log;
@@ -55,7 +55,8 @@
   bool exited_ = false;
 };
 
-/// Runs the program to its end and returns its exit status; `output` gets all that it wrote.
+/// Runs the program until it exits and returns its exit status; `output` receives all that it
+/// wrote.
 int run_program(const std::vector<std::string>& arguments, std::string& output);
 
 }  // namespace test_harness
--- a/tests/integration/inventory_files_test.cpp
+++ b/tests/integration/inventory_files_test.cpp
@@ -1,5 +1,5 @@
-// Inventories: a good one is loaded; a bad one ends the start with one message that names file,
-// line and field, before the program listens.
+// Inventories: a valid one is loaded; an invalid one prevents the start with one message that names
+// file, line and field, before the program listens.
 #include "test_harness.h"
 #include "text_file.h"
 
--- a/tests/integration/mongo_protocol.cpp
+++ b/tests/integration/mongo_protocol.cpp
@@ -1,4 +1,5 @@
-/// The stand-ins' side of MongoDB's wire protocol (OP_MSG, OP_QUERY), from its public description.
+/// MongoDB's wire protocol (OP_MSG, OP_QUERY) for test clients and stub endpoints, from its public
+/// description.
 #include "protocol.h"
 
 #include "event_wait.h"
@@ -182,7 +183,7 @@
   }
 
 private:
-  mutable std::uint32_t last_message_id_ = 0;  // the number of the message that is answered next
+  mutable std::uint32_t last_message_id_ = 0;  // of the message that the next response answers
 };
 
 }  // namespace
--- a/tests/integration/postgres_protocol.cpp
+++ b/tests/integration/postgres_protocol.cpp
@@ -1,4 +1,5 @@
-/// The stand-ins' side of PostgreSQL's frontend/backend protocol 3.0, from its public description.
+/// PostgreSQL's frontend/backend protocol 3.0 for test clients and stub endpoints, from its public
+/// description.
 #include "protocol.h"
 
 #include <cstdlib>
--- a/tests/integration/postgres_response_parsing_test.cpp
+++ b/tests/integration/postgres_response_parsing_test.cpp
@@ -1,4 +1,4 @@
-// How the gateway's PostgreSQL parser reads the stand-ins' responses, in process.
+// How the gateway's PostgreSQL parser reads the stub endpoints' responses, in process.
 #include "protocol.h"
 
 #include "postgres/upstream_protocol.h"
@@ -15,8 +15,8 @@
   return gorsebeam::postgres::make_wire()->answer(bytes, false, false, response, used);
 }
 
-// What can never become a response is known from the bytes that arrived, before any time-out; a
-// report that cannot be read is ignored as a whole.
+// The parser rejects bytes that cannot become a response as soon as they arrive, before any
+// timeout. It ignores a load report that it cannot parse.
 TEST(PostgresResponseParsing, RejectsMalformedBytesEarlyAndIgnoresMalformedReport) {
   const ReplicationStatus primary{true};
   const std::string good = postgres().encode_response(ScriptedResponse::Succeed, primary, "value");
--- a/tests/integration/protocol.h
+++ b/tests/integration/protocol.h
@@ -1,4 +1,4 @@
-/// The wire formats of PostgreSQL and MongoDB as the stand-in clients and endpoints speak them.
+/// The wire formats of PostgreSQL and MongoDB, for test clients and stub endpoints.
 #pragma once
 
 #include <optional>
@@ -10,17 +10,17 @@
 /// What a stub endpoint does with a request.
 enum class ScriptedResponse {
   Succeed,
-  RejectNotPrimary,   ///< Refuses a write, as a replica does.
+  RejectNotPrimary,   ///< Rejects a write, as a replica does.
   Fail,               ///< Reports an internal error; the request may have run.
-  RejectOverloaded,   ///< Refuses for lack of capacity; the request did not run.
-  ResetConnection,    ///< Closes the connection in place of a response.
+  RejectOverloaded,   ///< Rejects for lack of capacity; the request did not run.
+  ResetConnection,    ///< Closes the connection instead of responding.
   NoResponse,         ///< Never responds.
   Garbage,            ///< Sends bytes that belong to no protocol.
   Truncated,          ///< Announces more bytes than it sends.
   OversizedLength,    ///< Announces a response of 3 GB.
-  Duplicate,          ///< Sends a second response right behind a good one.
-  MalformedReport,    ///< Sends a good response with an impossible load report and position.
-  UnboundedResponse,  ///< Sends well-formed bytes beyond the bound of a response.
+  Duplicate,          ///< Sends a second response right after a valid one.
+  MalformedReport,    ///< Sends a valid response with an impossible load report and position.
+  UnboundedResponse,  ///< Sends well-formed bytes beyond the size limit of a response.
 };
 
 /// How a request ended for its client.
@@ -54,7 +54,7 @@
   int lag_ms = 0;  ///< How far its replication position lies behind the present.
 };
 
-/// Encodes and decodes one wire protocol on the stand-ins' side.
+/// Encodes and decodes one wire protocol as clients and endpoints of the gateway do.
 class Protocol {
 public:
   virtual ~Protocol() = default;
@@ -73,7 +73,7 @@
   [[nodiscard]] virtual std::string encode_response(ScriptedResponse response,
                                                     const ReplicationStatus& replication,
                                                     const std::string& value) const = 0;
-  /// A complete message that no request asked for.
+  /// A complete message that belongs to no request.
   [[nodiscard]] virtual std::string encode_unsolicited_message() const = 0;
 };
 
--- a/tests/integration/race_conditions_test.cpp
+++ b/tests/integration/race_conditions_test.cpp
@@ -1,5 +1,5 @@
-// What happens between two steps of the gateway. A stub endpoint holds the moment, and an event
-// lets it go on.
+// Events between two steps of the gateway. A stub endpoint pauses a step until the event has
+// happened.
 #include "gateway_integration_test.h"
 
 using namespace test_harness;
@@ -8,9 +8,9 @@
 
 class RaceConditions : public GatewayIntegrationTest {};
 
-// A request's connection opens only after its endpoint was listed as draining: nothing is written
-// to it. A read goes to another endpoint; a write, for which there is no other primary, is rejected
-// unsent.
+// A request's connection opens only after its endpoint was listed as draining: the gateway writes
+// nothing to it. A read goes to another endpoint; a write, for which there is no other primary, is
+// rejected without an attempt.
 TEST_P(RaceConditions, DoesNotWriteToEndpointDrainedDuringConnect) {
   for (const bool is_write : {false, true}) {
     SCOPED_TRACE(is_write ? "a write" : "a read");
@@ -87,8 +87,8 @@
   harness.expect_invariants_and_running();
 }
 
-// The request has had its one response when its connection opens. The connection serves whoever
-// comes next, or is closed.
+// The request has received its one response when its connection opens. The connection serves later
+// requests, or is closed.
 TEST_P(RaceConditions, DoesNotWriteRequestThatEndedDuringConnect) {
   WarmGateway warm(protocol(), 2, 8, long_connect_timeout());
   warm.harness.pause_handshakes();
@@ -103,13 +103,13 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// A write that may have run is due for a retry, and its connection opens only after its group has
-// ceased to drop duplicates: it is not written, and its client gets an error then, not at the end
-// of its time.
+// A write that may have run waits for a retry, and its connection opens only after the
+// deduplication window of its group: the gateway does not write it, and its client gets an error
+// then, not at its deadline.
 TEST_P(RaceConditions, DoesNotRetryKeyedWriteAfterDeduplicationWindow) {
   PlatformSettings settings = long_connect_timeout();
   settings.deduplication_window_ms = 150;
-  // Longer than any wait of these tests: a response at the end of that time would come too late.
+  // Longer than any wait of these tests: a response at the deadline would come too late.
   settings.latency_objective_ms = 60'000;
   WarmGateway warm(protocol(), 2, 0, settings);
   for (int i = 0; i < 12; ++i)
--- a/tests/integration/request_outcomes_test.cpp
+++ b/tests/integration/request_outcomes_test.cpp
@@ -1,11 +1,11 @@
-// What becomes of a request under scripted responses of its endpoints, the same on each protocol.
+// The outcome of a request under scripted responses of its endpoints, the same on each protocol.
 #include "gateway_integration_test.h"
 
 using namespace test_harness;
 
 namespace {
 
-constexpr int kAnyAttemptCount = -1;  // as many as it takes, within the invariants
+constexpr int kAnyAttemptCount = -1;  // any number that the invariants allow
 
 struct OutcomeCase {
   Request request;
@@ -40,11 +40,11 @@
       {read_request("duplicate"), {Response::Duplicate}, kServed, 1},
       {read_request("bad-report"), {Response::MalformedReport}, kServed, 1},
       {read_request("reset"), {Response::ResetConnection, Response::Succeed}, kServed, 2},
-      // No second attempt starts while the first is in flight. The request is rejected and not
-      // failed at its time-out, as a read has no effect.
+      // No second attempt starts while the first is in flight. At its timeout the request is
+      // rejected and not failed, because a read has no effect.
       {read_request("no-response", 400), {Response::NoResponse}, kRejected, 1},
-      // The primary resets one connection and lives on: the write returns to it, through replicas
-      // or not.
+      // The primary resets one connection and keeps running: the write returns to it, possibly
+      // after attempts at replicas.
       {keyed_write("keyed-reset"),
        {Response::ResetConnection, Response::Succeed},
        kServed,
@@ -53,8 +53,8 @@
   };
 }
 
-// Gives the gateway so many good responses that one bad one does not count as overload, and the
-// outcome is the same in every run.
+// Enough valid responses that a single failure does not count as overload and the outcome is the
+// same in every run.
 void establish_healthy_history(TestClient& client) {
   for (int i = 0; i < 12; ++i) {
     ASSERT_EQ(client.send_and_await(read_request("r" + std::to_string(i))), ClientResult::Served);
@@ -92,7 +92,7 @@
     if (outcome.attempt_count != kAnyAttemptCount) {
       ASSERT_EQ(attempt_count, outcome.attempt_count);
     }
-    // What an endpoint sent behind a response belongs to no request.
+    // Bytes that an endpoint sent after a response belong to no request.
     expect_next_reads_get_own_responses(*client);
     for (const auto& attempt : harness.attempts) {
       ASSERT_GT(attempt.request.timeout_ms, 0);
@@ -102,7 +102,7 @@
   }
 }
 
-// The endpoint that is listed as the primary is a replica by now and rejects the write.
+// The endpoint that is listed as the primary has become a replica and rejects the write.
 TEST_P(RequestOutcomes, RetryWriteRejectedByListedPrimaryAtActualPrimary) {
   GatewayHarness harness(protocol(), 3, 2);
   harness.start();
@@ -114,7 +114,7 @@
   ASSERT_EQ(harness.attempts.back().endpoint, &primary);
   ASSERT_EQ(harness.attempts.back().request.idempotency_key, "key-w1");
 
-  // The gateway has learnt which endpoint is the primary.
+  // The gateway remembers which endpoint is the primary.
   const int requests_before = primary.request_count;
   ASSERT_EQ(client->send_and_await(keyed_write("w2")), ClientResult::Served);
   ASSERT_EQ(primary.request_count, requests_before + 1);
@@ -136,8 +136,8 @@
 }
 
 // While a session's write is in flight, and after it ended without a response, its endpoint may
-// have executed it. The session's reads go where the write would be visible, and to no replica that
-// lags, though no response has confirmed the write.
+// have executed it. The gateway sends the session's reads where the write would be visible, not to
+// a lagging replica, although no response has confirmed the write.
 TEST_P(SessionConsistency, SendsReadsToPrimaryWhileWriteMayHaveRun) {
   GatewayHarness harness(protocol(), 3, 0);
   harness.start();
--- a/tests/integration/shutdown_test.cpp
+++ b/tests/integration/shutdown_test.cpp
@@ -1,4 +1,4 @@
-// The program's end after SIGTERM.
+// Graceful shutdown after SIGTERM.
 #include "gateway_integration_test.h"
 
 #include <csignal>
@@ -9,8 +9,7 @@
 
 class Shutdown : public GatewayIntegrationTest {};
 
-// New connections are served for a while, requests in flight get their responses, and the program
-// exits.
+// The program accepts new connections for a while, completes the requests in flight, and exits.
 TEST_P(Shutdown, ServesLateClientsAndCompletesRequestsInFlightBeforeExit) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
@@ -25,7 +24,8 @@
   const auto late = harness.connect_client();
   ASSERT_EQ(late->send_and_await(read_request("late")), ClientResult::Served);
   ASSERT_EQ(client->await_response(), ClientResult::Rejected);
-  // Where one thread runs at a time, a second thread may hold what the first waits for.
+  // The platform runs one thread at a time, so a second thread could hold a lock that the first
+  // waits for.
   ASSERT_EQ(harness.gateway.thread_count(), 1U);
   ASSERT_EQ(harness.gateway.await_exit_code(), 0);
   ASSERT_TRUE(late->responses.empty());
@@ -33,8 +33,8 @@
   harness.expect_invariants();
 }
 
-// Once the listener is closed, a request on a connection that stays open for one in flight is
-// rejected and not sent. Neither a second SIGTERM nor SIGHUP opens the listener again.
+// Once the listener is closed, the gateway rejects a new request on a connection that stays open
+// for a request in flight. Neither a second SIGTERM nor SIGHUP reopens the listener.
 TEST_P(Shutdown, RejectsNewRequestsAfterListenerCloses) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
@@ -131,11 +131,11 @@
   ASSERT_GT(rejected_count, 0);
 }
 
-// The program ends while responses are half written, as their client reads nothing: it waits for
-// the client and rejects the requests behind that it has not begun. It can start again at once
-// where it listened.
+// The program is terminated while responses are partly written, because their client does not read:
+// it waits for the client and rejects the requests behind that it has not started. A new process
+// can listen at the same address at once.
 TEST_P(Shutdown, WaitsForSlowReaderAndFreesListenAddress) {
-  constexpr int kRequestCount = 160;  // far more than the kernel holds of such responses
+  constexpr int kRequestCount = 160;  // far more responses than the kernel buffers
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
   PlatformSettings settings;
--- a/tests/integration/stub_endpoint.cpp
+++ b/tests/integration/stub_endpoint.cpp
@@ -61,7 +61,7 @@
 
   [[nodiscard]] ScriptedResponse next_response(const Request& request) const {
     if (request.is_write && !endpoint.replication.is_primary)
-      return ScriptedResponse::RejectNotPrimary;  // whatever the script says
+      return ScriptedResponse::RejectNotPrimary;  // independent of the script
     std::deque<ScriptedResponse>& script = endpoint.harness_.script;
     if (script.empty())
       return ScriptedResponse::Succeed;
--- a/tests/integration/stub_endpoint.h
+++ b/tests/integration/stub_endpoint.h
@@ -1,4 +1,4 @@
-/// A stand-in database endpoint on loopback that responds as the test's script says.
+/// A database endpoint on loopback that responds as the test's script says.
 #pragma once
 
 #include "protocol.h"
@@ -27,11 +27,11 @@
   /// Sends the paused handshake replies; no handshake is paused from then on.
   void resume_handshakes();
   [[nodiscard]] int open_connection_count() const;
-  /// Sends `response` to each request that has had none.
+  /// Sends `response` to each request that has no response yet.
   void respond_to_open_attempts(ScriptedResponse response = ScriptedResponse::Succeed);
-  /// Sends `bytes` on each open connection though nothing asked for them.
+  /// Sends `bytes` on each open connection without a request.
   void send_unsolicited(const std::string& bytes);
-  /// Closes the open connections and goes on listening.
+  /// Closes the open connections and keeps listening.
   void close_connections();
   /// Closes the open connections and refuses new ones.
   void shut_down();
@@ -45,8 +45,8 @@
   int health_check_count = 0;       ///< Without the handshakes that open connections.
   std::size_t min_value_bytes = 0;  ///< Values are padded to this length.
   bool pauses_handshakes = false;   ///< No new connection gets a handshake reply meanwhile.
-  int idle_reset_ms = 0;            ///< Resets a connection at the first message after so long an
-                                    ///< idle time; 0: never.
+  int idle_reset_ms = 0;            ///< Resets a connection at the first message after this idle
+                                    ///< time; 0: never.
   int idle_reset_count = 0;
 
 private:
--- a/tests/integration/test_client.h
+++ b/tests/integration/test_client.h
@@ -1,4 +1,4 @@
-/// A stand-in client of the gateway.
+/// A client of the gateway.
 #pragma once
 
 #include "protocol.h"
@@ -27,9 +27,9 @@
   ClientResult await_response();
   ClientResult send_and_await(const Request& request);
 
-  /// Waits until the gateway has closed the connection; `awaited` says what that shows.
+  /// Waits until the gateway has closed the connection; `awaited` describes the reason.
   void await_close(const std::string& awaited);
-  /// Waits until all that was written is with the kernel.
+  /// Waits until the kernel has accepted all written bytes.
   void await_flushed();
 
   void close() { stream_->close(); }
@@ -41,10 +41,10 @@
 
   void resume_reading() { stream_->resume_reading(); }
 
-  /// Ends the sending side only.
+  /// Shuts down the sending side only.
   void shut_down_writing() { stream_->shut_down_sending(); }
 
-  std::string last_value;      ///< Of the last response that carried one.
+  std::string last_value;      ///< Of the last response with a value.
   std::string unparsed_input;  ///< Bytes received that form no complete response yet.
   bool closed_by_gateway = false;
   std::string close_reason;  ///< As the socket reports it.
--- a/tests/integration/test_harness.cpp
+++ b/tests/integration/test_harness.cpp
@@ -28,7 +28,7 @@
   for (const GatewayHarness::Attempt* attempt : attempts) {
     const bool is_last = attempt == attempts.back();
     ASSERT_TRUE(attempt->request.service_class != "once" || is_last || !attempt->may_have_run)
-        << "a single-shot write was repeated after an attempt that may have run";
+        << "a single-shot write was retried after an attempt that may have run";
     ASSERT_EQ(attempt->request.idempotency_key, first.idempotency_key);
     ASSERT_EQ(attempt->request.is_write, first.is_write);
   }
--- a/tests/integration/test_harness.h
+++ b/tests/integration/test_harness.h
@@ -1,5 +1,5 @@
-/// The built program between stand-in clients and stand-in endpoints on loopback, in one process
-/// of the test, and the invariants that hold for every request that passed through it.
+/// The built program between test clients and stub endpoints on loopback, which run in the test's
+/// process, and the invariants that hold for every request.
 #pragma once
 
 #include "discovery_agent.h"
@@ -17,13 +17,13 @@
 
 namespace test_harness {
 
-/// What the platform's configuration says where tests differ.
+/// The settings of the platform's configuration in which tests differ.
 struct PlatformSettings {
   int connect_timeout_ms = 250;  ///< For a connection to an endpoint.
-  /// How long the group of a write with an idempotency key drops its duplicates.
+  /// How long a group drops duplicates of a write with an idempotency key.
   int deduplication_window_ms = 2000;
-  int keepalive_ms = 30'000;        ///< After which endpoints close idle connections.
-  int latency_objective_ms = 2000;  ///< Of each class; its clients give up a second later.
+  int keepalive_ms = 30'000;        ///< The idle time after which endpoints close connections.
+  int latency_objective_ms = 2000;  ///< Of each class; its deadline is a second later.
   std::string listen_address = "127.0.0.1:0";
 };
 
@@ -37,8 +37,9 @@
     bool may_have_run;
   };
 
-  /// Makes `endpoint_count` endpoints of group 0, named `m0` and on. The first is listed as the
-  /// primary; the one at `primary_index` is it. `operator_text` goes into the operators' file.
+  /// Creates `endpoint_count` endpoints of group 0, named `m0`, `m1` and so on. The first is listed
+  /// as the primary; the one at `primary_index` is the primary. `operator_text` goes into the
+  /// operators' file.
   GatewayHarness(const Protocol& wire_protocol, std::size_t endpoint_count,
                  std::size_t primary_index, const std::string& operator_text = "");
   GatewayHarness(const GatewayHarness&) = delete;
@@ -51,24 +52,24 @@
   /// A client that has sent nothing.
   std::unique_ptr<TestClient> connect_silent_client();
 
-  /// Writes the operators' file with `operator_text` behind the listener's own lines.
+  /// Writes the operators' file: the listener's own lines, then `operator_text`.
   void write_operator_file(const std::string& operator_text);
-  /// Writes the inventory with the endpoints' listed status; a running program reloads it, and
-  /// this waits until it has.
+  /// Writes the inventory with the endpoints' listed status, lets a running program reload it and
+  /// waits until it has.
   void publish_inventory();
   /// Takes effect at the next start.
   void set_platform_settings(const PlatformSettings& settings);
-  /// The endpoint list comes from `agent_address` and not from a file, from the next start on.
+  /// From the next start on, the endpoint list comes from `agent_address` and not from a file.
   void use_discovery(const std::string& agent_address);
   /// Writes a configuration with `agent_address`, for the next start or reload.
   void write_discovery_address(const std::string& agent_address) const;
-  /// Writes a configuration with `agent_address`, has it reloaded and waits for `log_text`.
+  /// Writes a configuration with `agent_address`, reloads it and waits for `log_text`.
   void reload(const std::string& agent_address, const std::string& log_text);
 
   /// Where clients connect.
   [[nodiscard]] const std::string& address() const { return address_; }
 
-  /// Has new clients connect to the address that the program logged last.
+  /// Makes new clients connect to the address that the program logged last.
   void update_address();
   /// Closes all connections to the endpoints; new ones get no handshake reply until
   /// resume_handshakes().
@@ -77,22 +78,22 @@
   [[nodiscard]] StubEndpoint& await_paused_handshake() const;
   void resume_handshakes();
   void set_listed_status(ListedStatus status);
-  /// Makes each further value so long at least.
+  /// Pads the value of each further response to `bytes`.
   void set_min_value_bytes(std::size_t bytes);
   [[nodiscard]] int attempt_count(const std::string& request_id) const;
   [[nodiscard]] int attempt_count_with_prefix(const std::string& id_prefix) const;
   /// Waits until an endpoint has seen the first attempt of the request.
   void await_first_attempt(const std::string& request_id) const;
   /// Asserts that each request had exactly one response, one idempotency key and a bounded number
-  /// of attempts, and that none that may have run was repeated where that is not allowed. That no
-  /// two attempts overlap is checked as they arrive.
+  /// of attempts, and that no request was retried that may have run and must not run twice. Stub
+  /// endpoints check that no two attempts of a request overlap as they arrive.
   void expect_invariants() const;
   /// As expect_invariants(), and the program still runs.
   void expect_invariants_and_running() const;
 
   const Protocol& protocol;
   std::vector<std::unique_ptr<StubEndpoint>> endpoints;
-  std::deque<ScriptedResponse> script;  ///< One for each next attempt; then Succeed.
+  std::deque<ScriptedResponse> script;  ///< One for each next attempt; afterwards Succeed.
   GatewayProcess gateway;
   std::string listen_host = "127.0.0.1";  ///< Of the MongoDB listener, in the operators' file.
   std::vector<Attempt> attempts;
@@ -109,14 +110,14 @@
 
 /// A read of class `any`.
 Request read_request(const std::string& id, int timeout_ms = 2000);
-/// A write of class `save`, which may be repeated under its idempotency key.
+/// A write of class `save`, which may be retried under its idempotency key.
 Request keyed_write(const std::string& id);
-/// A write of class `once`, which must not be repeated once it may have run.
+/// A write of class `once`, which must not be retried once it may have run.
 Request single_shot_write(const std::string& id, int timeout_ms = 2500);
-/// Sends `count` reads one after the other and asserts that each is served.
+/// Sends `count` reads one after another and asserts that each is served.
 void expect_reads_served(TestClient& client, const std::string& id_prefix, int count);
 
-/// Sends requests that fail without an attempt, one after the other, so that the gateway has read
+/// Sends requests that fail without an attempt, one after another, so that the gateway has read
 /// what other clients sent before.
 void await_gateway_loop_iterations(TestClient& client, const std::string& id_prefix);
 /// Asserts that `text` contains `part`.
--- a/tests/integration/text_file.h
+++ b/tests/integration/text_file.h
@@ -1,4 +1,4 @@
-/// Small text files for tests of the program's input, and checks of what it says about them.
+/// Text files as input of the program, and checks of its messages about them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   return folder + "/" + name;
 }
 
-/// Asserts that `output` is one message.
+/// Asserts that `output` is a single line.
 inline void expect_single_line(const std::string& output) {
   ASSERT_EQ(output.find('\n'), output.size() - 1) << output;
 }
--- a/tests/integration/upstream_bytes_test.cpp
+++ b/tests/integration/upstream_bytes_test.cpp
@@ -1,4 +1,4 @@
-// Bytes from an endpoint that belong to no response, or to one that does not end.
+// Bytes from an endpoint that belong to no response or to an unbounded one.
 #include "gateway_integration_test.h"
 
 using namespace test_harness;
@@ -7,19 +7,19 @@
 
 class UpstreamBytes : public GatewayIntegrationTest {};
 
-// A complete message or half of one arrives on an idle connection before the next request does.
+// A complete message or half a message arrives on an idle connection before the next request.
 TEST_P(UpstreamBytes, DiscardsUnsolicitedBytes) {
   const std::string message = protocol().encode_unsolicited_message();
   for (const std::string& bytes : {message, message.substr(0, message.size() / 2)}) {
     SCOPED_TRACE(bytes == message ? "a complete message" : "half a message");
     WarmGateway warm(protocol(), 2, 12);
     for (int round = 0; round < 5; ++round) {
-      // While the program is frozen, these bytes and the request both arrive.
+      // These bytes and the request arrive while the program is frozen.
       warm.harness.gateway.freeze();
       for (const auto& endpoint : warm.harness.endpoints)
         endpoint->send_unsolicited(bytes);
       const std::string id = "b" + std::to_string(round);
-      // A single-shot write is served, as it is not written to a connection that is unusable.
+      // A single-shot write is served, because the gateway writes it to no unusable connection.
       warm.client->send_request(round % 2 == 1 ? read_request(id) : single_shot_write(id));
       warm.client->await_flushed();
       warm.harness.gateway.resume();
