--- a/tests/integration/discovery_agent.cpp
+++ b/tests/integration/discovery_agent.cpp
@@ -71,6 +71,14 @@
   send_chunk(line.substr(40));
 }
 
+void DiscoveryAgent::await_reconnection(int earlier_connection_count) const {
+  wait_until(
+      [&] {
+        return connection_count > earlier_connection_count;
+      },
+      "the watch to be opened again");
+}
+
 void DiscoveryAgent::await_watch_request() {
   wait_until(
       [this] {
--- a/tests/integration/discovery_agent.h
+++ b/tests/integration/discovery_agent.h
@@ -20,6 +20,8 @@
 
   /// Returns one line: the list of group 0 with the current listed status of each endpoint.
   static std::string encode_list(const GatewayHarness& harness, int revision);
+  /// Waits until the gateway has connected more than `earlier_connection_count` times.
+  void await_reconnection(int earlier_connection_count) const;
   void await_watch_request();
   /// Awaits the watch request and begins a chunked response.
   void accept_watch();
--- /dev/null
+++ b/tests/integration/endpoint_watch_after_stall_test.cpp
@@ -0,0 +1,129 @@
+// Endpoint lists that arrive while the gateway's event loop is stalled by SIGSTOP. The gateway
+// reads a list that has arrived before it acts on timers, requests or signals that came after it.
+#include "gateway_integration_test.h"
+
+#include <chrono>
+#include <csignal>
+#include <memory>
+#include <string>
+#include <vector>
+
+using namespace test_harness;
+
+namespace {
+
+using std::chrono::milliseconds;
+
+// Above the gateway's limits, which elapse while it does not run.
+constexpr milliseconds kBeyondDrainGrace{350};     // 0.25 s, and 0.05 s of slack
+constexpr milliseconds kBeyondWatchSilence{2600};  // 2.5 s
+
+class EndpointWatchAfterStall : public GatewayIntegrationTest {
+protected:
+  EndpointWatchAfterStall() : watched_(protocol(), settings()) {}
+
+  // Lets the agent send a list and each client be served.
+  void SetUp() override {
+    agent().accept_watch();
+    agent().send_list(harness(), 41);
+    for (int i = 0; i < kClientCount; ++i) {
+      clients_.push_back(harness().connect_client());
+      expect_reads_served(*clients_.back(), "warm" + std::to_string(i) + "-", 1);
+    }
+  }
+
+  GatewayHarness& harness() { return watched_.harness; }
+
+  DiscoveryAgent& agent() { return watched_.agent; }
+
+  // Makes the watch's connection newer than those of the clients.
+  void reopen_watch() {
+    const int connection_count = agent().connection_count;
+    agent().reset_connection();
+    agent().await_reconnection(connection_count);
+    agent().accept_watch();
+    agent().send_list(harness(), 42);
+    harness().gateway.await_log("endpoint_list_received revision=42");
+  }
+
+  // Freezes the gateway, lets the agent list an endpoint as draining, and then each client send a
+  // read.
+  void freeze_drain_and_send_reads() {
+    harness().gateway.freeze();
+    draining().listed_status = ListedStatus::Draining;
+    agent().send_list(harness(), 43);
+    wait_until(
+        [this] {
+          return agent().stream->all_written();
+        },
+        "the kernel to accept the list");
+    for (std::size_t i = 0; i < clients_.size(); ++i) {
+      clients_[i]->send_request(read_request("delayed" + std::to_string(i), 4000));
+      clients_[i]->await_flushed();
+    }
+    requests_before_ = draining().request_count;
+  }
+
+  void expect_reads_served_by_other_endpoints() {
+    for (const auto& client : clients_)
+      ASSERT_EQ(client->await_response(), ClientResult::Served);
+    ASSERT_EQ(draining().request_count, requests_before_);
+    harness().expect_invariants_and_running();
+  }
+
+private:
+  static constexpr int kClientCount = 30;
+
+  static PlatformSettings settings() {
+    PlatformSettings settings;
+    settings.latency_objective_ms = 10'000;
+    return settings;
+  }
+
+  StubEndpoint& draining() { return *harness().endpoints[2]; }
+
+  WatchedGateway watched_;
+  std::vector<std::unique_ptr<TestClient>> clients_;
+  int requests_before_ = 0;
+};
+
+// The silence timer is due when the gateway runs again, and the list has arrived.
+TEST_P(EndpointWatchAfterStall, ReadsPendingListBeforeSilenceTimeout) {
+  freeze_drain_and_send_reads();
+  run_main_loop_for(kBeyondWatchSilence);
+
+  harness().gateway.resume();
+
+  expect_reads_served_by_other_endpoints();
+  ASSERT_FALSE(harness().gateway.has_logged("endpoint_watch_closed reason=silent"));
+}
+
+// The list and the requests have both arrived, and the clients' connections are older than the
+// watch's.
+TEST_P(EndpointWatchAfterStall, ReadsPendingListBeforeLaterRequests) {
+  reopen_watch();
+  freeze_drain_and_send_reads();
+  run_main_loop_for(kBeyondDrainGrace);
+
+  harness().gateway.resume();
+
+  expect_reads_served_by_other_endpoints();
+}
+
+// SIGHUP names another agent while the list of the current one waits to be read.
+TEST_P(EndpointWatchAfterStall, ReadsPendingListBeforeReloadClosesWatch) {
+  DiscoveryAgent next_agent;
+  freeze_drain_and_send_reads();
+  harness().write_discovery_address(next_agent.listener.address());
+  harness().gateway.send_signal(SIGHUP);
+  run_main_loop_for(kBeyondDrainGrace);
+
+  harness().gateway.resume();
+
+  next_agent.await_watch_request();  // the agent does not respond to it
+  expect_reads_served_by_other_endpoints();
+}
+
+INSTANTIATE_TEST_SUITE_P(, EndpointWatchAfterStall, postgres_only(), protocol_name);
+
+}  // namespace
--- a/tests/integration/event_loop_stall_test.cpp
+++ b/tests/integration/event_loop_stall_test.cpp
@@ -1,13 +1,10 @@
-// The gateway does not run for a while, as SIGSTOP has it or as a long turn of its own loop would.
-// What arrives meanwhile waits in the kernel; its order and its times are what counts, and not the
-// order in which the gateway comes to it.
+// What arrives while the gateway's event loop is stalled, by SIGSTOP or by a slow iteration, waits
+// in the kernel. The gateway acts by the order and the times of arrival, not by the order in which
+// it reads.
 #include "gateway_integration_test.h"
 
 #include <chrono>
-#include <csignal>
-#include <memory>
 #include <string>
-#include <vector>
 
 using namespace test_harness;
 
@@ -15,141 +12,17 @@
 
 using std::chrono::milliseconds;
 
-// Above the gateway's bounds, which count while it does not run.
+// Above the gateway's limits, which elapse while it does not run.
 constexpr milliseconds kBeyondDrainGrace{350};        // 0.25 s, and 0.05 s of slack
-constexpr milliseconds kBeyondWatchSilence{2600};     // 2.5 s
 constexpr milliseconds kBeyondMessageDelay{2600};     // 2.5 s
 constexpr milliseconds kBeyondConnectTimeout{1600};   // 1.5 s, as the test sets it
 constexpr milliseconds kBeyondRequestDeadline{2600};  // 2.5 s
 constexpr milliseconds kBeyondKeepalive{2200};        // 2 s, as the test sets it
 constexpr milliseconds kLongPause{1000};
 
-using Clients = std::vector<std::unique_ptr<TestClient>>;
-
-Clients connect_clients(GatewayHarness& harness, int count) {
-  Clients clients;
-  for (int i = 0; i < count; ++i) {
-    clients.push_back(harness.connect_client());
-    expect_reads_served(*clients.back(), "warm" + std::to_string(i) + "-", 1);
-  }
-  return clients;
-}
-
-void send_reads(const Clients& clients, const std::string& id_prefix) {
-  for (std::size_t i = 0; i < clients.size(); ++i) {
-    clients[i]->send_request(read_request(id_prefix + std::to_string(i), 4000));
-    clients[i]->await_flushed();
-  }
-}
-
-void expect_all_served(const Clients& clients) {
-  for (const auto& client : clients)
-    ASSERT_EQ(client->await_response(), ClientResult::Served);
-}
-
-// A gateway whose endpoint list comes from an agent, with clients that have been served.
-struct WatchedGateway {
-  explicit WatchedGateway(const Protocol& protocol) : harness(protocol, 3, 0) {
-    PlatformSettings settings;
-    settings.latency_objective_ms = 10'000;
-    harness.set_platform_settings(settings);
-    harness.use_discovery(agent.listener.address());
-    harness.start();
-    agent.accept_watch();
-    agent.send_list(harness, 41);
-    clients = connect_clients(harness, 30);
-  }
-
-  /// Has the agent open the watch anew, behind the clients' connections.
-  void reopen_watch() {
-    const int connection_count = agent.connection_count;
-    agent.reset_connection();
-    wait_until(
-        [&] {
-          return agent.connection_count > connection_count;
-        },
-        "the watch to be opened again");
-    agent.accept_watch();
-    agent.send_list(harness, 42);
-    harness.gateway.await_log("endpoint_list_received revision=42");
-  }
-
-  /// Freezes the gateway, has the agent tell that one endpoint drains, and then has each client
-  /// send a read. Returns that endpoint.
-  StubEndpoint& freeze_drain_and_send(int revision) {
-    StubEndpoint& draining = *harness.endpoints[2];
-    harness.gateway.freeze();
-    draining.listed_status = ListedStatus::Draining;
-    agent.send_list(harness, revision);
-    wait_until(
-        [&] {
-          return agent.stream->all_written();
-        },
-        "the list to be with the kernel");
-    send_reads(clients, "held");
-    return draining;
-  }
-
-  GatewayHarness harness;
-  DiscoveryAgent agent;
-  Clients clients;
-};
-
-class EndpointWatchAfterStall : public GatewayIntegrationTest {};
-
-// The silence timer is due when the gateway runs again, and the list is there to be read.
-TEST_P(EndpointWatchAfterStall, ReadsPendingListBeforeSilenceTimeout) {
-  WatchedGateway watched(protocol());
-  const StubEndpoint& draining = watched.freeze_drain_and_send(43);
-  const int requests_before = draining.request_count;
-  run_main_loop_for(kBeyondWatchSilence);
-
-  watched.harness.gateway.resume();
-
-  expect_all_served(watched.clients);
-  ASSERT_EQ(draining.request_count, requests_before);
-  ASSERT_FALSE(watched.harness.gateway.has_logged("endpoint_watch_closed reason=silent"));
-  watched.harness.expect_invariants_and_running();
-}
-
-// The requests and the list are there together, and the clients' connections are the older ones.
-TEST_P(EndpointWatchAfterStall, ReadsPendingListBeforeLaterRequests) {
-  WatchedGateway watched(protocol());
-  watched.reopen_watch();
-  const StubEndpoint& draining = watched.freeze_drain_and_send(43);
-  const int requests_before = draining.request_count;
-  run_main_loop_for(kBeyondDrainGrace);
-
-  watched.harness.gateway.resume();
-
-  expect_all_served(watched.clients);
-  ASSERT_EQ(draining.request_count, requests_before);
-  watched.harness.expect_invariants_and_running();
-}
-
-// SIGHUP names another agent while the list of the present one waits to be read.
-TEST_P(EndpointWatchAfterStall, ReadsPendingListBeforeReloadClosesWatch) {
-  WatchedGateway watched(protocol());
-  DiscoveryAgent next_agent;
-  const StubEndpoint& draining = watched.freeze_drain_and_send(43);
-  const int requests_before = draining.request_count;
-  watched.harness.write_discovery_address(next_agent.listener.address());
-  watched.harness.gateway.send_signal(SIGHUP);
-  run_main_loop_for(kBeyondDrainGrace);
-
-  watched.harness.gateway.resume();
-
-  next_agent.await_watch_request();  // and does not answer
-  expect_all_served(watched.clients);
-  ASSERT_EQ(draining.request_count, requests_before);
-  watched.harness.expect_invariants_and_running();
-}
-
-INSTANTIATE_TEST_SUITE_P(, EndpointWatchAfterStall, postgres_only(), protocol_name);
-
 class EventLoopStall : public GatewayIntegrationTest {};
 
-// The connection's timeout is due when the gateway runs again, and its handshake reply has arrived.
+// The connect timeout is due when the gateway runs again, and the handshake reply has arrived.
 TEST_P(EventLoopStall, KeepsConnectionThatOpenedBeforeTimeout) {
   PlatformSettings settings;
   settings.connect_timeout_ms = 1500;
@@ -169,7 +42,7 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// The attempt's timeout and the request's deadline are due, and the response is there.
+// The attempt's timeout and the request's deadline are due, and the response has arrived.
 TEST_P(EventLoopStall, DeliversResponseThatArrivedBeforeDeadline) {
   WarmGateway warm(protocol(), 2, 8);
   warm.harness.script = {ScriptedResponse::NoResponse};
@@ -186,7 +59,7 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// A request is read long after it arrived: its client has waited all the while.
+// The gateway reads a request long after it arrived, and its client has waited meanwhile.
 TEST_P(EventLoopStall, ForwardsNoMoreThanRemainingClientTime) {
   constexpr int kTimeoutMs = 2000;
   constexpr int kSlackMs = 150;
@@ -205,13 +78,13 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// The rest of a message came in time, and the bound on incomplete ones is due.
+// The timeout for incomplete messages is due, and the rest of the message has arrived in time.
 TEST_P(EventLoopStall, ServesMessageThatWasCompletedBeforeTimeout) {
   WarmGateway warm(protocol(), 2, 8);
   const std::string message = protocol().encode_request(read_request("halves", 6000));
   warm.client->write(message.substr(0, message.size() / 2));
   const auto other = warm.harness.connect_client();
-  await_gateway_loop_iterations(*other, "turn");
+  await_gateway_loop_iterations(*other, "iteration");
   warm.harness.gateway.freeze();
   warm.harness.sent_requests["halves"] = 1;
   warm.client->write(message.substr(message.size() / 2));
@@ -224,29 +97,29 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// The client's end and the end of its first attempt are both there, and the attempt's connection is
-// the older one.
+// The client has disconnected and its first attempt has ended, and the attempt's connection is the
+// older one.
 TEST_P(EventLoopStall, DoesNotRetryForDisconnectedClient) {
   WarmGateway warm(protocol(), 3, 24);
-  const auto leaving = warm.harness.connect_client();
+  const auto disconnecting = warm.harness.connect_client();
   warm.harness.script = {ScriptedResponse::NoResponse};
-  leaving->send_request(read_request("left"));
-  warm.harness.await_first_attempt("left");
+  disconnecting->send_request(read_request("abandoned"));
+  warm.harness.await_first_attempt("abandoned");
   StubEndpoint& first = *warm.harness.attempts.back().endpoint;
   warm.harness.gateway.freeze();
-  leaving->close();
+  disconnecting->close();
   first.close_connections();
   run_main_loop_for(kBeyondDrainGrace);
 
   warm.harness.gateway.resume();
 
   expect_reads_served(*warm.client, "b", 8);
-  ASSERT_EQ(warm.harness.attempt_count("left"), 1);
+  ASSERT_EQ(warm.harness.attempt_count("abandoned"), 1);
   ASSERT_TRUE(warm.harness.gateway.is_running());
 }
 
-// The former primary has said that it is a replica, and then another write comes, on a connection
-// that is older than the endpoint's.
+// The former primary has responded that it is a replica before another write arrives on a
+// connection that is older than the endpoint's.
 TEST_P(EventLoopStall, ReadsResponsesBeforeLaterRequests) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
@@ -277,7 +150,8 @@
   harness.expect_invariants_and_running();
 }
 
-// An idle connection has rested for longer than its endpoint keeps it, and its retirement is due.
+// A connection has been idle for longer than its endpoint keeps it open, and its idle timeout is
+// due.
 TEST_P(EventLoopStall, DoesNotReuseConnectionIdleBeyondKeepalive) {
   PlatformSettings settings;
   settings.keepalive_ms = 2000;
@@ -285,7 +159,7 @@
   for (const auto& endpoint : warm.harness.endpoints)
     endpoint->idle_reset_ms = settings.keepalive_ms;
   warm.harness.gateway.freeze();
-  warm.client->send_request(keyed_write("rested"));
+  warm.client->send_request(keyed_write("after-idle"));
   warm.client->await_flushed();
   run_main_loop_for(kBeyondKeepalive);
 
@@ -297,7 +171,7 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// The log's pipe is full, as nobody reads it; the gateway serves on.
+// The log's pipe is full because nobody reads it; the gateway keeps serving requests.
 TEST_P(EventLoopStall, IsNotCausedByFullLogPipe) {
   constexpr int kFailures = 40;             // each logs a line of about 190 bytes
   constexpr int kReadsBetweenFailures = 9;  // so that no endpoint is ejected for its errors
--- a/tests/integration/gateway_integration_test.h
+++ b/tests/integration/gateway_integration_test.h
@@ -32,6 +32,19 @@
   std::unique_ptr<TestClient> client;
 };
 
+/// A running gateway that gets its endpoint list from a scripted discovery agent over a watch.
+struct WatchedGateway {
+  explicit WatchedGateway(const Protocol& protocol, const PlatformSettings& settings = {})
+      : harness(protocol, 3, 0) {
+    harness.set_platform_settings(settings);
+    harness.use_discovery(agent.listener.address());
+    harness.start();
+  }
+
+  GatewayHarness harness;
+  DiscoveryAgent agent;
+};
+
 /// Settings under which no paused handshake exceeds the connect timeout.
 inline PlatformSettings long_connect_timeout() {
   PlatformSettings settings;
