--- a/tests/fault_soak/stand_ins.cpp
+++ b/tests/fault_soak/stand_ins.cpp
@@ -19,13 +19,12 @@
 }
 
 bool World::EndpointConnection::handle_message() {
-  std::optional<Request> request;
-  std::string reply;
   const test_harness::ReplicationStatus replication{endpoint.is_primary, 0};
-  if (!protocol().decode_endpoint_message(input, replication, request, reply))
+  const auto message = protocol().decode_endpoint_message(input, replication);
+  if (!message)
     return false;
-  if (request) {
-    serve(*request);
+  if (message->request) {
+    serve(*message->request);
     return true;
   }
   if (is_greeted)
@@ -36,10 +35,10 @@
   if (now < endpoint.hangs_until)
     return true;
   if (!is_late) {
-    stream->write({reply});
+    stream->write({message->reply});
     return true;
   }
-  world.after(world.draw(50, 1500), [self = weak_from_this(), reply] {
+  world.after(world.draw(50, 1500), [self = weak_from_this(), reply = message->reply] {
     if (const auto connection = self.lock())
       connection->stream->write({reply});
   });
@@ -141,14 +140,13 @@
 void World::Client::received() {
   input.append(stream->input().view());
   stream->input().consume(stream->input().size());
-  std::string value;
-  while (const auto result = protocol().decode_response(input, value)) {
+  while (const auto response = protocol().decode_response(input)) {
     if (request_id.empty())
       continue;  // the error of a connection that is closed
     world.oracle_.answer_received(std::exchange(request_id, ""), now_ms());
-    ++world.report_.answers[*result == ClientResult::Served     ? "served"
-                            : *result == ClientResult::Rejected ? "rejected"
-                                                                : "failed"];
+    ++world.report_.answers[response->result == ClientResult::Served     ? "served"
+                            : response->result == ClientResult::Rejected ? "rejected"
+                                                                         : "failed"];
     world.after(world.draw(5, 250), [this] {
       send_next();
     });
--- a/tests/integration/control_plane_test_support.cpp
+++ b/tests/integration/control_plane_test_support.cpp
@@ -111,7 +111,8 @@
       "the gateway to subscribe");
 }
 
-void BackgroundLoad::await_new_stream(const fake_control_plane::ControlService& service, int earlier_stream_count) {
+void BackgroundLoad::await_new_stream(const fake_control_plane::ControlService& service,
+                                      int earlier_stream_count) {
   wait_until(
       [&] {
         return service.stream_count() > earlier_stream_count;
--- a/tests/integration/postgres_protocol.cpp
+++ b/tests/integration/postgres_protocol.cpp
@@ -8,6 +8,23 @@
 namespace test_harness {
 namespace {
 
+constexpr std::uint32_t kProtocolVersion3 = 196608;
+constexpr std::uint32_t kAuthenticationOk = 0;
+
+constexpr char kAuthentication = 'R';
+constexpr char kParameterStatus = 'S';
+constexpr char kReadyForQuery = 'Z';
+constexpr char kRowDescription = 'T';
+constexpr char kDataRow = 'D';
+constexpr char kCommandComplete = 'C';
+constexpr char kErrorResponse = 'E';
+constexpr char kNoticeResponse = 'N';
+constexpr char kQuery = 'Q';
+
+// A message has a type and a length, which counts itself but not the type.
+constexpr std::size_t kTypeBytes = 1;
+constexpr std::size_t kHeaderBytes = 5;
+
 std::int64_t now_ms() {
   return g_get_real_time() / 1000;
 }
@@ -17,49 +34,135 @@
           static_cast<char>(value >> 8), static_cast<char>(value)};
 }
 
-std::uint32_t decode_big_endian(const std::string& input, std::size_t at) {
+std::uint32_t decode_big_endian(const std::string& input, std::size_t position) {
   std::uint32_t value = 0;
   for (std::size_t i = 0; i < 4; ++i)
-    value = value << 8 | static_cast<unsigned char>(input[at + i]);
+    value = value << 8 | static_cast<unsigned char>(input[position + i]);
   return value;
 }
 
+std::string with_length(const std::string& body) {
+  return encode_big_endian(static_cast<std::uint32_t>(body.size() + 4)) + body;
+}
+
 std::string pg_message(char type, const std::string& body) {
-  return type + encode_big_endian(static_cast<std::uint32_t>(body.size() + 4)) + body;
+  return type + with_length(body);
+}
+
+std::string pg_ready() {
+  return pg_message(kReadyForQuery, "I");
 }
 
 std::string pg_row(const std::string& value) {
   const std::string column = std::string("data\0", 5) + encode_big_endian(0) +
                              std::string(2, '\0') + encode_big_endian(17) + std::string(2, '\xff') +
                              encode_big_endian(0xffffffff) + std::string("\0\1", 2);
-  return pg_message('T', std::string("\0\1", 2) + column) +
-         pg_message('D', std::string("\0\1", 2) +
-                             encode_big_endian(static_cast<std::uint32_t>(value.size())) + value) +
-         pg_message('C', std::string("SELECT 1\0", 9));
+  return pg_message(kRowDescription, std::string("\0\1", 2) + column) +
+         pg_message(kDataRow, std::string("\0\1", 2) +
+                                  encode_big_endian(static_cast<std::uint32_t>(value.size())) +
+                                  value) +
+         pg_message(kCommandComplete, std::string("SELECT 1\0", 9));
+}
+
+// The fields of an error or a notice: severity, SQLSTATE and text.
+std::string pg_fields(const std::string& severity, const std::string& sql_state) {
+  const std::string end(1, '\0');
+  return "S" + severity + end + "C" + sql_state + end + "Mscripted" + end + end;
+}
+
+std::string pg_error(const std::string& sql_state) {
+  return pg_message(kErrorResponse, pg_fields("ERROR", sql_state)) + pg_ready();
+}
+
+std::string pg_status(const std::string& name, const std::string& value) {
+  return pg_message(kParameterStatus, name + '\0' + value + '\0');
+}
+
+std::string pg_replication_status(const ReplicationStatus& replication) {
+  return pg_status("part", replication.is_primary ? "master" : "replica") +
+         pg_status("caught_up_to", std::to_string(now_ms() - replication.lag_ms));
 }
 
-std::string pg_error(const std::string& code) {
-  const std::string z(1, '\0');
-  return pg_message('E', "SERROR" + z + "C" + code + z + "Mscripted" + z + z) +
-         pg_message('Z', "I");
+// A successful response with statuses that are out of range or malformed.
+std::string pg_malformed_report(const ReplicationStatus& replication, const std::string& value) {
+  return pg_row(value) + pg_replication_status(replication) +
+         pg_message(kParameterStatus, std::string("gauges\0x0=nonsense,x1=7q\0\0", 26)) +
+         pg_message(kParameterStatus, std::string("caught_up_to\0"
+                                                  "99999999999999\0",
+                                                  28)) +
+         pg_message(kParameterStatus, "no end") + pg_ready();
 }
 
-std::string between(const std::string& text, const std::string& from, const std::string& ends) {
-  const std::size_t at = text.find(from);
-  if (at == std::string::npos)
+std::string pg_unbounded_response(const std::string& value) {
+  constexpr std::size_t kMinBytes = 400'000;
+  std::string response = pg_row(value);
+  while (response.size() < kMinBytes)
+    response += pg_status("part", "and so on");
+  return response;
+}
+
+// The text after `prefix` up to the first of `terminators`; empty without `prefix`.
+std::string text_after(const std::string& text, const std::string& prefix,
+                       const std::string& terminators) {
+  const std::size_t found = text.find(prefix);
+  if (found == std::string::npos)
     return "";
-  const std::size_t begin = at + from.size();
-  return text.substr(begin, text.find_first_of(ends, begin) - begin);
+  const std::size_t begin = found + prefix.size();
+  return text.substr(begin, text.find_first_of(terminators, begin) - begin);
+}
+
+Request decode_request(const std::string& statement) {
+  constexpr const char* kTerminators = ", ";
+  Request request{
+      text_after(statement, "id=", kTerminators), text_after(statement, ",c=", kTerminators),
+      text_after(statement, ",k=", kTerminators), 0, statement.compare(0, 6, "INSERT") == 0};
+  request.timeout_ms = std::atoi(text_after(statement, ",d=", kTerminators).c_str());
+  return request;
 }
 
+// Collects the messages of a response.
+class ResponseDecoder {
+public:
+  void add(char type, const std::string& body) {
+    const bool is_error = type == kErrorResponse;
+    if (type == kAuthentication)
+      is_handshake_ = true;
+    if (type == kCommandComplete)
+      result_ = ClientResult::Served;
+    if (type == kDataRow)
+      value_ = body.substr(6);
+    if (is_error)
+      result_ = body.find(std::string("C53300\0", 7)) != std::string::npos ? ClientResult::Rejected
+                                                                           : ClientResult::Failed;
+    const bool is_fatal = is_error && body.compare(0, 6, "SFATAL") == 0;
+    is_complete_ = type == kReadyForQuery || is_fatal;
+  }
+
+  [[nodiscard]] bool is_complete() const { return is_complete_; }
+
+  // Whether the messages complete the handshake and hold no result.
+  [[nodiscard]] bool is_handshake_reply() const { return is_handshake_ && !result_; }
+
+  [[nodiscard]] std::optional<ClientResponse> response() const {
+    if (!result_)
+      return std::nullopt;
+    return ClientResponse{*result_, value_};
+  }
+
+private:
+  bool is_handshake_ = false;
+  bool is_complete_ = false;
+  std::optional<ClientResult> result_;
+  std::optional<std::string> value_;
+};
+
 class PostgresProtocol : public Protocol {
 public:
   [[nodiscard]] const char* name() const override { return "postgres"; }
 
   [[nodiscard]] std::string client_handshake() const override {
-    const std::string body =
-        encode_big_endian(196608) + std::string("user\0portal\0database\0crm\0\0", 26);
-    return encode_big_endian(static_cast<std::uint32_t>(body.size() + 4)) + body;
+    return with_length(encode_big_endian(kProtocolVersion3) +
+                       std::string("user\0portal\0database\0crm\0\0", 26));
   }
 
   [[nodiscard]] std::string encode_request(const Request& request) const override {
@@ -68,83 +171,64 @@
                                     (request.is_write ? ",k=" + request.idempotency_key : "") +
                                     ",cluster=0 */";
     if (!request.statement.empty())
-      return pg_message('Q', request.statement + annotations + '\0');
-    return pg_message('Q',
+      return pg_message(kQuery, request.statement + annotations + '\0');
+    return pg_message(kQuery,
                       (request.is_write
                            ? "INSERT INTO facts (code, data) VALUES ('7f', '\\x9f') RETURNING data"
                            : "SELECT data FROM facts WHERE code = '7f'") +
                           annotations + '\0');
   }
 
-  std::optional<ClientResult> decode_response(std::string& input,
-                                              std::string& value) const override {
-    std::optional<ClientResult> result;
-    bool is_handshake = false;
-    for (std::size_t at = 0; input.size() >= at + 5;) {
-      const std::size_t size = 1 + decode_big_endian(input, at + 1);
-      if (input.size() < at + size)
+  std::optional<ClientResponse> decode_response(std::string& input) const override {
+    ResponseDecoder decoder;
+    std::size_t position = 0;
+    while (input.size() >= position + kHeaderBytes) {
+      const std::size_t size = kTypeBytes + decode_big_endian(input, position + kTypeBytes);
+      if (input.size() < position + size)
         break;
-      const char type = input[at];
-      const std::string body = input.substr(at + 5, size - 5);
-      at += size;
-      if (type == 'R')
-        is_handshake = true;
-      if (type == 'C')
-        result = ClientResult::Served;
-      if (type == 'D')
-        value = body.substr(6);
-      if (type == 'E')
-        result = body.find(std::string("C53300\0", 7)) != std::string::npos ? ClientResult::Rejected
-                                                                            : ClientResult::Failed;
-      const bool fatal = type == 'E' && body.compare(0, 6, "SFATAL") == 0;
-      if (type != 'Z' && !fatal)
+      decoder.add(input[position], input.substr(position + kHeaderBytes, size - kHeaderBytes));
+      position += size;
+      if (!decoder.is_complete())
         continue;
-      input.erase(0, at);
-      at = 0;
-      if (!is_handshake || result)
-        return result;
-      is_handshake = false;
+      input.erase(0, position);
+      position = 0;
+      if (!decoder.is_handshake_reply())
+        return decoder.response();
+      decoder = ResponseDecoder();
     }
     return std::nullopt;
   }
 
-  bool decode_endpoint_message(std::string& input, const ReplicationStatus& replication,
-                               std::optional<Request>& request, std::string& reply) const override {
-    if (input.size() < 5)
-      return false;
+  std::optional<EndpointMessage>
+  decode_endpoint_message(std::string& input, const ReplicationStatus& replication) const override {
+    if (input.size() < kHeaderBytes)
+      return std::nullopt;
     if (input[0] == '\0') {  // a startup message has no type
       if (input.size() < decode_big_endian(input, 0))
-        return false;
+        return std::nullopt;
       input.erase(0, decode_big_endian(input, 0));
-      reply = pg_message('R', encode_big_endian(0)) + pg_message('Z', "I");
-      return true;
+      return EndpointMessage{std::nullopt,
+                             pg_message(kAuthentication, encode_big_endian(kAuthenticationOk)) +
+                                 pg_ready()};
     }
-    const std::size_t size = 1 + decode_big_endian(input, 1);
+    const std::size_t size = kTypeBytes + decode_big_endian(input, kTypeBytes);
     if (input.size() < size)
-      return false;
-    const std::string text = input.substr(5, size - 6);
+      return std::nullopt;
+    const std::string statement = input.substr(kHeaderBytes, size - kHeaderBytes - 1);
     input.erase(0, size);
-    if (text == "SHOW gauges") {
-      const std::string seconds =
-          std::to_string(static_cast<double>(now_ms() - replication.lag_ms) / 1000);
-      reply = pg_row("x0=" + seconds + ",x1=" + (replication.is_primary ? "1" : "0")) +
-              pg_message('Z', "I");
-      return true;
-    }
-    request = Request{between(text, "id=", ", "), between(text, ",c=", ", "),
-                      between(text, ",k=", ", "), 0, text.compare(0, 6, "INSERT") == 0};
-    request->timeout_ms = std::atoi(between(text, ",d=", ", ").c_str());
-    return true;
+    if (statement != "SHOW gauges")
+      return EndpointMessage{decode_request(statement), ""};
+    const std::string seconds =
+        std::to_string(static_cast<double>(now_ms() - replication.lag_ms) / 1000);
+    return EndpointMessage{std::nullopt,
+                           pg_row("x0=" + seconds + ",x1=" + (replication.is_primary ? "1" : "0")) +
+                               pg_ready()};
   }
 
   [[nodiscard]] std::string encode_response(ScriptedResponse response,
                                             const ReplicationStatus& replication,
                                             const std::string& value) const override {
-    const std::string status =
-        pg_message('S', std::string("part\0", 5) + (replication.is_primary ? "master" : "replica") +
-                            '\0') +
-        pg_message('S', std::string("caught_up_to\0", 13) +
-                            std::to_string(now_ms() - replication.lag_ms) + '\0');
+    const std::string status = pg_replication_status(replication);
     switch (response) {
     case ScriptedResponse::RejectNotPrimary:
       return status + pg_error("25006");
@@ -158,30 +242,19 @@
       return pg_row(value).substr(0, 60);
     case ScriptedResponse::OversizedLength:
       return pg_row(value).substr(0, 31) + "D\xc0" + std::string(3, '\0') + "and so on";
-    case ScriptedResponse::UnboundedResponse: {
-      std::string all = pg_row(value);
-      while (all.size() < 400'000)
-        all += pg_message('S', std::string("part\0and so on\0", 15));
-      return all;
-    }
+    case ScriptedResponse::UnboundedResponse:
+      return pg_unbounded_response(value);
     case ScriptedResponse::Duplicate:
-      return pg_row(value) + status + pg_message('Z', "I") + pg_row("a copy") +
-             pg_message('Z', "I");
+      return pg_row(value) + status + pg_ready() + pg_row("a copy") + pg_ready();
     case ScriptedResponse::MalformedReport:
-      return pg_row(value) + status +
-             pg_message('S', std::string("gauges\0x0=nonsense,x1=7q\0\0", 26)) +
-             pg_message('S', std::string("caught_up_to\0"
-                                         "99999999999999\0",
-                                         28)) +
-             pg_message('S', "no end") + pg_message('Z', "I");
+      return pg_malformed_report(replication, value);
     default:
-      return pg_row(value) + status + pg_message('Z', "I");
+      return pg_row(value) + status + pg_ready();
     }
   }
 
   [[nodiscard]] std::string encode_unsolicited_message() const override {
-    const std::string z(1, '\0');
-    return pg_message('N', "SNOTICE" + z + "C00000" + z + "Mscripted" + z + z);
+    return pg_message(kNoticeResponse, pg_fields("NOTICE", "00000"));
   }
 };
 
--- a/tests/integration/protocol.h
+++ b/tests/integration/protocol.h
@@ -54,6 +54,18 @@
   int lag_ms = 0;  ///< How far its replication position lies behind the present.
 };
 
+/// A response as its client reads it.
+struct ClientResponse {
+  ClientResult result = ClientResult::Served;
+  std::optional<std::string> value;
+};
+
+/// A message of the gateway as an endpoint reads it.
+struct EndpointMessage {
+  std::optional<Request> request;  ///< None for a handshake or health check.
+  std::string reply;               ///< To a handshake or health check; empty for a request.
+};
+
 /// Encodes and decodes one wire protocol as clients and endpoints of the gateway do.
 class Protocol {
 public:
@@ -62,14 +74,12 @@
   [[nodiscard]] virtual const char* name() const = 0;
   [[nodiscard]] virtual std::string client_handshake() const = 0;
   [[nodiscard]] virtual std::string encode_request(const Request& request) const = 0;
-  /// Removes one response from `input`, and sets `value` from it; nothing while it is incomplete.
-  virtual std::optional<ClientResult> decode_response(std::string& input,
-                                                      std::string& value) const = 0;
-  /// Removes one message from `input`; false while it is incomplete. Sets `request` if the message
-  /// is a client's request, else `reply` to the response to a handshake or health check.
-  virtual bool decode_endpoint_message(std::string& input, const ReplicationStatus& replication,
-                                       std::optional<Request>& request,
-                                       std::string& reply) const = 0;
+  /// Removes one response from `input`; none while it is incomplete.
+  virtual std::optional<ClientResponse> decode_response(std::string& input) const = 0;
+  /// Removes one message from `input`; none while it is incomplete. The reply to a health check
+  /// reports `replication`.
+  virtual std::optional<EndpointMessage>
+  decode_endpoint_message(std::string& input, const ReplicationStatus& replication) const = 0;
   [[nodiscard]] virtual std::string encode_response(ScriptedResponse response,
                                                     const ReplicationStatus& replication,
                                                     const std::string& value) const = 0;
--- a/tests/integration/stub_endpoint.cpp
+++ b/tests/integration/stub_endpoint.cpp
@@ -40,14 +40,12 @@
   }
 
   bool handle_message() {
-    std::optional<Request> request;
-    std::string reply;
-    if (!endpoint.harness_.protocol.decode_endpoint_message(input, endpoint.replication, request,
-                                                            reply))
+    const auto message =
+        endpoint.harness_.protocol.decode_endpoint_message(input, endpoint.replication);
+    if (!message)
       return false;
-    if (request)
-      reply = respond(*request);
-    else if (is_handshake_complete)
+    std::string reply = message->request ? respond(*message->request) : message->reply;
+    if (!message->request && is_handshake_complete)
       ++endpoint.health_check_count;
     if (!std::exchange(is_handshake_complete, true) && endpoint.pauses_handshakes)
       paused_handshake_reply = std::exchange(reply, "");
--- a/tests/integration/test_client.cpp
+++ b/tests/integration/test_client.cpp
@@ -11,8 +11,9 @@
 void TestClient::received() {
   unparsed_input.append(stream_->input().view());
   stream_->input().consume(stream_->input().size());
-  while (const auto result = harness_.protocol.decode_response(unparsed_input, last_value)) {
-    responses.push_back(*result);
+  while (const auto response = harness_.protocol.decode_response(unparsed_input)) {
+    responses.push_back(response->result);
+    last_value = response->value.value_or(last_value);
     ++harness_.response_count;
   }
 }
