--- a/bench/config.cpp
+++ b/bench/config.cpp
@@ -1,14 +1,18 @@
-/// Measures what configuration from a control service costs: the time from a push to the change in
-/// force, by the number of members, and the tail of request latencies while versions are applied,
-/// against none, in turns within one run.
+/// Measures the cost of configuration from a control service: the time from a push until the change
+/// is in force, by the number of members; and the tail of request latencies while versions are
+/// applied, compared with none, in alternating rounds of one run.
 #include "fake_control_plane/control_service.h"
 #include "integration/test_harness.h"
 
 #include <algorithm>
 #include <array>
 #include <cstdio>
+#include <functional>
+#include <memory>
+#include <stdexcept>
 #include <string>
 #include <thread>
+#include <vector>
 
 using namespace test_harness;
 using namespace std::chrono_literals;
@@ -17,7 +21,9 @@
 
 namespace {
 
-/// Runs the event loop without pauses, as the harness's own waits look only every 5 ms.
+constexpr int kTimeoutMs = 2000;
+
+/// Iterates the event loop without pauses; the harness's own waits check only every 5 ms.
 void run_loop_until(const std::function<bool()>& condition) {
   while (!condition())
     g_main_context_iteration(nullptr, FALSE);
@@ -27,60 +33,246 @@
   return static_cast<double>(g_get_monotonic_time() - start) / 1000;
 }
 
-/// The value below which `share` of `values` lie; 0 where there are none.
+/// The value below which the fraction `share` of `values` lies; 0 if there are none.
 double quantile(std::vector<double> values, double share) {
+  if (values.empty())
+    return 0;
   std::sort(values.begin(), values.end());
-  return values.empty()
-             ? 0
-             : values[std::min(values.size() - 1, static_cast<std::size_t>(
-                                                      share * static_cast<double>(values.size())))];
+  const auto rank = static_cast<std::size_t>(share * static_cast<double>(values.size()));
+  return values[std::min(values.size() - 1, rank)];
 }
 
-pb::Members members(const GatewayHarness& harness, std::uint64_t generation, int more) {
-  pb::Members m;
-  m.set_generation(generation);
+/// The harness's endpoints and `extra_count` more in other groups, which drain, so that the gateway
+/// sends them no health checks.
+pb::Members make_members(const GatewayHarness& harness, std::uint64_t generation, int extra_count) {
+  pb::Members members;
+  members.set_generation(generation);
   for (const auto& endpoint : harness.endpoints) {
-    pb::Member& one = *m.add_postgres();
-    one.set_name(endpoint->name), one.set_address(endpoint->address);
-    one.set_role(endpoint->listed_as_primary ? pb::Member::PRIMARY : pb::Member::REPLICA);
+    pb::Member& member = *members.add_postgres();
+    member.set_name(endpoint->name);
+    member.set_address(endpoint->address);
+    member.set_role(endpoint->listed_as_primary ? pb::Member::PRIMARY : pb::Member::REPLICA);
   }
-  for (int i = 0; i < more; ++i) {  // in other groups, draining, so that nobody probes them
-    pb::Member& one = *m.add_postgres();
-    one.set_name("crowd-" + std::to_string(i)),
-        one.set_address("127.0.0.1:" + std::to_string(1 + i % 60000));
-    one.set_group(1000 + static_cast<unsigned>(i) / 4), one.set_state(pb::Member::DRAINING);
+  for (int i = 0; i < extra_count; ++i) {
+    pb::Member& member = *members.add_postgres();
+    member.set_name("extra-" + std::to_string(i));
+    member.set_address("127.0.0.1:" + std::to_string(1 + i % 60000));
+    member.set_group(1000 + static_cast<unsigned>(i) / 4);
+    member.set_state(pb::Member::DRAINING);
   }
-  return m;
+  return members;
 }
 
-pb::Contracts contracts(std::uint64_t generation) {
-  pb::Contracts c;
-  c.set_generation(generation);
-  for (int t = 0; t < 20; ++t) {
-    pb::Team& team = *c.add_team();
-    team.set_name(t == 0 ? "portal" : "team-" + std::to_string(t));
+pb::Contracts make_contracts(std::uint64_t generation) {
+  constexpr int kTeamCount = 20;
+  pb::Contracts contracts;
+  contracts.set_generation(generation);
+  for (int i = 0; i < kTeamCount; ++i) {
+    pb::Team& team = *contracts.add_team();
+    team.set_name(i == 0 ? "portal" : "team-" + std::to_string(i));
     team.mutable_budget()->set_per_second(1e6);
     for (const char* name : {"any", "save"})
       team.add_class_()->set_name(name);
   }
-  return c;
+  return contracts;
 }
 
-/// Index 0: no versions applied meanwhile; index 1: 50 a second.
-void print_latencies(std::array<std::vector<double>, 2>& times) {
-  for (const int applies : {0, 1})
-    std::printf("%s: %zu requests, ms median %.3f p90 %.3f p99 %.3f p99.9 %.3f most %.3f\n",
-                applies ? "50 versions a second" : "none", times.at(applies).size(),
-                quantile(times.at(applies), 0.5), quantile(times.at(applies), 0.9),
-                quantile(times.at(applies), 0.99), quantile(times.at(applies), 0.999),
-                quantile(times.at(applies), 1));
-  std::printf("ratio of p99: %.3f\n", quantile(times[1], 0.99) / quantile(times[0], 0.99));
-}
+/// Measures the time from a push of members until they are in force.
+class PushLatencyBench {
+public:
+  PushLatencyBench(GatewayHarness& harness, ControlService& service)
+      : harness_(harness), service_(service), client_(harness.connect_client()) {}
 
-}  // namespace
+  void run() {
+    std::printf("push to in force, ms: members, median, least, most of %d (each changes every "
+                "member or none)\n",
+                kPushCount);
+    for (const int member_count : {10, 1000, 10000}) {
+      const std::vector<double> durations = measure_pushes(member_count);
+      std::printf("%d %.2f %.2f %.2f\n", member_count, quantile(durations, 0.5),
+                  quantile(durations, 0), quantile(durations, 1));
+      std::fflush(stdout);
+    }
+    ++generation_;
+    static_cast<void>(
+        service_.await_ack(service_.push(make_members(harness_, generation_, 0), "few")));
+  }
 
-int main() {
-  throw_on_fatal_failures();
+private:
+  static constexpr int kPushCount = 9;
+
+  std::vector<double> measure_pushes(int member_count) {
+    std::vector<double> durations;
+    for (int i = 0; i < kPushCount; ++i) {
+      run_main_loop_for(120ms);  // beyond the gateway's pause of 50 ms between two applications
+      ++generation_;
+      const int own_count = static_cast<int>(harness_.endpoints.size());
+      pb::Members members = make_members(harness_, generation_, member_count - own_count);
+      for (int j = own_count; j < members.postgres_size(); ++j)
+        members.mutable_postgres(j)->set_size(1 + i % 2);  // each differs from the last push
+      durations.push_back(measure_push(members));
+    }
+    return durations;
+  }
+
+  /// A push is in force at the latest when the gateway answers a request that arrived after its
+  /// ACK, because one loop does both.
+  double measure_push(const pb::Members& members) {
+    const gint64 start = g_get_monotonic_time();
+    const std::string nonce = service_.push(members, "v");
+    run_loop_until([&] {
+      return service_.received_requests().back().nonce == nonce;
+    });
+    const std::string error = service_.received_requests().back().error;
+    if (!error.empty())
+      throw std::runtime_error("the gateway rejects the members: " + error);
+    client_->send_request(
+        {"p" + std::to_string(generation_), "any", "", kTimeoutMs, /*is_write=*/false});
+    run_loop_until([this] {
+      return !client_->responses.empty();
+    });
+    client_->responses.pop_front();
+    return ms_since(start);
+  }
+
+  GatewayHarness& harness_;
+  ControlService& service_;
+  std::unique_ptr<TestClient> client_;
+  std::uint64_t generation_ = 0;
+};
+
+/// Sends requests at a steady pace over several connections and measures their latencies.
+class PacedLoad {
+public:
+  explicit PacedLoad(GatewayHarness& harness) {
+    constexpr int kClientCount = 16;
+    for (int i = 0; i < kClientCount; ++i)
+      clients_.push_back(harness.connect_client());
+  }
+
+  /// Sends the requests of one second and appends their latencies to `latencies`, each measured
+  /// from the time at which the request was due.
+  void run_round(std::vector<double>& latencies) {
+    idle_clients_.clear();
+    for (const auto& client : clients_)
+      idle_clients_.push_back(client.get());
+    round_start_ = g_get_monotonic_time();
+    sent_count_ = 0;
+    run_loop_until([&] {
+      collect_responses(latencies);
+      send_due_requests();
+      return sent_count_ == kRequestsPerRound && in_flight_.empty();
+    });
+  }
+
+private:
+  static constexpr int kRequestsPerRound = 400;
+  static constexpr gint64 kIntervalUs = 2500;
+
+  struct InFlight {
+    TestClient* client;
+    gint64 due_at;
+  };
+
+  void collect_responses(std::vector<double>& latencies) {
+    auto request = in_flight_.begin();
+    while (request != in_flight_.end()) {
+      if (request->client->responses.empty()) {
+        ++request;
+        continue;
+      }
+      latencies.push_back(ms_since(request->due_at));
+      request->client->responses.pop_front();
+      idle_clients_.push_back(request->client);
+      request = in_flight_.erase(request);
+    }
+  }
+
+  void send_due_requests() {
+    const gint64 now = g_get_monotonic_time();
+    while (sent_count_ < kRequestsPerRound && !idle_clients_.empty()) {
+      const gint64 due_at = round_start_ + sent_count_ * kIntervalUs;
+      if (now < due_at)
+        return;
+      TestClient* const client = idle_clients_.back();
+      idle_clients_.pop_back();
+      in_flight_.push_back({client, due_at});
+      client->send_request(
+          {"t" + std::to_string(next_id_), "any", "", kTimeoutMs, /*is_write=*/false});
+      ++next_id_;
+      ++sent_count_;
+    }
+  }
+
+  std::vector<std::unique_ptr<TestClient>> clients_;
+  std::vector<TestClient*> idle_clients_;
+  std::vector<InFlight> in_flight_;
+  gint64 round_start_ = 0;
+  int sent_count_ = 0;
+  int next_id_ = 0;
+};
+
+enum class Versions { None, FiftyPerSecond };
+
+/// Measures request latencies with and without versions that are applied meanwhile.
+class RequestLatencyBench {
+public:
+  RequestLatencyBench(GatewayHarness& harness, ControlService& service)
+      : service_(service), load_(harness) {}
+
+  void run() {
+    constexpr int kRoundPairs = 10;
+    for (int i = 0; i < kRoundPairs; ++i) {
+      run_round(Versions::None);
+      run_round(Versions::FiftyPerSecond);
+    }
+    print("none", latencies_of(Versions::None));
+    print("50 versions a second", latencies_of(Versions::FiftyPerSecond));
+    std::printf("ratio of p99: %.3f\n", quantile(latencies_of(Versions::FiftyPerSecond), 0.99) /
+                                            quantile(latencies_of(Versions::None), 0.99));
+  }
+
+private:
+  void run_round(Versions versions) {
+    if (versions == Versions::None) {
+      load_.run_round(latencies_of(versions));
+      return;
+    }
+    // A thread of its own pushes, so that the measurement includes the gateway and not the pushes.
+    std::thread pusher([this] {
+      push_versions();
+    });
+    load_.run_round(latencies_of(versions));
+    pusher.join();
+  }
+
+  void push_versions() {
+    constexpr int kPushCount = 50;
+    constexpr gulong kIntervalUs = 20'000;
+    for (int i = 0; i < kPushCount; ++i) {
+      ++generation_;
+      service_.push(make_contracts(generation_), "c");
+      g_usleep(kIntervalUs);
+    }
+  }
+
+  std::vector<double>& latencies_of(Versions versions) {
+    return latencies_.at(static_cast<std::size_t>(versions));
+  }
+
+  static void print(const char* label, const std::vector<double>& latencies) {
+    std::printf("%s: %zu requests, ms median %.3f p90 %.3f p99 %.3f p99.9 %.3f most %.3f\n", label,
+                latencies.size(), quantile(latencies, 0.5), quantile(latencies, 0.9),
+                quantile(latencies, 0.99), quantile(latencies, 0.999), quantile(latencies, 1));
+  }
+
+  ControlService& service_;
+  PacedLoad load_;
+  std::uint64_t generation_ = 0;  ///< Only the pushing thread changes it.
+  std::array<std::vector<double>, 2> latencies_;
+};
+
+void run_benches() {
   GatewayHarness harness(postgres(), 3, 0);
   ControlService service;
   harness.write_operator_file("control_service { node: 'bench' address: '" + service.address() +
@@ -91,94 +283,19 @@
         return service.received_requests().size() >= 3;
       },
       "the subscriptions");
-  std::uint64_t generation = 0;
-
-  // A push is in force at the latest when a request is answered that came in after its
-  // acknowledgement: one loop does both. The pause of 50 ms between runs is waited out before.
-  std::printf("push to in force, ms: members, median, least, most of 9 (each changes every member "
-              "or none)\n");
-  const auto client = harness.connect_client();
-  for (const int count : {10, 1000, 10000}) {
-    std::vector<double> took;
-    for (int i = 0; i < 9; ++i) {
-      run_main_loop_for(120ms);
-      pb::Members m = members(harness, ++generation, count - 3);
-      for (int j = 3; j < m.postgres_size(); ++j)
-        m.mutable_postgres(j)->set_size(1 + i % 2);  // all differ
-      const gint64 start = g_get_monotonic_time();
-      const std::string nonce = service.push(m, "v");
-      run_loop_until([&] {
-        return service.received_requests().back().nonce == nonce;
-      });
-      if (!service.received_requests().back().error.empty())
-        return 1;
-      client->send_request({"p" + std::to_string(generation), "any", "", 2000, false});
-      run_loop_until([&] {
-        return !client->responses.empty();
-      });
-      client->responses.pop_front();
-      took.push_back(ms_since(start));
-    }
-    std::printf("%d %.2f %.2f %.2f\n", count, quantile(took, 0.5), quantile(took, 0),
-                quantile(took, 1));
-    std::fflush(stdout);
-  }
-  static_cast<void>(service.await_ack(service.push(members(harness, ++generation, 0), "few")));
-
-  // Turns of one second with and without 50 versions a second, four clients asking at a steady pace
-  // of 400 a second.
-  std::array<std::vector<double>, 2> times;
-  std::vector<std::unique_ptr<TestClient>> clients;
-  clients.reserve(16);
-  for (int i = 0; i < 16; ++i)
-    clients.push_back(harness.connect_client());
-  int number = 0;
-  std::uint64_t version = 0;
-  for (int turn = 0; turn < 20; ++turn) {
-    const bool applies = turn % 2 == 1;
-    const gint64 start = g_get_monotonic_time();
-    int asked = 0;
-    // Pushed from a thread of its own, so that what is measured is the gateway and not the pushing.
-    std::thread pusher([&] {
-      for (int pushed = 0; applies && pushed < 50; ++pushed) {
-        service.push(contracts(++version), "c");
-        g_usleep(20'000);
-      }
-    });
+  PushLatencyBench(harness, service).run();
+  RequestLatencyBench(harness, service).run();
+  harness.expect_invariants();
+}
 
-    struct Out {
-      TestClient* client;
-      gint64 due;
-    };
+}  // namespace
 
-    std::vector<Out> out;
-    std::vector<TestClient*> free;
-    free.reserve(clients.size());
-    for (const auto& c : clients)
-      free.push_back(c.get());
-    run_loop_until([&] {
-      const gint64 now = g_get_monotonic_time();
-      for (std::size_t i = 0; i < out.size();) {
-        if (out[i].client->responses.empty()) {
-          ++i;
-          continue;
-        }
-        times.at(applies ? 1 : 0)
-            .push_back(ms_since(out[i].due));  // from when it should have gone out
-        out[i].client->responses.pop_front();
-        free.push_back(out[i].client);
-        out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
-      }
-      while (asked < 400 && now >= start + asked * 2500 && !free.empty()) {
-        out.push_back({free.back(), start + asked * 2500});
-        free.back()->send_request({"t" + std::to_string(number++), "any", "", 2000, false});
-        free.pop_back();
-        ++asked;
-      }
-      return asked == 400 && out.empty();
-    });
-    pusher.join();
+int main() {
+  throw_on_fatal_failures();
+  try {
+    run_benches();
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "bench_config: %s\n", error.what());
+    return 1;
   }
-  print_latencies(times);
-  harness.expect_invariants();
 }
--- a/bench/grpc_idle.cpp
+++ b/bench/grpc_idle.cpp
@@ -1,6 +1,8 @@
 // Compares the memory of an idle xDS stream on libgrpc++, which the gateway does not use, with that
-// of a session on nghttp2 and the main loop, which it does. Prints the resident memory of the
-// process, in KiB, before and after, and its threads.
+// of a session on nghttp2 and the main loop, which it uses. Prints the resident memory of the
+// process in KiB, before and after, and the number of its threads.
+//
+//   grpc_idle grpc|nghttp2 ADDRESS
 #include "integration/event_wait.h"
 
 #include "grpc/channel.h"
@@ -78,9 +80,8 @@
 
 }  // namespace
 
-// grpc_idle grpc|nghttp2 ADDRESS
-int main(int count, char** arguments) {
-  if (count != 3)
+int main(int argument_count, char** arguments) {
+  if (argument_count != 3)
     return 2;
   const std::string request = gorsebeam::xds::encode_request({}, {"idle", "bench"});
   print_memory_and_threads("before");
