--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -1,26 +1,24 @@
 #include "router_harness.h"
 
+#include "router_settings.h"
+
 namespace gorsebeam::router_test {
 namespace {
 
 RequestClass make_class(const char* name, ConsistencyLevel consistency, Idempotency idempotency) {
-  RequestClass made;
-  made.name = name;
-  made.consistency = consistency;
-  made.idempotency = idempotency;
+  RequestClass made = test_support::make_request_class(name, consistency, idempotency);
   made.latency_objective = 300 * kMillisecond;
   made.deadline = 2000 * kMillisecond;
   made.max_staleness = consistency == ConsistencyLevel::BoundedStaleness ? 1000 * kMillisecond : 0;
   made.late_weight_fraction = 0.5;
   made.deduplication_window = 1500 * kMillisecond;
-  made.deduplication_scope = DeduplicationScope::Group;
   return made;
 }
 
 }  // namespace
 
 Settings default_settings() {
-  Settings settings;
+  Settings settings = test_support::make_settings(LoadReportSource::HealthChecks);
   settings.classes = {
       make_class("eventual", ConsistencyLevel::Eventual, Idempotency::Idempotent),
       make_class("bounded", ConsistencyLevel::BoundedStaleness, Idempotency::Idempotent),
@@ -30,18 +28,12 @@
       make_class("keyed", ConsistencyLevel::Write, Idempotency::IdempotencyKey),
   };
   settings.clock_resolution = 1 * kMillisecond;
-  settings.load_report_source = LoadReportSource::HealthChecks;
-  settings.load_reports_hold_positions = true;
-  settings.load_reports_hold_roles = true;
   settings.session_token_source = SessionTokenSource::Client;
   settings.cancellation_allowed = true;
-  settings.max_attempts = 4;
   settings.response_slack = 20 * kMillisecond;
   settings.drain_grace = 500 * kMillisecond;
   settings.slow_start_duration = 10'000 * kMillisecond;
-  settings.slow_start_initial_capacity = 0.2;
   settings.overload_duration = 2000 * kMillisecond;
-  settings.overload_factor = 2;
   return settings;
 }
 
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -1,12 +1,15 @@
-/// Checks that memory is bounded: hours of endpoints, sessions, keys and restarts through the
-/// request broker and the router, in virtual time. At the end of each round the cluster is idle for
-/// longer than anything is kept, and the heap must hold what it held before. The cluster and its
-/// faults are drawn from a seed; the router decides which endpoint gets which request.
+/// Checks that memory is bounded. The request broker and the router process hours of endpoint
+/// changes, sessions, idempotency keys and restarts in virtual time. Each round ends with an idle
+/// time longer than any retention time, after which the heap must not be larger than before. The
+/// cluster and its faults are drawn from a seed; the router selects the endpoint of each request.
 ///
-/// Usage: soak [ROUNDS [SEED]]. Exit status 0: all requests were answered once and memory stayed.
-#include "proxy/request_broker.h"
+/// Usage: soak [ROUNDS [SEED]]. Exit status 0: each request got one response and memory did not
+/// grow.
 #include "virtual_time.h"
 
+#include "proxy/request_broker.h"
+#include "router_settings.h"
+
 #include <malloc.h>
 
 #include <algorithm>
@@ -22,7 +25,7 @@
 
 namespace {
 
-// On the heap, by operator new.
+// What operator new has allocated and operator delete has not released.
 std::size_t heap_blocks = 0;
 std::size_t heap_bytes = 0;
 
@@ -37,8 +40,8 @@
   return at;
 }
 
-// Sorts ask for memory by this one. Without it the sanitizers' own would allocate what the delete
-// below frees.
+// std::stable_sort allocates with this one. Without it the sanitizers' version would allocate what
+// the operator delete below releases.
 void* operator new(std::size_t size, const std::nothrow_t&) noexcept {
   try {
     return operator new(size);
@@ -71,26 +74,26 @@
 
 using Random = std::mt19937_64;
 
-/// Counts its final answers.
+/// Counts its final responses.
 struct CountingCall : proxy::ClientCall {
   [[nodiscard]] bool has_client_left() const override { return false; }
 
-  int answers = 0;
+  int response_count = 0;
 
   proxy::Parts body(Nanos) override { return {"SELECT"}; }
 
-  void respond(const proxy::Parts&) override { ++answers; }
+  void respond(const proxy::Parts&) override { ++response_count; }
 
-  void reject(Nanos) override { ++answers; }
+  void reject(Nanos) override { ++response_count; }
 
-  void fail() override { ++answers; }
+  void fail() override { ++response_count; }
 };
 
 /// One simulated endpoint.
 struct SimulatedEndpoint {
   proxy::ListedEndpoint listed;
   bool is_primary = false;
-  bool is_silent = false;  // answers nothing
+  bool is_silent = false;  // does not respond
 };
 
 /// A cluster and its clients, on one broker.
@@ -105,7 +108,7 @@
     update_all(EndpointList::Kind::Full);
   }
 
-  /// Runs a busy time with faults, then idle time.
+  /// Runs a busy period with faults, then an idle period.
   void run_round() {
     const Nanos start = net::now();
     for (Nanos at = start; at < start + kBusyTime; at += 20 * kMillisecond)
@@ -117,58 +120,49 @@
         inject_fault();
       });
     virtual_time::run_until(start + kBusyTime + kIdleTime);
-    // What is forgotten only as further requests arrive is forgotten now.
+    // Some state expires only when further requests arrive.
     for (int i = 0; i < 8; ++i)
       send_request();
     update_all(EndpointList::Kind::Full);
     virtual_time::run_until(start + kBusyTime + 2 * kIdleTime);
   }
 
-  std::size_t requests = 0;
-  std::size_t answered_twice = 0;
-  std::size_t unanswered = 0;
+  std::size_t request_count = 0;
+  std::size_t requests_with_two_responses = 0;
+  std::size_t requests_without_response = 0;
 
 private:
   static Settings settings() {
-    Settings s;
-    const auto add = [&s](const char* name, ConsistencyLevel level, Idempotency idempotency) {
-      RequestClass c;
-      c.name = name;
-      c.consistency = level;
-      c.idempotency = idempotency;
+    Settings settings = test_support::make_settings(LoadReportSource::Responses);
+    const auto add = [&settings](const char* name, ConsistencyLevel level,
+                                 Idempotency idempotency) {
+      RequestClass c = test_support::make_request_class(name, level, idempotency);
       c.latency_objective = 300 * kMillisecond;
       c.deadline = 1000 * kMillisecond;
       c.max_staleness = 200 * kMillisecond;
       c.deduplication_window = 2 * kSecond;
-      c.deduplication_scope = DeduplicationScope::Group;
-      s.classes.push_back(c);
+      settings.classes.push_back(c);
     };
     add("any", ConsistencyLevel::Eventual, Idempotency::Idempotent);
     add("bounded", ConsistencyLevel::BoundedStaleness, Idempotency::Idempotent);
     add("session", ConsistencyLevel::Session, Idempotency::Idempotent);
     add("fresh", ConsistencyLevel::Strong, Idempotency::Idempotent);
     add("keyed", ConsistencyLevel::Write, Idempotency::IdempotencyKey);
-    s.load_report_source = LoadReportSource::Responses;
-    s.load_reports_hold_positions = true;
-    s.load_reports_hold_roles = true;
-    s.max_attempts = 4;
-    s.listed_role = ListedRole::AtStart;
-    s.slow_start_duration = 10 * kSecond;
-    s.slow_start_initial_capacity = 0.2;
-    s.overload_duration = kSecond;
-    s.overload_factor = 2;
-    return s;
+    settings.listed_role = ListedRole::AtStart;
+    settings.slow_start_duration = 10 * kSecond;
+    settings.overload_duration = kSecond;
+    return settings;
   }
 
-  static std::string format_hex(const char* format, unsigned long long number) {
+  static std::string format_number(const char* format, unsigned long long number) {
     std::array<char, 24> text{};
     const int length = std::snprintf(text.data(), text.size(), format, number);
     return {text.data(), static_cast<std::size_t>(length)};
   }
 
-  static std::string name_of(std::uint32_t id) { return format_hex("s-%08llx", id); }
+  static std::string name_of(std::uint32_t id) { return format_number("s-%08llx", id); }
 
-  /// The session of the last request with one, or a new one.
+  /// The session of the last request that had one, or a new session.
   std::uint64_t next_session() {
     if (draw() < 0.5)
       ++last_session_;
@@ -198,7 +192,8 @@
     broker_->update_endpoints(kind, all);
   }
 
-  /// Replaces, restarts, silences or wakes an endpoint, or moves the primary of its group.
+  /// Replaces or restarts an endpoint, makes it silent or responsive, or moves the primary of its
+  /// group.
   void inject_fault() {
     SimulatedEndpoint& endpoint = endpoints_[random_() % endpoints_.size()];
     const GroupId group = endpoint.listed.endpoint.group;
@@ -221,7 +216,7 @@
     }
     if (draw() < 0.2)
       update_all(EndpointList::Kind::Full);
-    // A group that appears and goes with its only endpoint.
+    // A group that appears and disappears with its only endpoint.
     SimulatedEndpoint single = make_endpoint(1000 + last_name_, true);
     broker_->update_endpoints(EndpointList::Kind::Delta, {single.listed});
     send_request(single.listed.endpoint.group);
@@ -233,7 +228,7 @@
 
   void send_request(GroupId group) {
     Request request;
-    request.id = format_hex("%016llx", ++requests);
+    request.id = format_number("%016llx", ++request_count);
     const std::string id = request.id;
     request.class_index = random_() % 5;
     request.group = group;
@@ -243,22 +238,22 @@
     auto client = std::make_shared<CountingCall>();
     const Nanos deadline = request.deadline;
     if (!broker_->begin_request(std::move(request), *client)) {
-      ++unanswered;
+      ++requests_without_response;
       return;
     }
     if (draw() < 0.05) {
       virtual_time::schedule(net::now() + 30 * kMillisecond, [this, client, id] {
-        if (client->answers > 0)
+        if (client->response_count > 0)
           return;
         broker_->client_disconnected(id);
-        ++client->answers;  // it needs no other
+        ++client->response_count;  // the client expects no other response
       });
     }
     virtual_time::schedule(deadline + 50 * kMillisecond, [this, client] {
-      if (client->answers == 0)
-        ++unanswered;
-      if (client->answers > 1)
-        ++answered_twice;
+      if (client->response_count == 0)
+        ++requests_without_response;
+      if (client->response_count > 1)
+        ++requests_with_two_responses;
     });
   }
 
@@ -283,41 +278,41 @@
     return response;
   }
 
-  /// How an attempt on a reachable endpoint ends, by an even draw from 0 to 1.
-  static AttemptStatus status_of(double luck) {
-    if (luck < 0.06)
+  /// How an attempt at a responsive endpoint ends, from a uniform draw between 0 and 1.
+  static AttemptStatus status_of(double outcome) {
+    if (outcome < 0.06)
       return AttemptStatus::Error;
-    if (luck < 0.09)
+    if (outcome < 0.09)
       return AttemptStatus::Rejected;
-    if (luck < 0.12)
+    if (outcome < 0.12)
       return AttemptStatus::Reset;
-    return luck <= 0.15 ? AttemptStatus::ConnectFailed : AttemptStatus::Ok;
+    return outcome <= 0.15 ? AttemptStatus::ConnectFailed : AttemptStatus::Ok;
   }
 
   void start_attempt(proxy::AttemptId attempt, EndpointId endpoint, proxy::ClientCall&,
                      Nanos deadline) override {
-    const double luck = draw();
+    const double outcome = draw();
     in_flight_.insert(attempt);
     const Nanos duration = static_cast<Nanos>(10 + random_() % 60) * kMillisecond;
     const SimulatedEndpoint* target = find(endpoint);
-    const bool times_out = target != nullptr && (target->is_silent || luck < 0.03);
+    const bool times_out = target != nullptr && (target->is_silent || outcome < 0.03);
     const Nanos end = times_out ? deadline : std::min(deadline, net::now() + duration);
-    virtual_time::schedule(end, [this, attempt, endpoint, luck, times_out] {
-      end_attempt(attempt, endpoint, luck, times_out);
+    virtual_time::schedule(end, [this, attempt, endpoint, outcome, times_out] {
+      end_attempt(attempt, endpoint, outcome, times_out);
     });
   }
 
-  void end_attempt(proxy::AttemptId attempt, EndpointId endpoint, double luck, bool times_out) {
+  void end_attempt(proxy::AttemptId attempt, EndpointId endpoint, double outcome, bool times_out) {
     if (in_flight_.erase(attempt) == 0)
       return;
     const SimulatedEndpoint* source = find(endpoint);
     proxy::UpstreamResponse response;
     if (source && times_out)
       response.status = AttemptStatus::Timeout;
-    else if (source && status_of(luck) == AttemptStatus::Ok)
+    else if (source && status_of(outcome) == AttemptStatus::Ok)
       response = make_response(*source);
     else
-      response.status = source ? status_of(luck) : AttemptStatus::ConnectFailed;
+      response.status = source ? status_of(outcome) : AttemptStatus::ConnectFailed;
     broker_->complete_attempt(attempt, response);
   }
 
@@ -340,7 +335,7 @@
     broker_->complete_attempt(attempt, response);
   }
 
-  void detach_call(proxy::AttemptId) override {}  // it is written and goes on
+  void detach_call(proxy::AttemptId) override {}  // the attempt is written and continues
 
   Random random_;
   unsigned last_name_ = 0;
@@ -361,8 +356,8 @@
   std::size_t max_bytes = 0;
   for (int round = 0; round < rounds; ++round) {
     cluster.run_round();
-    std::printf("part %d: %zu asked, %zu blocks, %zu bytes, %zu steps pending\n", round,
-                cluster.requests, heap_blocks, heap_bytes, virtual_time::pending());
+    std::printf("round %d: %zu requests, %zu blocks, %zu bytes, %zu steps pending\n", round,
+                cluster.request_count, heap_blocks, heap_bytes, virtual_time::pending());
     if (round == 1) {
       first_blocks = heap_blocks;
       first_bytes = heap_bytes;
@@ -372,12 +367,15 @@
       max_bytes = std::max(max_bytes, heap_bytes);
     }
   }
-  std::printf("%zu unanswered, %zu answered twice; blocks %zu to %zu, bytes %zu to %zu\n",
-              cluster.unanswered, cluster.answered_twice, first_blocks, max_blocks, first_bytes,
-              max_bytes);
-  // Rounds are equal but for who is primary, which endpoints the last faults left silent, and how
-  // full the buckets of the hash tables are; a tenth more allows for these.
+  std::printf("%zu without a response, %zu with two; blocks %zu to %zu, bytes %zu to %zu\n",
+              cluster.requests_without_response, cluster.requests_with_two_responses, first_blocks,
+              max_blocks, first_bytes, max_bytes);
+  // Rounds differ only in the primaries, in the endpoints that the last faults left silent, and in
+  // the load factors of the hash tables; a tenth more allows for these.
   const bool has_grown =
       max_blocks > first_blocks + first_blocks / 10 || max_bytes > first_bytes + first_bytes / 10;
-  return cluster.unanswered > 0 || cluster.answered_twice > 0 || has_grown ? 1 : 0;
+  return cluster.requests_without_response > 0 || cluster.requests_with_two_responses > 0 ||
+                 has_grown
+             ? 1
+             : 0;
 }
