--- a/tests/fault_soak/stand_ins.h
+++ b/tests/fault_soak/fake_peers.h
@@ -1,7 +1,8 @@
-/// The world's stand-in endpoints and clients, and what it keeps of each gateway. Internal to it.
+/// The environment's stand-in endpoints and clients, and what it keeps of each gateway. Internal to
+/// it.
 #pragma once
 
-#include "world.h"
+#include "fault_soak_environment.h"
 
 #include <stdexcept>
 #include <utility>
@@ -14,11 +15,11 @@
 }
 
 /// One connection of a gateway to an endpoint.
-struct World::EndpointConnection : gorsebeam::net::Stream::Events,
-                                   std::enable_shared_from_this<EndpointConnection> {
-  EndpointConnection(World& the_world, Endpoint& owner, int gateway_index,
+struct FaultSoakEnvironment::EndpointConnection : gorsebeam::net::Stream::Events,
+                                                  std::enable_shared_from_this<EndpointConnection> {
+  EndpointConnection(FaultSoakEnvironment& the_environment, FakeEndpoint& owner, int gateway_index,
                      gorsebeam::net::SocketHandle socket)
-      : world(the_world), endpoint(owner), gateway(gateway_index),
+      : environment(the_environment), endpoint(owner), gateway(gateway_index),
         stream(gorsebeam::net::Stream::adopt(std::move(socket), *this)) {}
 
   void received() override;
@@ -35,22 +36,23 @@
     stream->close();
   }
 
-  World& world;
-  Endpoint& endpoint;
+  FaultSoakEnvironment& environment;
+  FakeEndpoint& endpoint;
   const int gateway;
   std::shared_ptr<gorsebeam::net::Stream> stream;
   std::string input;
   std::string request_id;  ///< In flight; empty: none.
-  bool is_greeted = false;
+  bool is_handshake_complete = false;
 };
 
-struct World::Endpoint {
-  Endpoint(World& the_world, int number) : world(the_world), index(number) {
-    for (int gateway = 0; gateway < world.settings_.gateways; ++gateway) {
+struct FaultSoakEnvironment::FakeEndpoint {
+  FakeEndpoint(FaultSoakEnvironment& the_environment, int number)
+      : environment(the_environment), index(number) {
+    for (int gateway = 0; gateway < environment.settings_.gateways; ++gateway) {
       listeners.push_back(std::make_unique<gorsebeam::net::Listener>(
           [this, gateway](gorsebeam::net::SocketHandle socket) {
-            connections.push_back(
-                std::make_shared<EndpointConnection>(world, *this, gateway, std::move(socket)));
+            connections.push_back(std::make_shared<EndpointConnection>(environment, *this, gateway,
+                                                                       std::move(socket)));
           }));
       if (const auto error = listeners.back()->listen("127.0.0.1:0"))
         throw std::runtime_error("an endpoint cannot listen: " + error->message);
@@ -70,7 +72,7 @@
     });
   }
 
-  World& world;
+  FaultSoakEnvironment& environment;
   const int index;
   std::vector<std::unique_ptr<gorsebeam::net::Listener>> listeners;  ///< By gateway.
   std::list<std::shared_ptr<EndpointConnection>> connections;
@@ -78,38 +80,38 @@
   std::int64_t started_at_ms = 0;
   bool is_primary = false;
   Millis hangs_until = 0;
-  Millis greets_late_until = 0;
+  Millis delays_handshakes_until = 0;
 };
 
 /// Sends one request after the other, and meets its connection's end.
-struct World::Client : gorsebeam::net::Stream::Events {
-  Client(World& the_world, Gateway& its_gateway);
+struct FaultSoakEnvironment::FakeClient : gorsebeam::net::Stream::Events {
+  FakeClient(FaultSoakEnvironment& the_environment, Gateway& its_gateway);
 
   void connect();
   void send_next();
   void send(const std::string& id);
-  void leave();
+  void disconnect();
   void received() override;
   void ended(const std::string&) override;
 
-  World& world;
+  FaultSoakEnvironment& environment;
   Gateway& gateway;
   std::shared_ptr<gorsebeam::net::Stream> stream;
   std::string input;
   std::string request_id;  ///< Sent and not answered; empty: none.
   test_harness::Request request;
   Millis deadline = 0;
-  bool is_resting = false;  ///< Of a crowd: sends nothing.
+  bool is_idle = false;  ///< Of a crowd: sends nothing.
 };
 
-struct World::Gateway {
+struct FaultSoakEnvironment::Gateway {
   int index = 0;
-  std::unique_ptr<Agent> agent;
+  std::unique_ptr<FakeDiscoveryAgent> agent;
   std::unique_ptr<GatewayProcess> process;
-  std::vector<std::unique_ptr<Client>> clients;
-  std::vector<std::string> told_phases;  ///< By endpoint, as the oracle has them.
-  bool is_stopped = false;               ///< By SIGSTOP.
-  bool is_ending = false;                ///< By SIGTERM or SIGKILL.
+  std::vector<std::unique_ptr<FakeClient>> clients;
+  std::vector<std::string> notified_phases;  ///< By endpoint, as the oracle has them.
+  bool is_stopped = false;                   ///< By SIGSTOP.
+  bool is_ending = false;                    ///< By SIGTERM or SIGKILL.
 };
 
 }  // namespace fault_soak
--- a/tests/fault_soak/faults.cpp
+++ b/tests/fault_soak/fault_injection.cpp
@@ -1,5 +1,5 @@
-// The faults that a world plays, each on a gateway or an endpoint that is drawn.
-#include "stand_ins.h"
+// The faults that the environment injects, each into a gateway or an endpoint that is drawn.
+#include "fake_peers.h"
 
 #include <algorithm>
 #include <csignal>
@@ -11,17 +11,17 @@
 
 }  // namespace
 
-World::Gateway& World::any_gateway() {
+FaultSoakEnvironment::Gateway& FaultSoakEnvironment::any_gateway() {
   return *gateways_[static_cast<std::size_t>(draw_fault(0, settings_.gateways - 1))];
 }
 
-void World::start_faults() {
+void FaultSoakEnvironment::start_faults() {
   after(kFirstFault, [this] {
-    play_fault();
+    inject_fault();
   });
 }
 
-void World::play_fault() {
+void FaultSoakEnvironment::inject_fault() {
   if (now_ms() - started_at_ > settings_.duration)
     return;
   switch (draw_fault(0, 11)) {
@@ -52,18 +52,18 @@
     reset_endpoint();
     break;
   case 10:
-    slow_greetings();
+    delay_handshakes();
     break;
   default:
-    crowd_clients();
+    flood_connections();
     break;
   }
   after(draw_fault(20, 250), [this] {
-    play_fault();
+    inject_fault();
   });
 }
 
-void World::pause_gateway() {
+void FaultSoakEnvironment::pause_gateway() {
   Gateway& gateway = any_gateway();
   if (gateway.is_stopped || gateway.is_ending || !gateway.process->is_ready())
     return;
@@ -79,7 +79,7 @@
   });
 }
 
-void World::terminate_gateway() {
+void FaultSoakEnvironment::terminate_gateway() {
   Gateway& gateway = any_gateway();
   if (gateway.is_stopped || gateway.is_ending || !gateway.process->is_ready())
     return;
@@ -89,7 +89,7 @@
   gateway.process->send_signal(SIGTERM);
 }
 
-void World::kill_gateway() {
+void FaultSoakEnvironment::kill_gateway() {
   Gateway& gateway = any_gateway();
   if (gateway.is_ending || !gateway.process->is_ready())
     return;
@@ -99,7 +99,7 @@
   gateway.process->send_signal(SIGKILL);
 }
 
-void World::reload_gateway() {
+void FaultSoakEnvironment::reload_gateway() {
   Gateway& gateway = any_gateway();
   if (gateway.is_ending || !gateway.process->is_ready() || !gateway.agent->is_serving())
     return;
@@ -109,7 +109,7 @@
   gateway.process->send_signal(SIGHUP);
 }
 
-void World::disturb_agent() {
+void FaultSoakEnvironment::disturb_agent() {
   Gateway& gateway = any_gateway();
   if (!gateway.agent->is_serving())
     return;
@@ -122,18 +122,19 @@
   const Millis length = draw_fault(300, 5000);
   log_fault(is_silent ? "agent silent" : "agent refuses",
             std::to_string(gateway.index) + " for " + std::to_string(length));
-  gateway.agent->set_state(is_silent ? Agent::State::Silent : Agent::State::Refusing);
+  gateway.agent->set_state(is_silent ? FakeDiscoveryAgent::State::Silent
+                                     : FakeDiscoveryAgent::State::Refusing);
   after(length, [&gateway] {
-    gateway.agent->set_state(Agent::State::Serving);
+    gateway.agent->set_state(FakeDiscoveryAgent::State::Serving);
   });
 }
 
 // At least three endpoints stay, so that there is always one to go to.
-void World::drain_endpoint() {
+void FaultSoakEnvironment::drain_endpoint() {
   const auto ready = std::count_if(endpoints_.begin(), endpoints_.end(), [](const auto& endpoint) {
     return endpoint->phase == "ready";
   });
-  Endpoint& endpoint =
+  FakeEndpoint& endpoint =
       *endpoints_[static_cast<std::size_t>(draw_fault(0, settings_.endpoints - 1))];
   if (ready <= 3 || endpoint.phase != "ready")
     return;
@@ -153,36 +154,36 @@
   });
 }
 
-void World::hang_endpoint() {
-  Endpoint& endpoint =
+void FaultSoakEnvironment::hang_endpoint() {
+  FakeEndpoint& endpoint =
       *endpoints_[static_cast<std::size_t>(draw_fault(0, settings_.endpoints - 1))];
   const Millis length = draw_fault(200, 2500);
   log_fault("hang", std::to_string(endpoint.index) + " for " + std::to_string(length));
   endpoint.hangs_until = now_ms() + length;
 }
 
-void World::reset_endpoint() {
-  Endpoint& endpoint =
+void FaultSoakEnvironment::reset_endpoint() {
+  FakeEndpoint& endpoint =
       *endpoints_[static_cast<std::size_t>(draw_fault(0, settings_.endpoints - 1))];
   log_fault("close connections", std::to_string(endpoint.index));
   endpoint.close_connections();
 }
 
-void World::slow_greetings() {
-  Endpoint& endpoint =
+void FaultSoakEnvironment::delay_handshakes() {
+  FakeEndpoint& endpoint =
       *endpoints_[static_cast<std::size_t>(draw_fault(0, settings_.endpoints - 1))];
   const Millis length = draw_fault(300, 2500);
-  log_fault("late greetings", std::to_string(endpoint.index) + " for " + std::to_string(length));
-  endpoint.greets_late_until = now_ms() + length;
+  log_fault("late handshakes", std::to_string(endpoint.index) + " for " + std::to_string(length));
+  endpoint.delays_handshakes_until = now_ms() + length;
 }
 
-void World::crowd_clients() {
+void FaultSoakEnvironment::flood_connections() {
   Gateway& gateway = any_gateway();
-  log_fault("crowd", std::to_string(gateway.index));
+  log_fault("connection flood", std::to_string(gateway.index));
   for (int i = 0; i < 60; ++i) {
-    crowd_.push_back(std::make_unique<Client>(*this, gateway));
-    crowd_.back()->is_resting = true;
-    crowd_.back()->connect();
+    flood_clients_.push_back(std::make_unique<FakeClient>(*this, gateway));
+    flood_clients_.back()->is_idle = true;
+    flood_clients_.back()->connect();
   }
 }
 
--- a/tests/fault_soak/world.cpp
+++ b/tests/fault_soak/fault_soak_environment.cpp
@@ -1,6 +1,6 @@
-#include "world.h"
+#include "fault_soak_environment.h"
 
-#include "stand_ins.h"
+#include "fake_peers.h"
 
 #include <algorithm>
 #include <csignal>
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-World::World(const SoakSettings& settings)
+FaultSoakEnvironment::FaultSoakEnvironment(const SoakSettings& settings)
     : settings_(settings), random_(settings.seed), fault_random_(~settings.seed),
       oracle_(kDeduplicationWindow) {
   std::string name = "/tmp/gorsebeam-fault-soak-XXXXXX";
@@ -30,14 +30,14 @@
     throw std::runtime_error("a temporary folder cannot be made");
   folder_ = name;
   for (int i = 0; i < settings_.endpoints; ++i)
-    endpoints_.push_back(std::make_unique<Endpoint>(*this, i));
+    endpoints_.push_back(std::make_unique<FakeEndpoint>(*this, i));
   endpoints_.front()->is_primary = true;
   for (int i = 0; i < settings_.gateways; ++i) {
     gateways_.push_back(std::make_unique<Gateway>());
     Gateway& gateway = *gateways_.back();
     gateway.index = i;
-    gateway.told_phases.assign(static_cast<std::size_t>(settings_.endpoints), "ready");
-    gateway.agent = std::make_unique<Agent>([this, &gateway] {
+    gateway.notified_phases.assign(static_cast<std::size_t>(settings_.endpoints), "ready");
+    gateway.agent = std::make_unique<FakeDiscoveryAgent>([this, &gateway] {
       notified(gateway);
     });
     ProcessSettings process;
@@ -56,31 +56,31 @@
           gateway_exited(gateway, status);
         });
     for (int c = 0; c < settings_.clients_per_gateway; ++c)
-      gateway.clients.push_back(std::make_unique<Client>(*this, gateway));
+      gateway.clients.push_back(std::make_unique<FakeClient>(*this, gateway));
   }
 }
 
-World::~World() {
+FaultSoakEnvironment::~FaultSoakEnvironment() {
   std::filesystem::remove_all(folder_);
 }
 
-const std::string& World::log_of(int gateway) const {
+const std::string& FaultSoakEnvironment::log_of(int gateway) const {
   return gateways_[static_cast<std::size_t>(gateway)]->process->log();
 }
 
-Millis World::draw(Millis low, Millis high) {
+Millis FaultSoakEnvironment::draw(Millis low, Millis high) {
   return std::uniform_int_distribution<Millis>(low, high)(random_);
 }
 
-bool World::chance(double probability) {
+bool FaultSoakEnvironment::draw_bool(double probability) {
   return std::bernoulli_distribution(probability)(random_);
 }
 
-Millis World::draw_fault(Millis low, Millis high) {
+Millis FaultSoakEnvironment::draw_fault(Millis low, Millis high) {
   return std::uniform_int_distribution<Millis>(low, high)(fault_random_);
 }
 
-void World::after(Millis delay, std::function<void()> action) {
+void FaultSoakEnvironment::after(Millis delay, std::function<void()> action) {
   timers_.push_back(nullptr);
   const auto place = std::prev(timers_.end());
   *place = std::make_unique<Timer>([this, place, action = std::move(action)] {
@@ -91,24 +91,24 @@
   (*place)->after(delay * kNanosPerMillisecond);
 }
 
-void World::log_fault(const std::string& name, const std::string& detail) {
+void FaultSoakEnvironment::log_fault(const std::string& name, const std::string& detail) {
   ++report_.faults[name];
   report_.fault_log.push_back(std::to_string(now_ms() - started_at_) + " " + name + " " + detail);
 }
 
-void World::start_gateway(Gateway& gateway) {
+void FaultSoakEnvironment::start_gateway(Gateway& gateway) {
   if (is_over_)
     return;
   gateway.is_ending = false;
   oracle_.gateway_started(gateway.index, now_ms());
-  gateway.told_phases.assign(gateway.told_phases.size(), "ready");
+  gateway.notified_phases.assign(gateway.notified_phases.size(), "ready");
   // What the agent has counts from the first moment of a process.
   if (gateway.agent->is_serving())
     notified(gateway);
   gateway.process->start(gateway.agent->address());
 }
 
-void World::gateway_ready(Gateway& gateway) {
+void FaultSoakEnvironment::gateway_ready(Gateway& gateway) {
   for (const auto& client : gateway.clients) {
     client->connect();
     after(draw(5, 200), [&client = *client] {
@@ -117,7 +117,7 @@
   }
 }
 
-void World::gateway_exited(Gateway& gateway, int status) {
+void FaultSoakEnvironment::gateway_exited(Gateway& gateway, int status) {
   const bool is_killed = WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL;
   const bool is_clean = WIFEXITED(status) && WEXITSTATUS(status) == 0;
   if (!gateway.is_ending || (!is_killed && !is_clean))
@@ -133,11 +133,11 @@
   });
 }
 
-// Only changes of what the oracle knows are told to it.
-void World::notified(const Gateway& gateway) {
-  auto& told = gateways_[static_cast<std::size_t>(gateway.index)]->told_phases;
+// The oracle is notified only of changes.
+void FaultSoakEnvironment::notified(const Gateway& gateway) {
+  auto& phases = gateways_[static_cast<std::size_t>(gateway.index)]->notified_phases;
   for (const auto& endpoint : endpoints_) {
-    std::string& phase = told[static_cast<std::size_t>(endpoint->index)];
+    std::string& phase = phases[static_cast<std::size_t>(endpoint->index)];
     if (phase == endpoint->phase)
       continue;
     phase = endpoint->phase;
@@ -145,7 +145,7 @@
   }
 }
 
-void World::publish() {
+void FaultSoakEnvironment::publish() {
   for (const auto& gateway : gateways_) {
     std::vector<ListedEndpoint> list;
     for (const auto& endpoint : endpoints_) {
@@ -160,7 +160,7 @@
   }
 }
 
-void World::elect_primary() {
+void FaultSoakEnvironment::elect_primary() {
   for (const auto& endpoint : endpoints_) {
     if (endpoint->phase != "ready")
       continue;
@@ -171,7 +171,7 @@
   }
 }
 
-void World::settle_attempts(const std::string& request_id) {
+void FaultSoakEnvironment::end_closed_attempts(const std::string& request_id) {
   for (const auto& endpoint : endpoints_) {
     endpoint->forget_closed();
     for (const auto& connection : endpoint->connections) {
@@ -181,7 +181,7 @@
   }
 }
 
-void World::run_loop_until(const std::function<bool()>& condition) {
+void FaultSoakEnvironment::run_loop_until(const std::function<bool()>& condition) {
   Timer wake([] {});
   while (!condition()) {
     wake.after(20 * kNanosPerMillisecond);
@@ -192,7 +192,7 @@
   }
 }
 
-SoakReport World::run() {
+SoakReport FaultSoakEnvironment::run() {
   publish();
   started_at_ = now_ms();
   for (const auto& gateway : gateways_)
@@ -204,11 +204,11 @@
   });
   started_at_ = now_ms();
   start_faults();
-  Millis last_turn = now_ms();
-  run_loop_until([this, &last_turn] {
+  Millis last_iteration_at = now_ms();
+  run_loop_until([this, &last_iteration_at] {
     const Millis now = now_ms();
-    report_.longest_turn = std::max(report_.longest_turn, now - last_turn);
-    last_turn = now;
+    report_.longest_iteration = std::max(report_.longest_iteration, now - last_iteration_at);
+    last_iteration_at = now;
     oracle_.check_overdue(now);
     return now - started_at_ > settings_.duration + kEndOfAnswers;
   });
@@ -216,7 +216,7 @@
   return report_;
 }
 
-void World::finish() {
+void FaultSoakEnvironment::finish() {
   is_over_ = true;
   for (const auto& gateway : gateways_) {
     gateway->is_ending = true;
--- a/tests/fault_soak/world.h
+++ b/tests/fault_soak/fault_soak_environment.h
@@ -38,16 +38,17 @@
   std::map<std::string, int> faults;
   std::size_t requests = 0;
   std::size_t attempts = 0;
-  std::map<std::string, int> answers;
-  Millis longest_turn = 0;  ///< Of the stand-ins' own loop: a run that was held up shows nothing.
+  std::map<std::string, int> result_counts;
+  Millis longest_iteration =
+      0;  ///< Of the stand-ins' own loop: a run that was held up shows nothing.
 };
 
-class World {
+class FaultSoakEnvironment {
 public:
-  explicit World(const SoakSettings& settings);
-  World(const World&) = delete;
-  World& operator=(const World&) = delete;
-  ~World();
+  explicit FaultSoakEnvironment(const SoakSettings& settings);
+  FaultSoakEnvironment(const FaultSoakEnvironment&) = delete;
+  FaultSoakEnvironment& operator=(const FaultSoakEnvironment&) = delete;
+  ~FaultSoakEnvironment();
 
   /// Plays the faults, then waits until all is answered, and ends the processes.
   [[nodiscard]] SoakReport run();
@@ -57,19 +58,19 @@
 
 private:
   struct EndpointConnection;
-  struct Endpoint;
-  struct Client;
+  struct FakeEndpoint;
+  struct FakeClient;
   struct Gateway;
 
   Millis draw(Millis low, Millis high);
   /// Faults have numbers of their own, so that traffic does not change which are drawn.
   Millis draw_fault(Millis low, Millis high);
-  bool chance(double probability);
+  bool draw_bool(double probability);
   void after(Millis delay, std::function<void()> action);
   void log_fault(const std::string& name, const std::string& detail);
 
   void start_faults();
-  void play_fault();
+  void inject_fault();
   void pause_gateway();
   void terminate_gateway();
   void kill_gateway();
@@ -78,8 +79,8 @@
   void drain_endpoint();
   void hang_endpoint();
   void reset_endpoint();
-  void slow_greetings();
-  void crowd_clients();
+  void delay_handshakes();
+  void flood_connections();
 
   Gateway& any_gateway();
   void gateway_ready(Gateway& gateway);
@@ -89,7 +90,7 @@
   void publish();
   void elect_primary();
   /// Has attempts whose connection is closed by now end before another one counts.
-  void settle_attempts(const std::string& request_id);
+  void end_closed_attempts(const std::string& request_id);
   void finish();
   static void run_loop_until(const std::function<bool()>& condition);
 
@@ -99,10 +100,10 @@
   Oracle oracle_;
   SoakReport report_;
   std::string folder_;
-  std::vector<std::unique_ptr<Endpoint>> endpoints_;
+  std::vector<std::unique_ptr<FakeEndpoint>> endpoints_;
   std::vector<std::unique_ptr<Gateway>> gateways_;
   std::list<std::unique_ptr<gorsebeam::net::Timer>> timers_;
-  std::vector<std::unique_ptr<Client>> crowd_;
+  std::vector<std::unique_ptr<FakeClient>> flood_clients_;
   Millis started_at_ = 0;
   int next_request_ = 0;
   bool is_over_ = false;
--- a/tests/fault_soak/gateway_under_test.cpp
+++ b/tests/fault_soak/gateway_under_test.cpp
@@ -36,9 +36,9 @@
   return g_get_monotonic_time() / 1000;
 }
 
-Agent::Agent(std::function<void()> on_notified)
+FakeDiscoveryAgent::FakeDiscoveryAgent(std::function<void()> on_notified)
     : on_notified_(std::move(on_notified)), heartbeat_([this] {
-        if (state_ == State::Serving && is_answered_ && watch_->open())
+        if (state_ == State::Serving && has_responded_ && watch_->open())
           write_chunk("\n");
         heartbeat_.after(kHeartbeatInterval);
       }) {
@@ -46,7 +46,7 @@
   heartbeat_.after(kHeartbeatInterval);
 }
 
-void Agent::listen(const std::string& address) {
+void FakeDiscoveryAgent::listen(const std::string& address) {
   listener_ = std::make_unique<Listener>([this](SocketHandle socket) {
     accept(std::move(socket));
   });
@@ -55,39 +55,39 @@
   listening_address_ = listener_->address();
 }
 
-void Agent::accept(SocketHandle socket) {
+void FakeDiscoveryAgent::accept(SocketHandle socket) {
   watch_descriptor_ = g_socket_get_fd(socket.get());
   watch_ = Stream::adopt(std::move(socket), *this);
-  is_answered_ = false;
+  has_responded_ = false;
 }
 
-void Agent::received() {
+void FakeDiscoveryAgent::received() {
   if (watch_->input().view().find("\r\n\r\n") == std::string_view::npos)
     return;
   watch_->input().consume(watch_->input().size());
   if (state_ == State::Serving)
-    answer();
+    respond_to_watch();
 }
 
-void Agent::answer() {
-  is_answered_ = true;
+void FakeDiscoveryAgent::respond_to_watch() {
+  has_responded_ = true;
   watch_->write({"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"});
-  tell();
+  send_list();
 }
 
-void Agent::tell() {
+void FakeDiscoveryAgent::send_list() {
   write_chunk(encode_list());
   on_notified_();
 }
 
-void Agent::write_chunk(const std::string& line) {
+void FakeDiscoveryAgent::write_chunk(const std::string& line) {
   std::ostringstream size;
   size << std::hex << line.size() << "\r\n";
   const std::string size_line = size.str();
   watch_->write({size_line, line, "\r\n"});
 }
 
-void Agent::set_state(State state) {
+void FakeDiscoveryAgent::set_state(State state) {
   const State previous = std::exchange(state_, state);
   if (state == State::Refusing && previous != State::Refusing) {
     reset_watch();
@@ -97,18 +97,18 @@
     listen(listening_address_);
   if (state != State::Serving || !watch_ || !watch_->open())
     return;
-  if (is_answered_)
-    tell();
+  if (has_responded_)
+    send_list();
 }
 
-void Agent::publish(const std::vector<ListedEndpoint>& endpoints) {
+void FakeDiscoveryAgent::publish(const std::vector<ListedEndpoint>& endpoints) {
   endpoints_ = endpoints;
   ++revision_;
-  if (state_ == State::Serving && watch_ && watch_->open() && is_answered_)
-    tell();
+  if (state_ == State::Serving && watch_ && watch_->open() && has_responded_)
+    send_list();
 }
 
-void Agent::reset_watch() {
+void FakeDiscoveryAgent::reset_watch() {
   if (!watch_ || !watch_->open())
     return;
   const linger reset_on_close{1, 0};
@@ -116,12 +116,12 @@
   watch_->close();
 }
 
-void Agent::move() {
+void FakeDiscoveryAgent::move() {
   listener_->close();
   listen("127.0.0.1:0");
 }
 
-std::string Agent::encode_list() const {
+std::string FakeDiscoveryAgent::encode_list() const {
   std::string text =
       "{\"revision\":" + std::to_string(revision_) + R"(,"complete":true,"members":[)";
   for (std::size_t i = 0; i < endpoints_.size(); ++i) {
--- a/tests/fault_soak/gateway_under_test.h
+++ b/tests/fault_soak/gateway_under_test.h
@@ -28,12 +28,12 @@
 };
 
 /// Serves the endpoint list at two addresses, one at a time; each holds the same.
-class Agent : gorsebeam::net::Stream::Events {
+class FakeDiscoveryAgent : gorsebeam::net::Stream::Events {
 public:
   enum class State { Serving, Silent, Refusing };
 
   /// `on_notified` runs whenever a list has been written to an open watch.
-  explicit Agent(std::function<void()> on_notified);
+  explicit FakeDiscoveryAgent(std::function<void()> on_notified);
 
   [[nodiscard]] const std::string& address() const { return listening_address_; }
 
@@ -55,8 +55,8 @@
 
   void accept(gorsebeam::net::SocketHandle socket);
   void listen(const std::string& address);
-  void answer();
-  void tell();
+  void respond_to_watch();
+  void send_list();
   void write_chunk(const std::string& line);
   [[nodiscard]] std::string encode_list() const;
 
@@ -65,7 +65,7 @@
   std::string listening_address_;
   std::shared_ptr<gorsebeam::net::Stream> watch_;
   int watch_descriptor_ = -1;
-  bool is_answered_ = false;  ///< The open watch has had the head of its answer.
+  bool has_responded_ = false;  ///< The open watch has had the head of its answer.
   std::vector<ListedEndpoint> endpoints_;
   int revision_ = 1;
   State state_ = State::Serving;
--- a/tests/fault_soak/main.cpp
+++ b/tests/fault_soak/main.cpp
@@ -3,7 +3,7 @@
 ///
 /// It runs by the wall clock, so that it is run by hand and not in CI. A run in which the stand-ins
 /// themselves were held up is void.
-#include "world.h"
+#include "fault_soak_environment.h"
 
 #include <cstdio>
 #include <exception>
@@ -17,7 +17,7 @@
 using fault_soak::SoakReport;
 using fault_soak::SoakSettings;
 
-constexpr fault_soak::Millis kMaxOwnTurn = 80;
+constexpr fault_soak::Millis kMaxOwnIteration = 80;
 
 struct Options {
   SoakSettings soak;
@@ -52,24 +52,24 @@
 void print(const SoakSettings& settings, const SoakReport& report) {
   std::printf("seed %llu: %zu requests, %zu attempts;",
               static_cast<unsigned long long>(settings.seed), report.requests, report.attempts);
-  for (const auto& [kind, count] : report.answers)
+  for (const auto& [kind, count] : report.result_counts)
     std::printf(" %s %d", kind.c_str(), count);
   std::printf("; faults:");
   for (const auto& [kind, count] : report.faults)
     std::printf(" %s %d", kind.c_str(), count);
-  std::printf("; longest own turn %lld ms; violations: %zu\n",
-              static_cast<long long>(report.longest_turn), report.violations.size());
+  std::printf("; longest own iteration %lld ms; violations: %zu\n",
+              static_cast<long long>(report.longest_iteration), report.violations.size());
   for (const fault_soak::Violation& violation : report.violations)
     std::printf("  %lld %s: %s\n", static_cast<long long>(violation.at), violation.rule.c_str(),
                 violation.detail.c_str());
 }
 
 void write_logs(const std::string& folder, const SoakSettings& settings,
-                const fault_soak::World& world, const SoakReport& report) {
+                const fault_soak::FaultSoakEnvironment& environment, const SoakReport& report) {
   const std::string place = folder + "/seed-" + std::to_string(settings.seed);
   std::filesystem::create_directories(place);
   for (int i = 0; i < settings.gateways; ++i)
-    std::ofstream(place + "/n" + std::to_string(i) + ".log") << world.log_of(i);
+    std::ofstream(place + "/n" + std::to_string(i) + ".log") << environment.log_of(i);
   std::ofstream faults(place + "/faults.txt");
   for (const std::string& line : report.fault_log)
     faults << line << '\n';
@@ -80,12 +80,12 @@
   int void_runs = 0;
   for (int i = 0; i < options.seeds; ++i) {
     options.soak.seed = options.first_seed + static_cast<std::uint64_t>(i);
-    fault_soak::World world(options.soak);
-    const SoakReport report = world.run();
+    fault_soak::FaultSoakEnvironment environment(options.soak);
+    const SoakReport report = environment.run();
     print(options.soak, report);
     if (!options.logs.empty())
-      write_logs(options.logs, options.soak, world, report);
-    if (report.longest_turn > kMaxOwnTurn)
+      write_logs(options.logs, options.soak, environment, report);
+    if (report.longest_iteration > kMaxOwnIteration)
       ++void_runs;
     else if (!report.violations.empty())
       ++broken;
--- a/tests/fault_soak/oracle.cpp
+++ b/tests/fault_soak/oracle.cpp
@@ -43,19 +43,19 @@
   return total;
 }
 
-void Oracle::endpoint_notified(int gateway, int endpoint, bool is_leaving, Millis at) {
-  auto& leaving_since = gateways_[gateway].leaving_since;
-  if (is_leaving)
-    leaving_since.emplace(endpoint, at);
+void Oracle::endpoint_notified(int gateway, int endpoint, bool is_draining, Millis at) {
+  auto& draining_since = gateways_[gateway].draining_since;
+  if (is_draining)
+    draining_since.emplace(endpoint, at);
   else
-    leaving_since.erase(endpoint);
+    draining_since.erase(endpoint);
 }
 
 // A pause is no excuse: what was written to the gateway before it is known after it.
 void Oracle::check_endpoint(const Gateway& gateway, int gateway_index, int endpoint,
                             const std::string& what, Millis at) {
-  const auto found = gateway.leaving_since.find(endpoint);
-  if (found == gateway.leaving_since.end())
+  const auto found = gateway.draining_since.find(endpoint);
+  if (found == gateway.draining_since.end())
     return;
   const Millis late = at - found->second;
   if (late > kDrainGrace + kRecordSlack)
@@ -74,13 +74,13 @@
   request.deadline = deadline;
 }
 
-void Oracle::answer_received(const std::string& id, Millis at) {
+void Oracle::response_received(const std::string& id, Millis at) {
   const auto found = requests_.find(id);
   if (found == requests_.end())
     return report("unknown", "an answer to no request", at);
   Request& request = found->second;
   request.is_closed = true;
-  if (++request.answers > 1)
+  if (++request.response_count > 1)
     report("answers", "request " + id + " was answered twice", at);
   const Gateway& gateway = gateways_[request.gateway];
   const Millis paused = paused_between(gateway, request.sent_at, at);
@@ -91,9 +91,9 @@
            at);
 }
 
-void Oracle::client_left(const std::string& id, Millis at) {
+void Oracle::client_disconnected(const std::string& id, Millis at) {
   Request& request = requests_[id];
-  request.left_at = at;
+  request.disconnected_at = at;
   request.is_closed = true;
 }
 
@@ -125,10 +125,10 @@
   check_endpoint(gateway, request.gateway, endpoint, "request " + id, at);
   if (!request.in_flight.empty())
     report("duplicate", "two attempts of request " + id + " are in flight", at);
-  check_repeat(request, id, at);
-  if (request.left_at > 0 && at > request.left_at + kDisconnectGrace + kRecordSlack)
+  check_retry(request, id, at);
+  if (request.disconnected_at > 0 && at > request.disconnected_at + kDisconnectGrace + kRecordSlack)
     report("lost",
-           "an attempt of request " + id + ", " + std::to_string(at - request.left_at) +
+           "an attempt of request " + id + ", " + std::to_string(at - request.disconnected_at) +
                " ms after its client left",
            at);
   if (time_left > request.deadline - at + kDeadlineSlack + kRecordSlack)
@@ -140,7 +140,7 @@
   request.last_attempt_at = at;
 }
 
-void Oracle::check_repeat(const Request& request, const std::string& id, Millis at) {
+void Oracle::check_retry(const Request& request, const std::string& id, Millis at) {
   if (request.may_have_run_since == 0 || request.service_class == ServiceClass::Idempotent)
     return;
   if (request.service_class == ServiceClass::SingleShot)
--- a/tests/fault_soak/oracle.h
+++ b/tests/fault_soak/oracle.h
@@ -1,6 +1,6 @@
 /// Checks what clients, endpoints and agents saw of the gateways against the rules, by times.
 ///
-/// Pure: it is told what happened and when, in milliseconds of one monotonic clock. It knows
+/// Pure: it is notified what happened and when, in milliseconds of one monotonic clock. It knows
 /// nothing of why something happened; the gateways' logs serve for that.
 #pragma once
 
@@ -51,12 +51,12 @@
   void gateway_resumed(int gateway, Millis at);
 
   /// The gateway is notified of the endpoint's state, as its agent has written it.
-  void endpoint_notified(int gateway, int endpoint, bool is_leaving, Millis at);
+  void endpoint_notified(int gateway, int endpoint, bool is_draining, Millis at);
 
   void request_sent(int gateway, const std::string& id, ServiceClass service_class, Millis deadline,
                     Millis at);
-  void answer_received(const std::string& id, Millis at);
-  void client_left(const std::string& id, Millis at);
+  void response_received(const std::string& id, Millis at);
+  void client_disconnected(const std::string& id, Millis at);
   /// The gateway ended the connection under the request. Returns whether that may be forgiven as a
   /// close that crossed the request; the client sends it again then.
   [[nodiscard]] bool connection_ended(const std::string& id, Millis at);
@@ -79,7 +79,7 @@
     Millis started_at = 0;
     Millis terminated_at = 0;  ///< 0: not.
     std::vector<std::pair<Millis, Millis>> pauses;
-    std::map<int, Millis> leaving_since;  ///< By endpoint.
+    std::map<int, Millis> draining_since;  ///< By endpoint.
   };
 
   struct Request {
@@ -87,9 +87,9 @@
     ServiceClass service_class = ServiceClass::Idempotent;
     Millis sent_at = 0;
     Millis deadline = 0;
-    Millis left_at = 0;      ///< 0: the client stays.
-    bool is_closed = false;  ///< Answered, forgiven, or its gateway was killed.
-    int answers = 0;
+    Millis disconnected_at = 0;  ///< 0: the client stays.
+    bool is_closed = false;      ///< Answered, forgiven, or its gateway was killed.
+    int response_count = 0;
     std::set<int> in_flight;  ///< Endpoints.
     Millis may_have_run_since = 0;
     Millis last_attempt_at = 0;
@@ -98,7 +98,7 @@
   void report(const std::string& rule, const std::string& detail, Millis at);
   void check_endpoint(const Gateway& gateway, int gateway_index, int endpoint,
                       const std::string& what, Millis at);
-  void check_repeat(const Request& request, const std::string& id, Millis at);
+  void check_retry(const Request& request, const std::string& id, Millis at);
   [[nodiscard]] static Millis paused_between(const Gateway& gateway, Millis from, Millis to);
 
   const Millis deduplication_window_;
