--- a/tests/integration/discovery_agent.cpp
+++ b/tests/integration/discovery_agent.cpp
@@ -1,33 +1,18 @@
 #include "discovery_agent.h"
 
+#include "discovery_messages.h"
 #include "event_wait.h"
+#include "tcp_reset.h"
 #include "test_harness.h"
 
-#include <sstream>
-#include <sys/socket.h>
 #include <utility>
+#include <vector>
 
 namespace test_harness {
 
 using gorsebeam::net::SocketHandle;
 using gorsebeam::net::Stream;
 
-namespace {
-
-std::string encode_phase(ListedStatus status) {
-  switch (status) {
-  case ListedStatus::Draining:
-    return "draining";
-  case ListedStatus::Removed:
-    return "gone";
-  case ListedStatus::Up:
-    break;
-  }
-  return "ready";
-}
-
-}  // namespace
-
 DiscoveryAgent::DiscoveryAgent()
     : listener([this](SocketHandle socket) {
         received_request.clear();
@@ -45,23 +30,20 @@
 }
 
 void DiscoveryAgent::send_chunk(const std::string& line) {
-  std::ostringstream size;
-  size << std::hex << line.size() << "\r\n";
-  const std::string size_line = size.str();
-  stream->write({size_line, line, "\r\n"});
+  stream->write({encode_chunk(line)});
 }
 
 std::string DiscoveryAgent::encode_list(const GatewayHarness& harness, int revision) {
-  std::string text =
-      "{\"revision\":" + std::to_string(revision) + R"(,"complete":true,"members":[)";
+  std::vector<ListedEndpoint> list;
   for (const auto& endpoint : harness.endpoints) {
-    text += endpoint == harness.endpoints[0] ? "" : ",";
-    text += std::string(R"({"id":"s-0000000)") + endpoint->name.back() + R"(","host_port":")" +
-            endpoint->address + R"(","locality":"a","cell":0,"phase":")" +
-            encode_phase(endpoint->listed_status) + R"(","size":1.0,"up_since_ms":0,"part":")" +
-            (endpoint->listed_as_primary ? "master" : "replica") + "\"}";
+    ListedEndpoint listed;
+    listed.number = static_cast<std::size_t>(endpoint->name.back() - '0');
+    listed.address = endpoint->address;
+    listed.status = endpoint->listed_status;
+    listed.is_primary = endpoint->listed_as_primary;
+    list.push_back(listed);
   }
-  return text + "]}\n";
+  return encode_endpoint_list(revision, list);
 }
 
 void DiscoveryAgent::send_list(const GatewayHarness& harness, int revision) {
@@ -89,14 +71,11 @@
 
 void DiscoveryAgent::accept_watch() {
   await_watch_request();
-  stream->write({"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"});
+  stream->write({kWatchResponseHead});
 }
 
 void DiscoveryAgent::reset_connection() {
-  const linger reset_on_close{1, 0};
-  const int result =
-      setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
-  require(result == 0, "SO_LINGER cannot be set on the watch");
+  reset_on_close(descriptor_);
   stream->close();
 }
 
--- a/tests/integration/gateway_process.cpp
+++ b/tests/integration/gateway_process.cpp
@@ -1,16 +1,15 @@
 #include "gateway_process.h"
 
 #include "event_wait.h"
+#include "serve_process.h"
 
 #include <gtest/gtest.h>
 
-#include <array>
 #include <cstdio>
 #include <exception>
 #include <fcntl.h>
 #include <filesystem>
 #include <fstream>
-#include <glib-unix.h>
 #include <iterator>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -18,10 +17,6 @@
 namespace test_harness {
 namespace {
 
-std::string listener_prefix(const std::string& protocol_label) {
-  return "protocol=" + protocol_label + " address=";
-}
-
 int exit_status(int wait_status) {
   return WIFEXITED(wait_status) ? WEXITSTATUS(wait_status) : -1;
 }
@@ -52,15 +47,10 @@
     close(log_descriptor_);
   log.clear();
   exited_ = false;
-  const std::array<const char*, 7> arguments{
-      GORSEBEAM_PROGRAM,          "serve", "--config", config_path.c_str(), "--file",
-      operator_file_path.c_str(), nullptr};
-  const gboolean spawned = g_spawn_async_with_pipes(
-      nullptr, const_cast<gchar**>(arguments.data()), nullptr,
-      static_cast<GSpawnFlags>(G_SPAWN_DO_NOT_REAP_CHILD | G_SPAWN_STDOUT_TO_DEV_NULL), nullptr,
-      nullptr, &pid_, nullptr, nullptr, &log_descriptor_, nullptr);
-  require(spawned != FALSE, "the program cannot be started");
-  g_unix_set_fd_nonblocking(log_descriptor_, TRUE, nullptr);
+  const auto process = start_serve(GORSEBEAM_PROGRAM, config_path, operator_file_path);
+  require(process.has_value(), "the program cannot be started");
+  pid_ = process->pid;
+  log_descriptor_ = process->log_descriptor;
   g_child_watch_add(
       pid_,
       [](GPid, gint status, gpointer self) {
@@ -115,12 +105,7 @@
 }
 
 void GatewayProcess::read_log() {
-  std::array<char, 4096> buffer{};
-  ssize_t length = ::read(log_descriptor_, buffer.data(), buffer.size());
-  while (length > 0) {
-    log.append(buffer.data(), static_cast<std::size_t>(length));
-    length = ::read(log_descriptor_, buffer.data(), buffer.size());
-  }
+  append_available(log_descriptor_, log);
 }
 
 bool GatewayProcess::has_logged(const std::string& text, std::size_t from) {
--- /dev/null
+++ b/tests/integration/platform_config.cpp
@@ -0,0 +1,62 @@
+#include "platform_config.h"
+
+#include <functional>
+#include <sstream>
+
+namespace test_harness {
+namespace {
+
+using EncodeClass = std::function<std::string(const PlatformClass&)>;
+
+std::string join(const std::vector<PlatformClass>& classes, const EncodeClass& encode) {
+  std::string text;
+  for (const PlatformClass& platform_class : classes) {
+    if (!text.empty())
+      text += ',';
+    text += encode(platform_class);
+  }
+  return text;
+}
+
+std::string nanoseconds(int milliseconds) {
+  return std::to_string(milliseconds) + "000000";
+}
+
+std::string encode_class(const PlatformClass& platform_class) {
+  return R"({"name":")" + platform_class.name + R"(","aim":)" +
+         nanoseconds(platform_class.latency_objective_ms) + R"(,"give_up":)" +
+         nanoseconds(platform_class.deadline_ms) + R"(,"effect":")" + platform_class.effect +
+         R"(","group":"cell","window":)" + nanoseconds(platform_class.deduplication_window_ms) +
+         R"(,"worth":1,"late_worth":)" + platform_class.late_weight + "}";
+}
+
+std::string encode_read_level(const PlatformClass& platform_class) {
+  return '"' + platform_class.read_level + '"';
+}
+
+std::string encode_max_lag(const PlatformClass&) {
+  return "0";
+}
+
+}  // namespace
+
+std::string encode_platform_config(const PlatformConfig& config) {
+  std::ostringstream json;
+  json
+      << R"({"name":")" << config.name << R"(","listen":")" << config.listen_address
+      << R"(","discovery":")" << config.discovery_address << R"(","seed":")" << config.seed
+      << R"(","limits":{"cores":1.0,"memory_mb":192,"sockets":)" << config.max_sockets
+      << R"(},"known":{"revision":0,"complete":true,"members":[]},"settings":{"classes":[)"
+      << join(config.classes, encode_class) << R"(],"extra":{"read_level":[)"
+      << join(config.classes, encode_read_level) << R"(],"lag_allowed":[)"
+      << join(config.classes, encode_max_lag)
+      << R"(],"list_role":"static","token_mode":"kept","checks":"none","positions":true,"zero":0},)"
+      << R"("limits":{"probes":true,"send_cap":)" << kMaxAttempts << R"(,"dial_timeout":)"
+      << nanoseconds(config.connect_timeout_ms) << R"(,"keepalive":)"
+      << nanoseconds(config.keepalive_ms)
+      << R"(,"retry_after":true,"max_retry_after":2000000000},"obligations":{"cold_from":0.5,)"
+      << R"("drain_grace":250000000},"report":{"via":"answers","fields":["x0","x1"]},"tick":1000000}})";
+  return json.str();
+}
+
+}  // namespace test_harness
--- /dev/null
+++ b/tests/integration/platform_config.h
@@ -0,0 +1,37 @@
+/// The platform's JSON configuration of a gateway under test.
+#pragma once
+
+#include <string>
+#include <vector>
+
+namespace test_harness {
+
+/// A service class; the names are those of the configuration's values.
+struct PlatformClass {
+  std::string name;
+  std::string effect;      ///< `free`, `guarded` or `single_shot`.
+  std::string read_level;  ///< `eventual`, `causal` or `mutate`.
+  int latency_objective_ms = 2000;
+  int deadline_ms = 3000;
+  int deduplication_window_ms = 2000;
+  std::string late_weight = "0";  ///< A JSON number.
+};
+
+/// The settings in which tests differ; encode_platform_config() adds those that they share.
+struct PlatformConfig {
+  std::string name = "n0";
+  std::string seed = "8c1f";
+  std::string listen_address;
+  std::string discovery_address;
+  std::size_t max_sockets = 400;
+  int connect_timeout_ms = 250;
+  int keepalive_ms = 30'000;
+  std::vector<PlatformClass> classes;
+};
+
+/// At most this many attempts of a request: `send_cap` in the configuration.
+constexpr std::size_t kMaxAttempts = 6;
+
+[[nodiscard]] std::string encode_platform_config(const PlatformConfig& config);
+
+}  // namespace test_harness
--- a/tests/integration/stub_endpoint.h
+++ b/tests/integration/stub_endpoint.h
@@ -1,6 +1,7 @@
 /// A database endpoint on loopback that responds as the test's script says.
 #pragma once
 
+#include "listed_status.h"
 #include "protocol.h"
 
 #include "net/listener.h"
@@ -13,9 +14,6 @@
 
 class GatewayHarness;
 
-/// How the inventory or the discovery agent lists an endpoint.
-enum class ListedStatus { Up, Draining, Removed };
-
 /// Listens on an ephemeral port. The harness that it refers to must outlive it.
 class StubEndpoint {
 public:
--- a/tests/integration/test_harness.cpp
+++ b/tests/integration/test_harness.cpp
@@ -1,5 +1,7 @@
 #include "test_harness.h"
 
+#include "platform_config.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,16 +12,15 @@
 namespace test_harness {
 namespace {
 
-constexpr std::size_t kMaxAttempts = 6;  // `send_cap` in the platform's configuration
 constexpr const char* kUnusedDiscoveryAddress = "127.0.0.1:9";
 
-std::string encode_service_class(const PlatformSettings& settings, const char* name,
-                                 const char* effect) {
-  return std::string(R"({"name":")") + name + R"(","aim":)" +
-         std::to_string(settings.latency_objective_ms) + R"(000000,"give_up":)" +
-         std::to_string(settings.latency_objective_ms + 1000) + R"(000000,"effect":")" + effect +
-         R"(","group":"cell","window":)" + std::to_string(settings.deduplication_window_ms) +
-         R"(000000,"worth":1,"late_worth":0})";
+PlatformClass make_class(const PlatformSettings& settings, const char* name, const char* effect,
+                         const char* read_level) {
+  PlatformClass platform_class{name, effect, read_level};
+  platform_class.latency_objective_ms = settings.latency_objective_ms;
+  platform_class.deadline_ms = settings.latency_objective_ms + 1000;
+  platform_class.deduplication_window_ms = settings.deduplication_window_ms;
+  return platform_class;
 }
 
 void expect_attempts_allowed(const std::vector<const GatewayHarness::Attempt*>& attempts) {
@@ -44,22 +45,17 @@
 
 std::string write_platform_config(const std::string& folder, const std::string& discovery_address,
                                   const PlatformSettings& settings) {
+  PlatformConfig config;
+  config.listen_address = settings.listen_address;
+  config.discovery_address = discovery_address;
+  config.connect_timeout_ms = settings.connect_timeout_ms;
+  config.keepalive_ms = settings.keepalive_ms;
+  config.classes = {make_class(settings, "any", "free", "eventual"),
+                    make_class(settings, "session", "free", "causal"),
+                    make_class(settings, "save", "guarded", "mutate"),
+                    make_class(settings, "once", "single_shot", "mutate")};
   std::string path = folder + "/config.json";
-  std::ofstream(path)
-      << R"({"name":"n0","listen":")" << settings.listen_address << R"(","discovery":")"
-      << discovery_address
-      << R"(","seed":"8c1f","limits":{"cores":1.0,"memory_mb":192,"sockets":400},)"
-      << R"("known":{"revision":0,"complete":true,"members":[]},"settings":{"classes":[)"
-      << encode_service_class(settings, "any", "free") << ','
-      << encode_service_class(settings, "session", "free") << ','
-      << encode_service_class(settings, "save", "guarded") << ','
-      << encode_service_class(settings, "once", "single_shot")
-      << R"(],"extra":{"read_level":["eventual","causal","mutate","mutate"],"lag_allowed":[0,0,0,0],)"
-      << R"("list_role":"static","token_mode":"kept","checks":"none","positions":true,"zero":0},)"
-      << R"("limits":{"probes":true,"send_cap":6,"dial_timeout":)" << settings.connect_timeout_ms
-      << R"(000000,"keepalive":)" << settings.keepalive_ms << "000000,"
-      << R"("retry_after":true,"max_retry_after":2000000000},"obligations":{"cold_from":0.5,)"
-      << R"("drain_grace":250000000},"report":{"via":"answers","fields":["x0","x1"]},"tick":1000000}})";
+  std::ofstream(path) << encode_platform_config(config);
   return path;
 }
 
