--- a/src/connection_admission/connection_admission.cpp
+++ b/src/connection_admission/connection_admission.cpp
@@ -7,7 +7,6 @@
 namespace gorsebeam::connection_admission {
 namespace {
 
-constexpr Duration kMillisecond = 1ms;
 // The platform's clients may rely on 2 s while there is no shortage.
 constexpr Duration kMinIdleTime = 2050ms;
 constexpr Duration kMinUnusedTime = 200ms;
--- a/tests/integration/client_disconnects_test.cpp
+++ b/tests/integration/client_disconnects_test.cpp
@@ -18,10 +18,10 @@
 
   static void expect_drops_waiting_requests(std::size_t min_bytes, DisconnectKind kind) {
     WarmGateway warm(protocol(), 2, 8, long_connect_timeout());
-    warm.harness.hold_greetings();
+    warm.harness.pause_handshakes();
     const auto leaving = warm.harness.connect_client();
     leaving->write(encode_requests(min_bytes));
-    static_cast<void>(warm.harness.await_held_greeting());
+    static_cast<void>(warm.harness.await_paused_handshake());
     leaving->await_flushed();
 
     if (kind == DisconnectKind::ShutDownWriting) {
@@ -29,10 +29,10 @@
       leaving->await_close("the gateway to end its side");
     } else {
       leaving->close();
-      await_gateway_loop_turns(*warm.client, "u");
+      await_gateway_loop_iterations(*warm.client, "u");
     }
 
-    warm.harness.release_greetings();
+    warm.harness.resume_handshakes();
     expect_reads_served(*warm.client, "b", 12);
     ASSERT_EQ(warm.harness.attempt_count_with_prefix("left-"), 0);
     ASSERT_TRUE(leaving->responses.empty());
@@ -57,8 +57,8 @@
   }
 };
 
-// The gateway notices at once, and sends none of the client's requests, whatever lies behind the
-// first and however the client disconnects.
+// The gateway detects the disconnect at once and sends none of the client's requests, for any
+// number of bytes behind the first request and either kind of disconnect.
 TEST_P(ClientDisconnects, DropsRequestThatWaitsForConnection) {
   for (const std::size_t min_bytes : {0, 20'000, 300'000}) {
     for (const DisconnectKind kind : {DisconnectKind::Close, DisconnectKind::ShutDownWriting}) {
@@ -69,8 +69,8 @@
   }
 }
 
-// The request waits, before its first attempt or before a retry, as all endpoints drain. Once one
-// is up again, the request is not sent.
+// The request waits, before its first attempt or before a retry, because all endpoints drain. The
+// gateway does not send it when they are up again.
 TEST_P(ClientDisconnects, DropsRequestThatWaitsForEndpoint) {
   for (const bool was_attempted : {false, true}) {
     SCOPED_TRACE(was_attempted ? "before a retry" : "before the first attempt");
@@ -89,11 +89,11 @@
         endpoint->close_connections();
     else
       leaving->send_request(read_request("left-0"));
-    await_gateway_loop_turns(*warm.client, "u");
+    await_gateway_loop_iterations(*warm.client, "u");
     ASSERT_TRUE(leaving->responses.empty());
 
     leaving->close();
-    await_gateway_loop_turns(*warm.client, "v");
+    await_gateway_loop_iterations(*warm.client, "v");
 
     harness.set_listed_status(ListedStatus::Up);
     harness.publish_inventory();
@@ -101,32 +101,32 @@
     ASSERT_EQ(harness.attempt_count("left-0"), was_attempted ? 1 : 0);
     harness.sent_requests.erase("left-0");
     if (was_attempted)
-      harness.sent_requests["left-0"] = 0;  // it was sent, and gets no response
+      harness.sent_requests["left-0"] = 0;  // it was sent and gets no response
     harness.expect_invariants_and_running();
   }
 }
 
-// Nothing of theirs is sent, and the clients that come next find capacity.
+// The gateway sends none of their requests, and clients that connect later find capacity.
 TEST_P(ClientDisconnects, DropsRequestsOfBurstAndFreesCapacity) {
   WarmGateway warm(protocol(), 2, 8, long_connect_timeout());
   GatewayHarness& harness = warm.harness;
-  // Together the rounds have more clients than may connect.
+  // The rounds together have more clients than may be connected at the same time.
   for (int round = 0; round < 4; ++round) {
     const std::string round_suffix = std::to_string(round) + "-";
-    harness.hold_greetings();
+    harness.pause_handshakes();
     const auto burst = connect_burst(harness, round);
-    static_cast<void>(harness.await_held_greeting());
+    static_cast<void>(harness.await_paused_handshake());
     for (const auto& client : burst)
       client->await_flushed();
-    await_gateway_loop_turns(*warm.client, "u" + round_suffix);
+    await_gateway_loop_iterations(*warm.client, "u" + round_suffix);
     for (const auto& client : burst) {
       ASSERT_TRUE(client->responses.empty());
       ASSERT_FALSE(client->closed_by_gateway);
     }
     for (const auto& client : burst)
       client->close();
-    await_gateway_loop_turns(*warm.client, "v" + round_suffix);
-    harness.release_greetings();
+    await_gateway_loop_iterations(*warm.client, "v" + round_suffix);
+    harness.resume_handshakes();
     expect_reads_served(*warm.client, "b" + round_suffix, 12);
   }
   ASSERT_EQ(harness.attempt_count_with_prefix("left-"), 0);
--- a/tests/integration/gateway_integration_test.h
+++ b/tests/integration/gateway_integration_test.h
@@ -32,7 +32,20 @@
   std::unique_ptr<TestClient> client;
 };
 
-/// Settings under which no held greeting runs into the connect time-out.
+/// A running gateway that gets its endpoint list from a scripted discovery agent over a watch.
+struct WatchedGateway {
+  explicit WatchedGateway(const Protocol& protocol, const PlatformSettings& settings = {})
+      : harness(protocol, 3, 0) {
+    harness.set_platform_settings(settings);
+    harness.use_discovery(agent.listener.address());
+    harness.start();
+  }
+
+  GatewayHarness harness;
+  DiscoveryAgent agent;
+};
+
+/// Settings under which no paused handshake exceeds the connect timeout.
 inline PlatformSettings long_connect_timeout() {
   PlatformSettings settings;
   settings.connect_timeout_ms = 20'000;
--- a/tests/integration/inventory_files_test.cpp
+++ b/tests/integration/inventory_files_test.cpp
@@ -1,5 +1,5 @@
-// Inventories: a good one is loaded; a bad one ends the start with one message that names file,
-// line and field, before the program listens.
+// Inventories: a valid one is loaded; an invalid one prevents the start with one message that names
+// file, line and field, before the program listens.
 #include "test_harness.h"
 #include "text_file.h"
 
@@ -72,7 +72,7 @@
   ASSERT_EQ(rows[1].endpoint.group, 3);
 }
 
-TEST(InventoryFiles, LoadOrEndStartWithLineAndField) {
+TEST(InventoryFiles, LoadOrPreventStartWithLineAndField) {
   const std::string folder = make_temporary_folder();
   expect_csv_loads(folder);
   expect_yaml_loads(folder);
--- a/tests/integration/protocol.h
+++ b/tests/integration/protocol.h
@@ -1,4 +1,4 @@
-/// The wire formats of PostgreSQL and MongoDB as the stand-in clients and endpoints speak them.
+/// The wire formats of PostgreSQL and MongoDB, for test clients and stub endpoints.
 #pragma once
 
 #include <optional>
@@ -10,17 +10,17 @@
 /// What a stub endpoint does with a request.
 enum class ScriptedResponse {
   Succeed,
-  RejectNotPrimary,   ///< Refuses a write, as a replica does.
+  RejectNotPrimary,   ///< Rejects a write, as a replica does.
   Fail,               ///< Reports an internal error; the request may have run.
-  RejectOverloaded,   ///< Refuses for lack of capacity; the request did not run.
-  ResetConnection,    ///< Closes the connection in place of a response.
+  RejectOverloaded,   ///< Rejects for lack of capacity; the request did not run.
+  ResetConnection,    ///< Closes the connection instead of responding.
   NoResponse,         ///< Never responds.
   Garbage,            ///< Sends bytes that belong to no protocol.
   Truncated,          ///< Announces more bytes than it sends.
   OversizedLength,    ///< Announces a response of 3 GB.
-  Duplicate,          ///< Sends a second response right behind a good one.
-  MalformedReport,    ///< Sends a good response with an impossible load report and position.
-  UnboundedResponse,  ///< Sends well-formed bytes beyond the bound of a response.
+  Duplicate,          ///< Sends a second response right after a valid one.
+  MalformedReport,    ///< Sends a valid response with an impossible load report and position.
+  UnboundedResponse,  ///< Sends well-formed bytes beyond the size limit of a response.
 };
 
 /// How a request ended for its client.
@@ -54,26 +54,36 @@
   int lag_ms = 0;  ///< How far its replication position lies behind the present.
 };
 
-/// Encodes and decodes one wire protocol on the stand-ins' side.
+/// A response as its client reads it.
+struct ClientResponse {
+  ClientResult result = ClientResult::Served;
+  std::optional<std::string> value;
+};
+
+/// A message of the gateway as an endpoint reads it.
+struct EndpointMessage {
+  std::optional<Request> request;  ///< None for a handshake or health check.
+  std::string reply;               ///< To a handshake or health check; empty for a request.
+};
+
+/// Encodes and decodes one wire protocol as clients and endpoints of the gateway do.
 class Protocol {
 public:
   virtual ~Protocol() = default;
   /// `postgres` or `mongo`, as test names show it.
   [[nodiscard]] virtual const char* name() const = 0;
-  [[nodiscard]] virtual std::string client_greeting() const = 0;
+  [[nodiscard]] virtual std::string client_handshake() const = 0;
   [[nodiscard]] virtual std::string encode_request(const Request& request) const = 0;
-  /// Removes one response from `input`, and sets `value` from it; nothing while it is incomplete.
-  virtual std::optional<ClientResult> decode_response(std::string& input,
-                                                      std::string& value) const = 0;
-  /// Removes one message from `input`; false while it is incomplete. Sets `request` if the message
-  /// is a client's request, else `reply` to the response to a greeting or health check.
-  virtual bool decode_endpoint_message(std::string& input, const ReplicationStatus& replication,
-                                       std::optional<Request>& request,
-                                       std::string& reply) const = 0;
+  /// Removes one response from `input`; none while it is incomplete.
+  virtual std::optional<ClientResponse> decode_response(std::string& input) const = 0;
+  /// Removes one message from `input`; none while it is incomplete. The reply to a health check
+  /// reports `replication`.
+  virtual std::optional<EndpointMessage>
+  decode_endpoint_message(std::string& input, const ReplicationStatus& replication) const = 0;
   [[nodiscard]] virtual std::string encode_response(ScriptedResponse response,
                                                     const ReplicationStatus& replication,
                                                     const std::string& value) const = 0;
-  /// A complete message that no request asked for.
+  /// A complete message that belongs to no request.
   [[nodiscard]] virtual std::string encode_unsolicited_message() const = 0;
 };
 
--- a/tests/integration/stub_endpoint.h
+++ b/tests/integration/stub_endpoint.h
@@ -1,6 +1,7 @@
-/// A stand-in database endpoint on loopback that responds as the test's script says.
+/// A database endpoint on loopback that responds as the test's script says.
 #pragma once
 
+#include "listed_status.h"
 #include "protocol.h"
 
 #include "net/listener.h"
@@ -13,9 +14,6 @@
 
 class GatewayHarness;
 
-/// How the inventory or the discovery agent lists an endpoint.
-enum class ListedStatus { Up, Draining, Removed };
-
 /// Listens on an ephemeral port. The harness that it refers to must outlive it.
 class StubEndpoint {
 public:
@@ -23,15 +21,15 @@
   StubEndpoint(const StubEndpoint&) = delete;
   StubEndpoint& operator=(const StubEndpoint&) = delete;
 
-  [[nodiscard]] std::size_t held_greeting_count() const;
-  /// Sends the held greetings; no greeting is held from then on.
-  void release_greetings();
+  [[nodiscard]] std::size_t paused_handshake_count() const;
+  /// Sends the paused handshake replies; no handshake is paused from then on.
+  void resume_handshakes();
   [[nodiscard]] int open_connection_count() const;
-  /// Sends `response` to each request that has had none.
+  /// Sends `response` to each request that has no response yet.
   void respond_to_open_attempts(ScriptedResponse response = ScriptedResponse::Succeed);
-  /// Sends `bytes` on each open connection though nothing asked for them.
+  /// Sends `bytes` on each open connection without a request.
   void send_unsolicited(const std::string& bytes);
-  /// Closes the open connections and goes on listening.
+  /// Closes the open connections and keeps listening.
   void close_connections();
   /// Closes the open connections and refuses new ones.
   void shut_down();
@@ -42,11 +40,11 @@
   bool listed_as_primary;
   ReplicationStatus replication;
   int request_count = 0;
-  int health_check_count = 0;       ///< Without the greetings that open connections.
+  int health_check_count = 0;       ///< Without the handshakes that open connections.
   std::size_t min_value_bytes = 0;  ///< Values are padded to this length.
-  bool holds_greetings = false;     ///< New connections get no greeting until they are released.
-  int idle_reset_ms = 0;            ///< Resets a connection at the first message after so long an
-                                    ///< idle time; 0: never.
+  bool pauses_handshakes = false;   ///< No new connection gets a handshake reply meanwhile.
+  int idle_reset_ms = 0;            ///< Resets a connection at the first message after this idle
+                                    ///< time; 0: never.
   int idle_reset_count = 0;
 
 private:
--- a/tests/integration/test_harness.cpp
+++ b/tests/integration/test_harness.cpp
@@ -1,5 +1,7 @@
 #include "test_harness.h"
 
+#include "platform_config.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,16 +12,15 @@
 namespace test_harness {
 namespace {
 
-constexpr std::size_t kMaxAttempts = 6;  // `send_cap` in the platform's configuration
 constexpr const char* kUnusedDiscoveryAddress = "127.0.0.1:9";
 
-std::string encode_service_class(const PlatformSettings& settings, const char* name,
-                                 const char* effect) {
-  return std::string(R"({"name":")") + name + R"(","aim":)" +
-         std::to_string(settings.latency_objective_ms) + R"(000000,"give_up":)" +
-         std::to_string(settings.latency_objective_ms + 1000) + R"(000000,"effect":")" + effect +
-         R"(","group":"cell","window":)" + std::to_string(settings.deduplication_window_ms) +
-         R"(000000,"worth":1,"late_worth":0})";
+PlatformClass make_class(const PlatformSettings& settings, const char* name, const char* effect,
+                         const char* read_level) {
+  PlatformClass platform_class{name, effect, read_level};
+  platform_class.latency_objective_ms = settings.latency_objective_ms;
+  platform_class.deadline_ms = settings.latency_objective_ms + 1000;
+  platform_class.deduplication_window_ms = settings.deduplication_window_ms;
+  return platform_class;
 }
 
 void expect_attempts_allowed(const std::vector<const GatewayHarness::Attempt*>& attempts) {
@@ -28,7 +29,7 @@
   for (const GatewayHarness::Attempt* attempt : attempts) {
     const bool is_last = attempt == attempts.back();
     ASSERT_TRUE(attempt->request.service_class != "once" || is_last || !attempt->may_have_run)
-        << "a single-shot write was repeated after an attempt that may have run";
+        << "a single-shot write was retried after an attempt that may have run";
     ASSERT_EQ(attempt->request.idempotency_key, first.idempotency_key);
     ASSERT_EQ(attempt->request.is_write, first.is_write);
   }
@@ -44,22 +45,17 @@
 
 std::string write_platform_config(const std::string& folder, const std::string& discovery_address,
                                   const PlatformSettings& settings) {
+  PlatformConfig config;
+  config.listen_address = settings.listen_address;
+  config.discovery_address = discovery_address;
+  config.connect_timeout_ms = settings.connect_timeout_ms;
+  config.keepalive_ms = settings.keepalive_ms;
+  config.classes = {make_class(settings, "any", "free", "eventual"),
+                    make_class(settings, "session", "free", "causal"),
+                    make_class(settings, "save", "guarded", "mutate"),
+                    make_class(settings, "once", "single_shot", "mutate")};
   std::string path = folder + "/config.json";
-  std::ofstream(path)
-      << R"({"name":"n0","listen":")" << settings.listen_address << R"(","discovery":")"
-      << discovery_address
-      << R"(","seed":"8c1f","limits":{"cores":1.0,"memory_mb":192,"sockets":400},)"
-      << R"("known":{"revision":0,"complete":true,"members":[]},"settings":{"classes":[)"
-      << encode_service_class(settings, "any", "free") << ','
-      << encode_service_class(settings, "session", "free") << ','
-      << encode_service_class(settings, "save", "guarded") << ','
-      << encode_service_class(settings, "once", "single_shot")
-      << R"(],"extra":{"read_level":["eventual","causal","mutate","mutate"],"lag_allowed":[0,0,0,0],)"
-      << R"("list_role":"static","token_mode":"kept","checks":"none","positions":true,"zero":0},)"
-      << R"("limits":{"probes":true,"send_cap":6,"dial_timeout":)" << settings.connect_timeout_ms
-      << R"(000000,"keepalive":)" << settings.keepalive_ms << "000000,"
-      << R"("retry_after":true,"max_retry_after":2000000000},"obligations":{"cold_from":0.5,)"
-      << R"("drain_grace":250000000},"report":{"via":"answers","fields":["x0","x1"]},"tick":1000000}})";
+  std::ofstream(path) << encode_platform_config(config);
   return path;
 }
 
@@ -148,33 +144,33 @@
 
 std::unique_ptr<TestClient> GatewayHarness::connect_client() {
   auto client = connect_silent_client();
-  client->write(protocol.client_greeting());
+  client->write(protocol.client_handshake());
   return client;
 }
 
-void GatewayHarness::hold_greetings() {
+void GatewayHarness::pause_handshakes() {
   for (const auto& endpoint : endpoints) {
-    endpoint->holds_greetings = true;
+    endpoint->pauses_handshakes = true;
     endpoint->close_connections();
   }
 }
 
-StubEndpoint& GatewayHarness::await_held_greeting() const {
+StubEndpoint& GatewayHarness::await_paused_handshake() const {
   StubEndpoint* found = nullptr;
   wait_until(
       [&] {
         for (const auto& endpoint : endpoints)
-          if (endpoint->held_greeting_count() > 0)
+          if (endpoint->paused_handshake_count() > 0)
             found = endpoint.get();
         return found != nullptr;
       },
-      "a connection whose greeting is held");
+      "a connection whose handshake is paused");
   return *found;
 }
 
-void GatewayHarness::release_greetings() {
+void GatewayHarness::resume_handshakes() {
   for (const auto& endpoint : endpoints)
-    endpoint->release_greetings();
+    endpoint->resume_handshakes();
 }
 
 void GatewayHarness::set_listed_status(ListedStatus status) {
@@ -248,7 +244,7 @@
   }
 }
 
-void await_gateway_loop_turns(TestClient& client, const std::string& id_prefix) {
+void await_gateway_loop_iterations(TestClient& client, const std::string& id_prefix) {
   for (int i = 0; i < 40; ++i) {
     const std::string id = id_prefix + std::to_string(i);
     ASSERT_EQ(client.send_and_await({id, "unheard-of", "", 2000, false, ""}), ClientResult::Failed);
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -12,8 +12,6 @@
 namespace gorsebeam::leases {
 namespace {
 
-constexpr Duration kMillisecond = 1ms;
-
 TEST(LeaseTable, AppliesGrantOnlyOverExpectedToken) {
   LeaseTable table;
 
--- a/tests/raft_test.cpp
+++ b/tests/raft_test.cpp
@@ -17,8 +17,6 @@
 namespace gorsebeam::raft {
 namespace {
 
-constexpr Duration kMillisecond = 1ms;
-
 /// Three nodes, a, b and c. Messages arrive at once, and writes finish at once, unless set
 /// otherwise.
 class RaftCluster {
--- a/tests/session_writes_test.cpp
+++ b/tests/session_writes_test.cpp
@@ -5,7 +5,6 @@
 namespace gorsebeam::session_tokens {
 namespace {
 
-constexpr Duration kMillisecond = 1ms;
 constexpr Duration kKnownAfter = 100ms;
 constexpr TimePoint kStart(1000s);
 constexpr std::uint64_t kSession = 7;
