--- a/src/connection_pool/pooled_connection.cpp
+++ b/src/connection_pool/pooled_connection.cpp
@@ -14,6 +14,10 @@
 constexpr std::size_t kMaxSmallResponse = 16 * 1024;
 constexpr Nanos kMaxKeepaliveMargin = 3'000'000'000;
 
+RequestKind request_kind(const PendingUse& use) {
+  return use.is_health_check ? RequestKind::HealthCheck : RequestKind::ClientRequest;
+}
+
 }  // namespace
 
 Nanos retirement_age(const PoolLimits& limits) {
@@ -135,51 +139,52 @@
 }
 
 void PooledConnection::read_greeting() {
-  std::size_t used = 0;
-  bool is_rejected = false;
-  const ParseStep step = protocol_->parse_handshake(stream_->input().view(), used, is_rejected);
-  if (step == ParseStep::More)
+  const HandshakeResult result = protocol_->parse_handshake(stream_->input().view());
+  switch (result.status) {
+  case HandshakeResult::Status::Incomplete:
     return;
-  if (is_rejected) {
+  case HandshakeResult::Status::Rejected:
     fail(AttemptStatus::Rejected);
     return;
-  }
-  if (step == ParseStep::Broken) {
+  case HandshakeResult::Status::Failed:
     fail(AttemptStatus::ConnectFailed);
     return;
+  case HandshakeResult::Status::Complete:
+    stream_->input().consume(result.consumed_bytes);
+    become_ready();
+    return;
   }
-  stream_->input().consume(used);
-  become_ready();
 }
 
 void PooledConnection::read_response() {
   const std::string_view input = stream_->input().view();
-  std::size_t used = 0;
-  proxy::UpstreamResponse response;
-  const ParseStep step =
-      protocol_->parse_response(input, false, use_.is_health_check, response, used);
+  const ParsedResponse parsed =
+      protocol_->parse_response(input, request_kind(use_), InputState::Open);
   const PoolLimits& limits = owner_.limits();
   const bool has_memory =
       net::total_buffered_bytes() <= limits.buffered || input.size() <= kMaxSmallResponse;
   // The bound holds for a complete response too, so that it does not matter in how many reads it
   // arrived.
-  const std::size_t size = step == ParseStep::Done ? used : input.size();
+  const bool is_complete = parsed.status == ParsedResponse::Status::Complete;
+  const std::size_t size = is_complete ? parsed.consumed_bytes : input.size();
   const bool fits = size <= limits.answer_bytes;
-  if (step == ParseStep::More && fits && has_memory) {
+  if (parsed.status == ParsedResponse::Status::Incomplete && fits && has_memory) {
     // A response whose length field is wrong would never end: one that began and does not go on is
     // an error.
     response_started_ = true;
     timer_.at(std::min(use_.deadline, net::now() + kMaxResponseGap));
     return;
   }
-  if (step != ParseStep::Done || !fits) {
+  if (!is_complete || !fits) {
     net::log({"malformed_response", {{"endpoint", std::to_string(endpoint_)}}});
     fail(AttemptStatus::Error);  // the request was sent whole, so it may have run
     return;
   }
   // After a response to a request that was not yet sent whole the connection is of no further use.
-  const bool is_reusable = state_ == State::AwaitingResponse && input.size() == used;
-  complete_use(response, is_reusable ? AfterUse::Keep : AfterUse::Close, used);
+  const bool is_reusable =
+      state_ == State::AwaitingResponse && input.size() == parsed.consumed_bytes;
+  complete_use(parsed.response, is_reusable ? AfterUse::Keep : AfterUse::Close,
+               parsed.consumed_bytes);
 }
 
 void PooledConnection::ended(const std::string&) {
@@ -191,12 +196,10 @@
     complete_use(response_with(AttemptStatus::ConnectFailed), AfterUse::Broken);
     return;
   }
-  proxy::UpstreamResponse response;
-  std::size_t used = 0;
-  const std::string_view input = stream_->input().view();
-  if (protocol_->parse_response(input, true, use_.is_health_check, response, used) ==
-      ParseStep::Done)
-    complete_use(response, AfterUse::Close);
+  const ParsedResponse parsed =
+      protocol_->parse_response(stream_->input().view(), request_kind(use_), InputState::Ended);
+  if (parsed.status == ParsedResponse::Status::Complete)
+    complete_use(parsed.response, AfterUse::Close);
   else
     complete_use(response_with(AttemptStatus::Reset), AfterUse::Broken);
 }
--- a/src/connection_pool/upstream_protocol.h
+++ b/src/connection_pool/upstream_protocol.h
@@ -1,5 +1,5 @@
-/// The protocol of one connection to an endpoint: how it is opened, how a request is framed, what a
-/// response says.
+/// The protocol of one connection to an endpoint: its handshake, the framing of requests, and what
+/// a response says.
 #pragma once
 
 #include "proxy/interfaces.h"
@@ -11,11 +11,36 @@
 
 namespace gorsebeam::connection_pool {
 
-/// How far a message was read.
-enum class ParseStep {
-  More,    ///< It is not complete; call again with more bytes.
-  Done,    ///< It is complete.
-  Broken,  ///< It does not follow the protocol.
+/// What was sent, to which a response is awaited.
+enum class RequestKind { ClientRequest, HealthCheck };
+
+/// Whether more bytes can arrive on a connection.
+enum class InputState { Open, Ended };
+
+/// How far an endpoint's response to the handshake was read.
+struct HandshakeResult {
+  enum class Status {
+    Incomplete,  ///< Call again with more bytes.
+    Complete,    ///< The connection is ready for requests.
+    Rejected,    ///< The endpoint has no capacity for another connection.
+    Failed,      ///< Another error of the endpoint, or bytes that do not follow the protocol.
+  };
+
+  Status status = Status::Incomplete;
+  std::size_t consumed_bytes = 0;  ///< With `Complete`: the size of the response.
+};
+
+/// How far a response was read.
+struct ParsedResponse {
+  enum class Status {
+    Incomplete,  ///< Call again with more bytes.
+    Complete,
+    Malformed,  ///< The bytes do not follow the protocol.
+  };
+
+  Status status = Status::Incomplete;
+  std::size_t consumed_bytes = 0;    ///< With `Complete`: the size of the response.
+  proxy::UpstreamResponse response;  ///< With `Complete`; borrows from the parsed bytes.
 };
 
 /// Translates between the pool and a wire protocol; performs no I/O. A connection owns one and
@@ -27,11 +52,8 @@
   /// The first bytes on a new connection; empty if it is ready as soon as it is connected.
   virtual std::string handshake_message() = 0;
 
-  /// Reads the endpoint's response to the handshake from its first byte on. With `Done`,
-  /// `consumed_bytes` is its size and the connection is ready, or `is_rejected` is set: the
-  /// endpoint rejected it.
-  virtual ParseStep parse_handshake(std::string_view in, std::size_t& consumed_bytes,
-                                    bool& is_rejected) = 0;
+  /// Reads the endpoint's response to the handshake from its first byte on.
+  virtual HandshakeResult parse_handshake(std::string_view in) = 0;
 
   /// Frames a request body; the parts are valid until the next call of this object.
   virtual proxy::Parts frame_request(const proxy::Parts& body) = 0;
@@ -39,12 +61,9 @@
   /// The message of a health check; valid until the next call of this object.
   virtual proxy::Parts health_check_message() = 0;
 
-  /// Reads a response, to a health check if `is_health_check`, from its first byte on. `ended`: no
-  /// more bytes will arrive. With `Done`, `consumed_bytes` is its size and `response` its meaning,
-  /// which borrows from `in`. `Broken`: it is no response at all.
-  virtual ParseStep parse_response(std::string_view in, bool ended, bool is_health_check,
-                                   proxy::UpstreamResponse& response,
-                                   std::size_t& consumed_bytes) = 0;
+  /// Reads the response to a request of `kind` from its first byte on.
+  virtual ParsedResponse parse_response(std::string_view in, RequestKind kind,
+                                        InputState input) = 0;
 };
 
 /// Makes the protocol of a new connection.
--- a/src/mongo/codec.cpp
+++ b/src/mongo/codec.cpp
@@ -3,80 +3,119 @@
 namespace gorsebeam::mongo {
 namespace {
 
-using wire::Framing;
+using wire::FramingError;
 
-constexpr std::uint32_t kRequiredFlags = 0xffffU;  // a receiver must know each of them
-constexpr std::uint32_t kAwaitCapable = 8;         // a flag of OP_REPLY
+constexpr std::uint32_t kRequiredFlags = 0xffffU;  // a receiver rejects those that it does not know
+constexpr std::uint32_t kKnownFlags = kChecksumPresent | kMoreToCome;
+constexpr std::uint32_t kAwaitCapable = 8;  // a flag of OP_REPLY
 constexpr std::size_t kFlagsSize = 4;
 constexpr std::size_t kChecksumSize = 4;
 constexpr std::size_t kLengthSize = 4;
 constexpr std::size_t kSkipAndReturnSize = 8;  // numberToSkip and numberToReturn
-constexpr std::size_t kReplyHeadSize = 20;
+constexpr std::size_t kReplyFieldsSize = 20;   // the fields of OP_REPLY before its documents
 constexpr char kBodySection = 0;
 constexpr char kDocumentSequenceSection = 1;
 
-/// Whether the content of a section of kind 1 is a name and complete documents.
+/// Whether `in` begins with a whole document; `size` is what its length field says.
+bool is_document_size(std::string_view in, std::size_t size) {
+  return size >= kMinDocumentSize && size <= in.size();
+}
+
+/// The well-formed document at the front of `in`; nothing if there is none.
+std::optional<std::string_view> read_document(std::string_view in) {
+  if (in.size() < kMinDocumentSize)
+    return std::nullopt;
+  const std::size_t size = read_u32(in.data());
+  if (!is_document_size(in, size) || !is_well_formed(in.substr(0, size)))
+    return std::nullopt;
+  return in.substr(0, size);
+}
+
+/// Whether the content of a section of kind 1 is a name and well-formed documents.
 bool is_document_sequence(std::string_view content) {
   const std::size_t name_end = content.find('\0');
   if (name_end == std::string_view::npos)
     return false;
   content.remove_prefix(name_end + 1);
   while (!content.empty()) {
-    const std::size_t size = content.size() < kMinDocumentSize ? 0 : read_u32(content.data());
-    if (size < kMinDocumentSize || size > content.size() ||
-        !is_well_formed(content.substr(0, size)))
+    const std::optional<std::string_view> document = read_document(content);
+    if (!document)
       return false;
-    content.remove_prefix(size);
+    content.remove_prefix(document->size());
   }
   return true;
 }
 
-/// Reads the section at `offset` of `message.sections`; returns its size, with its kind, or nothing
-/// where it is malformed.
-std::optional<std::size_t> read_section(std::size_t offset, OpMsg& message) {
-  const char kind = message.sections[offset];
-  const std::string_view rest = message.sections.substr(offset + 1);
+/// One section of an OP_MSG.
+struct Section {
+  char kind = kBodySection;
+  std::string_view content;  ///< A document, or the length field, name and documents of a sequence.
+};
+
+/// Reads the section at the front of `sections`; nothing if its kind is unknown or its length is
+/// out of bounds.
+std::optional<Section> read_section(std::string_view sections) {
+  const std::string_view rest = sections.substr(1);
   if (rest.size() < kMinDocumentSize)
     return std::nullopt;
   const std::size_t size = read_u32(rest.data());
-  if (size < kMinDocumentSize || size > rest.size())
+  if (!is_document_size(rest, size))
     return std::nullopt;
-  if (kind == kDocumentSequenceSection) {
-    if (!is_document_sequence(rest.substr(kLengthSize, size - kLengthSize)))
-      return std::nullopt;
-    return 1 + size;
-  }
-  if (kind != kBodySection || message.body.data() != nullptr)
+  const Section section{sections.front(), rest.substr(0, size)};
+  if (section.kind != kBodySection && section.kind != kDocumentSequenceSection)
     return std::nullopt;
-  message.body = rest.substr(0, size);
-  message.before = message.sections.substr(0, offset);
-  message.after = message.sections.substr(offset + 1 + size);
-  return 1 + size;
+  return section;
+}
+
+/// Fills the fields of `message` from its sections; returns false if they are malformed.
+bool split_sections(OpMsg& message) {
+  const std::string_view sections = message.sections;
+  std::size_t offset = 0;
+  while (offset < sections.size()) {
+    const std::optional<Section> section = read_section(sections.substr(offset));
+    if (!section)
+      return false;
+    const std::size_t end = offset + 1 + section->content.size();
+    if (section->kind == kDocumentSequenceSection) {
+      if (!is_document_sequence(section->content.substr(kLengthSize)))
+        return false;
+    } else {
+      const bool has_body = message.body.data() != nullptr;
+      if (has_body)
+        return false;
+      message.body = section->content;
+      message.sections_before = sections.substr(0, offset);
+      message.sections_after = sections.substr(end);
+    }
+    offset = end;
+  }
+  return message.body.data() != nullptr && is_well_formed(message.body);
 }
 
 }  // namespace
 
-Framing read_message(std::string_view in, std::size_t max_size, Message& message) {
+wire::Framed<Message> read_message(std::string_view in, std::size_t max_size) {
   if (in.size() < kHeaderSize)
-    return Framing::Incomplete;
+    return FramingError::Incomplete;
+  Message message;
   message.size = read_u32(in.data());
   message.request_id = read_u32(in.data() + 4);
   message.response_to = read_u32(in.data() + 8);
-  message.operation = read_u32(in.data() + 12);
+  message.opcode = static_cast<Opcode>(read_u32(in.data() + 12));
   if (message.size < kHeaderSize || message.size > max_size)
-    return Framing::Malformed;
+    return FramingError::Malformed;
   if (in.size() < message.size)
-    return Framing::Incomplete;
+    return FramingError::Incomplete;
   message.payload = in.substr(kHeaderSize, message.size - kHeaderSize);
-  return Framing::Complete;
+  return message;
 }
 
 std::optional<OpMsg> read_op_msg(std::string_view payload) {
-  OpMsg message;
   if (payload.size() < kFlagsSize)
     return std::nullopt;
+  OpMsg message;
   message.flags = read_u32(payload.data());
-  if ((message.flags & kRequiredFlags & ~(kChecksumPresent | kMoreToCome)) != 0)
+  if ((message.flags & kRequiredFlags & ~kKnownFlags) != 0)
     return std::nullopt;
   payload.remove_prefix(kFlagsSize);
   if ((message.flags & kChecksumPresent) != 0) {
@@ -85,14 +124,7 @@
     payload.remove_suffix(kChecksumSize);
   }
   message.sections = payload;
-  std::size_t offset = 0;
-  while (offset < payload.size()) {
-    const std::optional<std::size_t> size = read_section(offset, message);
-    if (!size)
-      return std::nullopt;
-    offset += *size;
-  }
-  if (message.body.data() == nullptr || !is_well_formed(message.body))
+  if (!split_sections(message))
     return std::nullopt;
   return message;
 }
@@ -101,37 +133,36 @@
   if (payload.size() < kFlagsSize)
     return std::nullopt;
   payload.remove_prefix(kFlagsSize);
-  const std::size_t name_end = payload.find('\0');
-  if (name_end == std::string_view::npos)
-    return std::nullopt;
-  const std::size_t head_size = name_end + 1 + kSkipAndReturnSize;
-  if (payload.size() < head_size + kMinDocumentSize)
+  const std::size_t collection_end = payload.find('\0');
+  if (collection_end == std::string_view::npos)
     return std::nullopt;
-  payload.remove_prefix(head_size);
-  const std::size_t size = read_u32(payload.data());
-  if (size < kMinDocumentSize || size > payload.size() || !is_well_formed(payload.substr(0, size)))
+  const std::size_t document_offset = collection_end + 1 + kSkipAndReturnSize;
+  if (payload.size() < document_offset)
     return std::nullopt;
-  return payload.substr(0, size);
+  return read_document(payload.substr(document_offset));
 }
 
 std::string encode_header(std::size_t payload_size, std::uint32_t request_id,
-                          std::uint32_t response_to, std::uint32_t operation) {
+                          std::uint32_t response_to, Opcode opcode) {
   return encode_u32(static_cast<std::uint32_t>(kHeaderSize + payload_size)) +
-         encode_u32(request_id) + encode_u32(response_to) + encode_u32(operation);
+         encode_u32(request_id) + encode_u32(response_to) +
+         encode_u32(static_cast<std::uint32_t>(opcode));
 }
 
 std::string encode_op_msg(const std::string& document, std::uint32_t request_id,
                           std::uint32_t response_to) {
-  return encode_header(kFlagsSize + 1 + document.size(), request_id, response_to, kOpMsg) +
-         encode_u32(0) + kBodySection + document;
+  const std::size_t payload_size = kFlagsSize + 1 + document.size();
+  return encode_header(payload_size, request_id, response_to, Opcode::Msg) + encode_u32(0) +
+         kBodySection + document;
 }
 
 std::string encode_op_reply(const std::string& document, std::uint32_t request_id,
                             std::uint32_t response_to) {
-  // Flags, a cursor of 64 bits, where it starts, and the number of documents.
-  return encode_header(kReplyHeadSize + document.size(), request_id, response_to, kOpReply) +
-         encode_u32(kAwaitCapable) + encode_u32(0) + encode_u32(0) + encode_u32(0) + encode_u32(1) +
-         document;
+  const std::string cursor_id(8, '\0');
+  const std::string starting_from = encode_u32(0);
+  const std::string document_count = encode_u32(1);
+  return encode_header(kReplyFieldsSize + document.size(), request_id, response_to, Opcode::Reply) +
+         encode_u32(kAwaitCapable) + cursor_id + starting_from + document_count + document;
 }
 
 }  // namespace gorsebeam::mongo
--- /dev/null
+++ b/src/mongo/error_code.h
@@ -0,0 +1,35 @@
+/// The error codes of MongoDB replies that the gateway sends or interprets.
+/// Source: the server's public list of error codes.
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+namespace gorsebeam::mongo {
+
+/// A received code need not be one of these.
+enum class ErrorCode : std::int32_t {
+  FailedToParse = 9,
+  Unauthorized = 13,
+  InvalidBson = 22,
+  CommandNotFound = 59,
+  NetworkTimeout = 89,
+  CommandNotSupported = 115,
+  SnapshotUnavailable = 246,
+  UnsupportedOpQueryCommand = 352,
+  IngressRequestRateLimitExceeded = 462,
+  NotWritablePrimary = 10107,
+  NotPrimaryNoSecondaryOk = 13435,
+  NotPrimaryOrSecondary = 13436,
+};
+
+/// The text of the field `codeName` in an error reply.
+const char* name_of(ErrorCode code);
+
+/// Why a command is rejected. Its connection continues.
+struct CommandError {
+  ErrorCode code;
+  std::string text;
+};
+
+}  // namespace gorsebeam::mongo
--- a/src/mongo/frontend.cpp
+++ b/src/mongo/frontend.cpp
@@ -2,6 +2,7 @@
 
 #include "codec.h"
 #include "command_comment.h"
+#include "error_code.h"
 
 #include "frontend/session_hash.h"
 
@@ -14,7 +15,7 @@
 namespace gorsebeam::mongo {
 namespace {
 
-using wire::Framing;
+using wire::FramingError;
 
 constexpr Nanos kMillisecond = 1'000'000;
 constexpr std::int64_t kMaxDeadlineMs = 3'600'000;
@@ -27,8 +28,6 @@
 constexpr std::int32_t kMaxWriteBatchSize = 1000;
 constexpr std::int32_t kLogicalSessionTimeoutMinutes = 30;
 
-constexpr const char* kRateLimitExceededName = "IngressRequestRateLimitExceeded";
-
 constexpr std::array kReadCommands{"find", "count", "distinct"};
 constexpr std::array kWriteCommands{"insert", "update", "delete", "findAndModify", "findandmodify"};
 constexpr std::array kHelloCommands{"hello", "isMaster", "ismaster"};
@@ -53,27 +52,20 @@
   return first.data() + first.size() == second.data();
 }
 
-/// Why a single command is rejected; the connection continues.
-struct CommandError {
-  std::int32_t code;
-  const char* name;
-  std::string text;
-};
-
 CommandError parse_error(const char* text) {
-  return {kFailedToParse, "FailedToParse", text};
+  return {ErrorCode::FailedToParse, text};
 }
 
 Writer error_reply(const CommandError& error) {
   return Writer()
       .append_double("ok", 0)
       .append_string("errmsg", error.text)
-      .append_int32("code", error.code)
-      .append_string("codeName", error.name);
+      .append_int32("code", static_cast<std::int32_t>(error.code))
+      .append_string("codeName", name_of(error.code));
 }
 
 Writer over_limit_reply() {
-  return error_reply({kRateLimitExceeded, kRateLimitExceededName, "too many connections"});
+  return error_reply({ErrorCode::IngressRequestRateLimitExceeded, "too many connections"});
 }
 
 /// The name under which a client introduces itself; nothing where it gives none.
@@ -120,9 +112,9 @@
   // read's $readPreference, as replicas serve only reads that allow it; and a checksum, as the
   // header is another.
   proxy::Parts body(Nanos left) override {
-    Message message;
-    read_message(stream_->input().view(), frontend_.limits().message_bytes, message);
-    const OpMsg op_msg = read_op_msg(message.payload).value_or(OpMsg{});
+    const wire::Framed<Message> message =
+        read_message(stream_->input().view(), frontend_.limits().message_bytes);
+    const OpMsg op_msg = message ? read_op_msg(message.value().payload).value_or(OpMsg{}) : OpMsg{};
     const proxy::Parts kept = kept_elements(op_msg.body);
     Writer added;
     added.append_int64("maxTimeMS", std::max<Nanos>(left / kMillisecond, 1));
@@ -135,17 +127,17 @@
     rewritten_ =
         encode_u32(0) + '\0' + encode_u32(static_cast<std::uint32_t>(size)) + added_elements + '\0';
     const std::string_view rewritten = rewritten_;
-    proxy::Parts parts{rewritten.substr(0, 4), op_msg.before, rewritten.substr(4, 5)};
+    proxy::Parts parts{rewritten.substr(0, 4), op_msg.sections_before, rewritten.substr(4, 5)};
     parts.insert(parts.end(), kept.begin(), kept.end());
     parts.push_back(rewritten.substr(9));
-    parts.push_back(op_msg.after);
+    parts.push_back(op_msg.sections_after);
     return parts;
   }
 
   void respond(const proxy::Parts& value) override {
     const std::size_t size = 4 + total_size(value);
     const std::string head =
-        encode_header(size, ++last_sent_id_, request_id_, kOpMsg) + encode_u32(0);
+        encode_header(size, ++last_sent_id_, request_id_, Opcode::Msg) + encode_u32(0);
     proxy::Parts parts{head};
     parts.insert(parts.end(), value.begin(), value.end());
     stream_->write(parts);
@@ -159,7 +151,7 @@
                                    .append_string("0", "RetryableWriteError")
                                    .append_string("1", "SystemOverloadedError")
                                    .finish();
-    Writer reply = error_reply({kRateLimitExceeded, kRateLimitExceededName, "refused: try again"});
+    Writer reply = error_reply({ErrorCode::IngressRequestRateLimitExceeded, "refused: try again"});
     reply.append_array("errorLabels", labels);
     if (retry_after > 0)
       reply.append_int64("retryAfterMS", retry_after / kMillisecond);
@@ -168,7 +160,7 @@
   }
 
   void fail() override {
-    send_reply(error_reply({kNetworkTimeout, "NetworkTimeout", "failed: the effect is not known"}));
+    send_reply(error_reply({ErrorCode::NetworkTimeout, "failed: the effect is not known"}));
     finish();
   }
 
@@ -190,7 +182,7 @@
   void send_closing_error(const char* reason) override { send_malformed_error(reason); }
 
   void send_malformed_error(const std::string& text) {
-    send_reply(error_reply({kInvalidBson, "InvalidBSON", text}));
+    send_reply(error_reply({ErrorCode::InvalidBson, text}));
     close_when_written(frontend::CloseReason::ErrorSent);
   }
 
@@ -210,23 +202,20 @@
   }
 
   void parse() override {
-    Message message;
-    switch (read_message(stream_->input().view(), frontend_.limits().message_bytes, message)) {
-    case Framing::Incomplete:
-      return;
-    case Framing::Malformed:
-      return send_malformed_error("a message is malformed or too long");
-    case Framing::Complete:
-      return handle_message(message);
-    }
+    const wire::Framed<Message> message =
+        read_message(stream_->input().view(), frontend_.limits().message_bytes);
+    if (message)
+      return handle_message(message.value());
+    if (message.error() == FramingError::Malformed)
+      send_malformed_error("a message is malformed or too long");
   }
 
   void handle_message(const Message& message) {
     request_id_ = message.request_id;
     message_size_ = message.size;
-    if (message.operation == kOpQuery)
+    if (message.opcode == Opcode::Query)
       return handle_query(message);
-    if (message.operation != kOpMsg)
+    if (message.opcode != Opcode::Msg)
       return send_malformed_error("only OP_MSG is served");
     const std::optional<OpMsg> op_msg = read_op_msg(message.payload);
     if (!op_msg)
@@ -246,7 +235,7 @@
     const Element first = Reader(*body).next().value_or(Element{});
     const Writer reply = is_one_of(first.name, kHelloCommands)
                              ? greet(*body)
-                             : error_reply({kUnsupportedOpQuery, "UnsupportedOpQueryCommand",
+                             : error_reply({ErrorCode::UnsupportedOpQueryCommand,
                                             "only a greeting may be an OP_QUERY"});
     stream_->write({encode_op_reply(reply.finish(), ++last_sent_id_, request_id_)});
     stream_->input().consume(message_size_);
@@ -314,8 +303,8 @@
 
   static CommandError unknown_command_error(const std::string& name) {
     if (is_one_of(name, kUnsupportedCommands))
-      return {kNotSupported, "CommandNotSupported", name + " is not served"};
-    return {kCommandNotFound, "CommandNotFound", "no such command: '" + name + "'"};
+      return {ErrorCode::CommandNotSupported, name + " is not served"};
+    return {ErrorCode::CommandNotFound, "no such command: '" + name + "'"};
   }
 
   std::optional<CommandError> begin_command(std::string_view command) {
@@ -323,7 +312,7 @@
     const auto request_class = contracts_.classes().find(comment.service_class);
     const std::optional<GroupId> group = parse_group(comment.group);
     if (find(command, "startTransaction") || find(command, "autocommit"))
-      return CommandError{kNotSupported, "CommandNotSupported", "transactions are not served"};
+      return CommandError{ErrorCode::CommandNotSupported, "transactions are not served"};
     if (comment.id.empty())
       return parse_error("the command's comment holds no id");
     if (request_class == contracts_.classes().end())
@@ -373,11 +362,10 @@
     }
     request.deadline = earliest_arrival() + allowed;
     if (!contracts_.has_team(team_))
-      return CommandError{kUnauthorized, "Unauthorized",
-                          "no contract with the team '" + team_ + "'"};
+      return CommandError{ErrorCode::Unauthorized, "no contract with the team '" + team_ + "'"};
     const auto decision = contracts_.admit(team_, now, request);
     if (decision != proxy::ContractEnforcer::Decision::Admitted)
-      return CommandError{kUnauthorized, "Unauthorized", proxy::describe(decision)};
+      return CommandError{ErrorCode::Unauthorized, proxy::describe(decision)};
     if (!begin_request(std::move(request), message_size_))
       return parse_error("a request with this id is open, or it is no fit id");
     return std::nullopt;
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -1,52 +1,54 @@
 #include "upstream_protocol.h"
 
 #include "codec.h"
+#include "error_code.h"
 
 namespace gorsebeam::mongo {
 namespace {
 
-using connection_pool::ParseStep;
+using connection_pool::HandshakeResult;
+using connection_pool::InputState;
+using connection_pool::ParsedResponse;
+using connection_pool::RequestKind;
 using proxy::UpstreamResponse;
-
-using wire::Framing;
+using wire::FramingError;
 
 constexpr std::size_t kMaxMessageSize = 1 << 20;
 constexpr Nanos kSecond = 1'000'000'000;
 constexpr Nanos kMillisecond = 1'000'000;
 constexpr std::int64_t kMaxUnixSeconds = 9'000'000'000;
 
+bool is_set(std::string_view document, const char* name) {
+  const auto element = find(document, name);
+  return element && to_bool(*element).value_or(false);
+}
+
 bool is_ok(std::string_view document) {
-  const auto ok = find(document, "ok");
-  return ok && to_bool(*ok).value_or(false);
+  return is_set(document, "ok");
 }
 
-std::int32_t code_of(std::string_view document) {
+ErrorCode error_code_of(std::string_view document) {
   const auto code = find(document, "code");
-  return code ? static_cast<std::int32_t>(to_integer(*code).value_or(0)) : 0;
+  return static_cast<ErrorCode>(code ? to_integer(*code).value_or(0) : 0);
 }
 
-/// The endpoint did not apply the command where the status is `Misdirected` (no primary, or too far
-/// behind) or `Rejected`.
-AttemptStatus status_of(std::int32_t code) {
+/// `Misdirected` (no primary, or too far behind) and `Rejected` mean that the endpoint did not
+/// apply the command.
+AttemptStatus status_for(ErrorCode code) {
   switch (code) {
-  case kNotWritablePrimary:
-  case kNotPrimaryNoSecondaryOk:
-  case kNotPrimaryOrSecondary:
-  case kSnapshotUnavailable:
+  case ErrorCode::NotWritablePrimary:
+  case ErrorCode::NotPrimaryNoSecondaryOk:
+  case ErrorCode::NotPrimaryOrSecondary:
+  case ErrorCode::SnapshotUnavailable:
     return AttemptStatus::Misdirected;
-  case kRateLimitExceeded:
+  case ErrorCode::IngressRequestRateLimitExceeded:
     return AttemptStatus::Rejected;
   default:
     return AttemptStatus::Error;
   }
 }
 
-bool is_set(std::string_view document, const char* name) {
-  const auto element = find(document, name);
-  return element && to_bool(*element).value_or(false);
-}
-
-/// The time of the last write that a hello reply reports; nothing where it reports none.
+/// The time of the last write that a hello reply reports; nothing if it reports none.
 std::optional<Nanos> last_write_date(std::string_view hello) {
   const auto last_write = find(hello, "lastWrite");
   if (!last_write || last_write->type != ElementType::Document)
@@ -58,149 +60,151 @@
   return *unix_ms * kMillisecond;
 }
 
-/// Reads the reply to a health check.
-void read_hello(std::string_view document, UpstreamResponse& response) {
+/// Interprets the reply to a health check.
+UpstreamResponse interpret_hello_reply(std::string_view document) {
+  UpstreamResponse response;
   const bool is_primary = is_set(document, "isWritablePrimary") || is_set(document, "ismaster");
   const bool is_replica = is_set(document, "secondary");
   if (!is_ok(document) || (!is_primary && !is_replica)) {
     response.status = AttemptStatus::Error;
-    return;
+    return response;
   }
   response.status = AttemptStatus::Ok;
   response.load_report.is_primary = is_primary;
-  if (const auto position = last_write_date(document))
-    response.load_report.replication_position = position;
+  response.load_report.replication_position = last_write_date(document);
+  return response;
 }
 
-// The seconds of operationTime are Unix time. The endpoint has applied all writes up to them; a
-// write's commit lies somewhere within that second, so a read that must see it needs the next one.
-// Otherwise a demoted primary could pass as more current than it is, and a session could read from
-// before its own write.
-void read_position(std::string_view document, UpstreamResponse& response) {
+/// The Unix time in a reply's operationTime; nothing if it is absent or out of range.
+std::optional<std::int64_t> operation_time_seconds(std::string_view document) {
   const auto element = find(document, "operationTime");
   const auto seconds = element ? to_timestamp_seconds(*element) : std::nullopt;
   if (!seconds || *seconds <= 0 || *seconds > kMaxUnixSeconds)
-    return;
-  response.replication_position = *seconds * kSecond;
-  response.commit_position = (*seconds + 1) * kSecond;
+    return std::nullopt;
+  return seconds;
+}
+
+/// Interprets the reply to a client's command. `sections` are those of the reply.
+UpstreamResponse interpret_command_reply(std::string_view document, std::string_view sections) {
+  UpstreamResponse response;
+  // The endpoint has applied all writes up to the second in operationTime; the commit of a write
+  // lies somewhere within that second, so a read that must see it requires the next one. Otherwise
+  // a demoted primary could pass as more current than it is, and a session could read a state from
+  // before its own write.
+  if (const auto seconds = operation_time_seconds(document)) {
+    response.replication_position = *seconds * kSecond;
+    response.commit_position = (*seconds + 1) * kSecond;
+  }
+  if (is_ok(document)) {
+    response.status = AttemptStatus::Ok;
+    response.value = {sections};
+    return response;
+  }
+  const ErrorCode code = error_code_of(document);
+  response.status = status_for(code);
+  if (code == ErrorCode::NotWritablePrimary)
+    response.role = Role::Replica;
+  if (response.status == AttemptStatus::Error)
+    response.value = {sections};
+  return response;
+}
+
+/// The document that names the gateway to an endpoint.
+std::string client_metadata() {
+  const std::string application = Writer().append_string("name", "gorsebeam").finish();
+  const std::string driver =
+      Writer().append_string("name", "gorsebeam").append_string("version", "1").finish();
+  const std::string os = Writer().append_string("type", "Linux").finish();
+  return Writer()
+      .append_document("application", application)
+      .append_document("driver", driver)
+      .append_document("os", os)
+      .finish();
 }
 
-class MongoUpstream : public connection_pool::UpstreamProtocol {
+class MongoUpstreamProtocol : public connection_pool::UpstreamProtocol {
 public:
   std::string handshake_message() override {
-    const std::string client =
-        Writer()
-            .append_document("application", Writer().append_string("name", "gorsebeam").finish())
-            .append_document(
-                "driver",
-                Writer().append_string("name", "gorsebeam").append_string("version", "1").finish())
-            .append_document("os", Writer().append_string("type", "Linux").finish())
-            .finish();
-    return encode_op_msg(Writer()
-                             .append_int32("hello", 1)
-                             .append_string("$db", "admin")
-                             .append_document("client", client)
-                             .finish(),
-                         ++last_sent_id_, 0);
+    Writer hello;
+    hello.append_int32("hello", 1).append_string("$db", "admin");
+    hello.append_document("client", client_metadata());
+    return encode_op_msg(hello.finish(), ++last_sent_id_, 0);
   }
 
-  ParseStep parse_handshake(std::string_view in, std::size_t& consumed_bytes,
-                            bool& is_rejected) override {
-    Reply reply;
-    const ParseStep step = read_reply(in, reply);
-    if (step != ParseStep::Done)
-      return step;
-    consumed_bytes = reply.size;
-    if (is_ok(reply.document))
-      return ParseStep::Done;
-    is_rejected = code_of(reply.document) == kRateLimitExceeded;
-    return ParseStep::Broken;
+  HandshakeResult parse_handshake(std::string_view in) override {
+    using Status = HandshakeResult::Status;
+    const wire::Framed<Reply> reply = read_reply(in);
+    if (!reply)
+      return {reply.error() == FramingError::Incomplete ? Status::Incomplete : Status::Failed};
+    const std::string_view document = reply.value().document;
+    if (is_ok(document))
+      return {Status::Complete, reply.value().size};
+    const bool is_rejected = error_code_of(document) == ErrorCode::IngressRequestRateLimitExceeded;
+    return {is_rejected ? Status::Rejected : Status::Failed};
   }
 
   proxy::Parts frame_request(const proxy::Parts& body) override {
     std::size_t size = 0;
     for (const std::string_view part : body)
       size += part.size();
-    header_ = encode_header(size, ++last_sent_id_, 0, kOpMsg);
+    header_ = encode_header(size, ++last_sent_id_, 0, Opcode::Msg);
     proxy::Parts parts{header_};
     parts.insert(parts.end(), body.begin(), body.end());
     return parts;
   }
 
   proxy::Parts health_check_message() override {
-    header_ =
-        encode_op_msg(Writer().append_int32("hello", 1).append_string("$db", "admin").finish(),
-                      ++last_sent_id_, 0);
+    Writer hello;
+    hello.append_int32("hello", 1).append_string("$db", "admin");
+    header_ = encode_op_msg(hello.finish(), ++last_sent_id_, 0);
     return {header_};
   }
 
-  ParseStep parse_response(std::string_view in, bool, bool is_health_check,
-                           UpstreamResponse& response, std::size_t& consumed_bytes) override {
-    response = UpstreamResponse{};
-    Reply reply;
-    const ParseStep step = read_reply(in, reply);
-    if (step != ParseStep::Done)
-      return step;
-    consumed_bytes = reply.size;
-    if (is_health_check) {
-      read_hello(reply.document, response);
-      return ParseStep::Done;
+  ParsedResponse parse_response(std::string_view in, RequestKind kind, InputState) override {
+    using Status = ParsedResponse::Status;
+    const wire::Framed<Reply> framed = read_reply(in);
+    if (!framed) {
+      const bool is_incomplete = framed.error() == FramingError::Incomplete;
+      return {is_incomplete ? Status::Incomplete : Status::Malformed, 0, {}};
     }
-    read_position(reply.document, response);
-    if (is_ok(reply.document)) {
-      response.status = AttemptStatus::Ok;
-      response.value = {reply.sections};
-      return ParseStep::Done;
-    }
-    const std::int32_t code = code_of(reply.document);
-    response.status = status_of(code);
-    if (code == kNotWritablePrimary)
-      response.role = Role::Replica;
-    if (response.status == AttemptStatus::Error)
-      response.value = {reply.sections};
-    return ParseStep::Done;
+    const Reply& reply = framed.value();
+    if (kind == RequestKind::HealthCheck)
+      return {Status::Complete, reply.size, interpret_hello_reply(reply.document)};
+    return {Status::Complete, reply.size, interpret_command_reply(reply.document, reply.sections)};
   }
 
 private:
-  /// The views lead into the received bytes.
+  /// The views borrow from the received bytes.
   struct Reply {
     std::string_view document;
-    std::string_view sections;  ///< Without a checksum, as the header is written anew.
+    std::string_view sections;  ///< Without a checksum: the client gets them under a new header.
     std::size_t size = 0;       ///< Of the whole message.
   };
 
-  /// Reads a reply to our last message.
-  ParseStep read_reply(std::string_view in, Reply& reply) const {
-    Message message;
-    switch (read_message(in, kMaxMessageSize, message)) {
-    case Framing::Incomplete:
-      return ParseStep::More;
-    case Framing::Malformed:
-      return ParseStep::Broken;
-    case Framing::Complete:
-      break;
-    }
-    if (message.operation != kOpMsg || message.response_to != last_sent_id_)
-      return ParseStep::Broken;
+  /// Reads a reply to the last message that was sent.
+  [[nodiscard]] wire::Framed<Reply> read_reply(std::string_view in) const {
+    const wire::Framed<Message> framed = read_message(in, kMaxMessageSize);
+    if (!framed)
+      return framed.error();
+    const Message& message = framed.value();
+    if (message.opcode != Opcode::Msg || message.response_to != last_sent_id_)
+      return FramingError::Malformed;
     const std::optional<OpMsg> op_msg = read_op_msg(message.payload);
     if (!op_msg)
-      return ParseStep::Broken;
+      return FramingError::Malformed;
     if ((op_msg->flags & kMoreToCome) != 0)
-      return ParseStep::Broken;  // replies without a request, which were not asked for
-    reply.document = op_msg->body;
-    reply.sections = op_msg->sections;
-    reply.size = message.size;
-    return ParseStep::Done;
+      return FramingError::Malformed;  // announces replies to no request
+    return Reply{op_msg->body, op_msg->sections, message.size};
   }
 
   std::uint32_t last_sent_id_ = 0;
-  std::string header_;  ///< The parts of the present request lead into it.
+  std::string header_;  ///< The last message's parts borrow from it.
 };
 
 }  // namespace
 
 std::unique_ptr<connection_pool::UpstreamProtocol> make_upstream_protocol() {
-  return std::make_unique<MongoUpstream>();
+  return std::make_unique<MongoUpstreamProtocol>();
 }
 
 }  // namespace gorsebeam::mongo
--- a/src/mongo/upstream_protocol.h
+++ b/src/mongo/upstream_protocol.h
@@ -1,4 +1,4 @@
-/// Speaks the MongoDB wire protocol to the endpoints: the client's side.
+/// The client's side of the MongoDB wire protocol, towards the endpoints.
 /// Source: MongoDB wire protocol specification.
 #pragma once
 
--- a/src/postgres/codec.cpp
+++ b/src/postgres/codec.cpp
@@ -7,9 +7,11 @@
 namespace gorsebeam::postgres {
 namespace {
 
+using wire::FramingError;
+
 constexpr std::size_t kTypeSize = 1;
 constexpr std::size_t kLengthSize = 4;
-constexpr std::size_t kMinStartupLength = 8;  // the length and the protocol number
+constexpr std::size_t kStartupHeaderSize = 8;  // the length field and the code
 
 std::string_view text_until_nul(std::string_view in) {
   return in.substr(0, in.find('\0'));
@@ -22,6 +24,10 @@
   return text;
 }
 
+const char* name_of(Severity severity) {
+  return severity == Severity::Fatal ? "FATAL" : "ERROR";
+}
+
 void append_field(std::string& body, char type, const std::string& value) {
   body += type;
   body += value;
@@ -30,38 +36,41 @@
 
 }  // namespace
 
-wire::Framing read_message(std::string_view in, std::size_t max_length, Message& message) {
+wire::Framed<Message> read_message(std::string_view in, std::size_t max_length) {
   if (in.size() < kTypeSize + kLengthSize)
-    return wire::Framing::Incomplete;
+    return FramingError::Incomplete;
   const std::size_t length = wire::read_u32_big_endian(in.data() + kTypeSize);
   if (length < kLengthSize || length > max_length)
-    return wire::Framing::Malformed;
+    return FramingError::Malformed;
   if (in.size() < kTypeSize + length)
-    return wire::Framing::Incomplete;
+    return FramingError::Incomplete;
+  Message message;
   message.type = in[0];
-  message.complete = in.substr(0, kTypeSize + length);
-  message.body = message.complete.substr(kTypeSize + kLengthSize);
-  return wire::Framing::Complete;
+  message.encoded = in.substr(0, kTypeSize + length);
+  message.body = message.encoded.substr(kTypeSize + kLengthSize);
+  return message;
 }
 
-wire::Framing read_startup(std::string_view in, std::size_t max_length, StartupMessage& startup) {
-  if (in.size() < kMinStartupLength)
-    return wire::Framing::Incomplete;
+wire::Framed<StartupMessage> read_startup(std::string_view in, std::size_t max_length) {
+  if (in.size() < kStartupHeaderSize)
+    return FramingError::Incomplete;
   const std::size_t length = wire::read_u32_big_endian(in.data());
-  if (length < kMinStartupLength || length > max_length)
-    return wire::Framing::Malformed;
+  if (length < kStartupHeaderSize || length > max_length)
+    return FramingError::Malformed;
   if (in.size() < length)
-    return wire::Framing::Incomplete;
-  startup.body = in.substr(kLengthSize, length - kLengthSize);
+    return FramingError::Incomplete;
+  StartupMessage startup;
+  startup.code = wire::read_u32_big_endian(in.data() + kLengthSize);
+  startup.parameters = in.substr(kStartupHeaderSize, length - kStartupHeaderSize);
   startup.size = length;
-  return wire::Framing::Complete;
+  return startup;
 }
 
-std::optional<std::string_view> startup_parameter(std::string_view body, std::string_view name) {
-  body.remove_prefix(4);  // the protocol number
-  while (!body.empty() && body.front() != '\0') {
-    const std::string_view key = remove_text(body);
-    const std::string_view value = remove_text(body);
+std::optional<std::string_view> startup_parameter(std::string_view parameters,
+                                                  std::string_view name) {
+  while (!parameters.empty() && parameters.front() != '\0') {
+    const std::string_view key = remove_text(parameters);
+    const std::string_view value = remove_text(parameters);
     if (key == name)
       return value;
   }
@@ -75,13 +84,12 @@
   return out;
 }
 
-std::string encode_error(const char* severity, const char* code, const std::string& text,
-                         const std::string& detail) {
+std::string encode_error(Severity severity, const SqlError& error, const std::string& detail) {
   std::string body;
-  append_field(body, 'S', severity);
-  append_field(body, 'V', severity);
-  append_field(body, 'C', code);
-  append_field(body, 'M', text);
+  append_field(body, 'S', name_of(severity));
+  append_field(body, 'V', name_of(severity));
+  append_field(body, 'C', error.sqlstate);
+  append_field(body, 'M', error.text);
   if (!detail.empty())
     append_field(body, 'D', detail);
   body += '\0';
--- a/src/postgres/codec.h
+++ b/src/postgres/codec.h
@@ -1,6 +1,6 @@
-/// Messages of PostgreSQL's protocol, read in place. Pure; no sockets here.
+/// Messages of PostgreSQL's protocol, read in place. Pure.
 /// Source: PostgreSQL 15 documentation, chapter "Frontend/Backend Protocol" (version 3.0), sections
-/// "Message Formats" and "Error and Notice Message Fields".
+/// "Message Formats" and "Error and Notice Message Fields"; appendix "PostgreSQL Error Codes".
 #pragma once
 
 #include "wire/framing.h"
@@ -34,32 +34,45 @@
 constexpr const char* kSnapshotTooOld = "72000";
 constexpr const char* kInternalError = "XX000";
 
-/// A message with a type; the views lead into the bytes that it was read from.
+/// A message with a type byte. The views borrow from the bytes that were read.
 struct Message {
   char type = 0;
-  std::string_view body;      ///< Without type and length.
-  std::string_view complete;  ///< As received.
+  std::string_view body;     ///< Without the type and the length field.
+  std::string_view encoded;  ///< The whole message, as it was received.
 };
 
 /// Reads the first message of `in`; its length field may be at most `max_length`.
-wire::Framing read_message(std::string_view in, std::size_t max_length, Message& message);
+wire::Framed<Message> read_message(std::string_view in, std::size_t max_length);
 
-/// The first message of a connection, which has no type.
+/// The first message of a connection, which has no type byte.
 struct StartupMessage {
-  std::string_view body;  ///< Without the length; begins with the protocol number.
-  std::size_t size = 0;   ///< With the length.
+  std::uint32_t code = 0;       ///< The protocol number, or a request code.
+  std::string_view parameters;  ///< What follows the code; borrows from the bytes that were read.
+  std::size_t size = 0;         ///< Of the whole message.
 };
 
-wire::Framing read_startup(std::string_view in, std::size_t max_length, StartupMessage& startup);
-std::optional<std::string_view> startup_parameter(std::string_view body, std::string_view name);
+wire::Framed<StartupMessage> read_startup(std::string_view in, std::size_t max_length);
+
+/// The value of the parameter `name` of a startup message; nothing if it is absent.
+std::optional<std::string_view> startup_parameter(std::string_view parameters,
+                                                  std::string_view name);
 
 std::string encode_message(char type, std::string_view body);
 
-/// An ErrorResponse; `detail` is left out where it is empty.
-std::string encode_error(const char* severity, const char* code, const std::string& text,
-                         const std::string& detail = "");
+enum class Severity {
+  Error,  ///< The connection continues.
+  Fatal,  ///< The connection is closed after it.
+};
+
+struct SqlError {
+  const char* sqlstate;
+  std::string text;
+};
+
+/// An ErrorResponse; `detail` is omitted if it is empty.
+std::string encode_error(Severity severity, const SqlError& error, const std::string& detail = "");
 
-/// A field of the body of an ErrorResponse.
+/// The field of type `field` in the body of an ErrorResponse; nothing if it is absent.
 std::optional<std::string_view> error_field(std::string_view body, char field);
 
 struct ParameterStatus {
@@ -67,7 +80,7 @@
   std::string_view value;
 };
 
-/// Reads the body of a ParameterStatus; nothing where it is malformed.
+/// Reads the body of a ParameterStatus; nothing if it is malformed.
 std::optional<ParameterStatus> read_parameter_status(std::string_view body);
 
 }  // namespace gorsebeam::postgres
--- a/src/postgres/frontend.cpp
+++ b/src/postgres/frontend.cpp
@@ -4,7 +4,6 @@
 #include "statement.h"
 
 #include "frontend/session_hash.h"
-#include "wire/integers.h"
 
 #include <algorithm>
 #include <array>
@@ -15,7 +14,7 @@
 namespace {
 
 using sql_classifier::Effect;
-using wire::Framing;
+using wire::FramingError;
 
 constexpr Nanos kMillisecond = 1'000'000;
 constexpr std::uint64_t kMaxDeadlineMs = 3'600'000;
@@ -54,12 +53,6 @@
   return greeting;
 }
 
-/// Why a single command is rejected; the connection continues.
-struct CommandError {
-  const char* sqlstate;
-  std::string text;
-};
-
 bool is_write(const RequestClass& request_class) {
   return request_class.consistency == ConsistencyLevel::Write;
 }
@@ -88,12 +81,13 @@
 
   void reject(Nanos retry_after) override {
     const std::string wait_ms = retry_after > 0 ? std::to_string(retry_after / kMillisecond) : "";
-    finish({encode_error("ERROR", kTooManyConnections, "refused: try again", wait_ms),
+    finish({encode_error(Severity::Error, {kTooManyConnections, "refused: try again"}, wait_ms),
             ready_for_query_});
   }
 
   void fail() override {
-    finish({encode_error("ERROR", kTransactionResolutionUnknown, "failed: the effect is not known"),
+    finish({encode_error(Severity::Error,
+                         {kTransactionResolutionUnknown, "failed: the effect is not known"}),
             ready_for_query_});
   }
 
@@ -105,7 +99,7 @@
   }
 
   void send_fatal_error(const char* sqlstate, const std::string& text) {
-    stream_->write({encode_error("FATAL", sqlstate, text)});
+    stream_->write({encode_error(Severity::Fatal, {sqlstate, text})});
     close_when_written(frontend::CloseReason::ErrorSent);
   }
 
@@ -113,28 +107,25 @@
     send_fatal_error(is_over_limit() ? kTooManyConnections : kQueryCanceled, reason);
   }
 
-  void reject_command(const Message& message, const CommandError& error) {
-    stream_->write({encode_error("ERROR", error.sqlstate, error.text), ready_for_query_});
-    stream_->input().consume(message.complete.size());
+  void reject_command(const Message& message, const SqlError& error) {
+    stream_->write({encode_error(Severity::Error, error), ready_for_query_});
+    stream_->input().consume(message.encoded.size());
   }
 
   void parse() override {
     if (!has_started_)
       return parse_startup();
-    Message message;
-    switch (read_message(stream_->input().view(), frontend_.limits().message_bytes, message)) {
-    case Framing::Incomplete:
-      return;
-    case Framing::Malformed:
-      return send_fatal_error(kProtocolViolation, "a message is malformed or too long");
-    case Framing::Complete:
-      return handle_message(message);
-    }
+    const wire::Framed<Message> message =
+        read_message(stream_->input().view(), frontend_.limits().message_bytes);
+    if (message)
+      return handle_message(message.value());
+    if (message.error() == FramingError::Malformed)
+      send_fatal_error(kProtocolViolation, "a message is malformed or too long");
   }
 
   void handle_message(const Message& message) {
     if (skips_to_sync_ && message.type != 'S' && message.type != 'X')
-      return stream_->input().consume(message.complete.size());
+      return stream_->input().consume(message.encoded.size());
     switch (message.type) {
     case 'Q':
       return handle_query(message);
@@ -143,7 +134,7 @@
     case 'S':  // Sync
       skips_to_sync_ = false;
       stream_->write({ready_for_query_});
-      return stream_->input().consume(message.complete.size());
+      return stream_->input().consume(message.encoded.size());
     case 'P':
     case 'B':
     case 'D':
@@ -162,26 +153,24 @@
   void reject_extended_protocol(const Message& message) {
     const bool is_function_call = message.type == 'F';
     skips_to_sync_ = !is_function_call;
-    stream_->write({encode_error("ERROR", kFeatureNotSupported, "only simple queries are served")});
+    stream_->write(
+        {encode_error(Severity::Error, {kFeatureNotSupported, "only simple queries are served"})});
     if (is_function_call)
       stream_->write({ready_for_query_});
-    stream_->input().consume(message.complete.size());
+    stream_->input().consume(message.encoded.size());
   }
 
   void parse_startup() {
-    StartupMessage startup;
-    switch (read_startup(stream_->input().view(), kMaxStartupSize, startup)) {
-    case Framing::Incomplete:
-      return;
-    case Framing::Malformed:
-      return send_fatal_error(kProtocolViolation, "the startup message is malformed");
-    case Framing::Complete:
-      return handle_startup(startup);
-    }
+    const wire::Framed<StartupMessage> startup =
+        read_startup(stream_->input().view(), kMaxStartupSize);
+    if (startup)
+      return handle_startup(startup.value());
+    if (startup.error() == FramingError::Malformed)
+      send_fatal_error(kProtocolViolation, "the startup message is malformed");
   }
 
   void handle_startup(const StartupMessage& startup) {
-    const std::uint32_t version = wire::read_u32_big_endian(startup.body.data());
+    const std::uint32_t version = startup.code;
     if (version == kCancelRequest)
       return close_when_written(frontend::CloseReason::ClientEnded);
     if (version == kSslRequest || version == kGssEncryptionRequest) {
@@ -192,7 +181,7 @@
       return send_fatal_error(kFeatureNotSupported, "only version 3 of the protocol is served");
     if (is_over_limit())
       return send_fatal_error(kTooManyConnections, "too many connections");
-    team_ = startup_parameter(startup.body, "user").value_or("");
+    team_ = startup_parameter(startup.parameters, "user").value_or("");
     if (team_.empty())
       return send_fatal_error(kInvalidAuthorization, "the startup message names no user");
     if (!contracts_.has_team(team_))
@@ -211,28 +200,28 @@
       return send_fatal_error(kProtocolViolation, "a query holds a zero byte");
     if (is_blank(text)) {
       stream_->write({encode_message('I', ""), ready_for_query_});
-      return stream_->input().consume(message.complete.size());
+      return stream_->input().consume(message.encoded.size());
     }
-    if (const std::optional<CommandError> error = begin_statement(text, message.complete.size()))
+    if (const std::optional<SqlError> error = begin_statement(text, message.encoded.size()))
       reject_command(message, *error);
   }
 
   /// Begins a request for the statement in `text`, whose message has `message_size` bytes.
-  std::optional<CommandError> begin_statement(std::string_view text, std::size_t message_size) {
+  std::optional<SqlError> begin_statement(std::string_view text, std::size_t message_size) {
     const Statement statement = read_statement(text);
     const auto request_class = contracts_.classes().find(std::string(statement.service_class));
     const auto deadline_ms = parse_whole_number(statement.deadline, kMaxDeadlineMs);
     const auto group = parse_whole_number(statement.group, kMaxGroup);
     if (statement.has_several)
-      return CommandError{kSyntaxError, "a query holds one statement"};
+      return SqlError{kSyntaxError, "a query holds one statement"};
     if (statement.id.empty())
-      return CommandError{kSyntaxError, "the statement's comment holds no id"};
+      return SqlError{kSyntaxError, "the statement's comment holds no id"};
     if (request_class == contracts_.classes().end())
-      return CommandError{kSyntaxError, "the statement's comment names no known class"};
+      return SqlError{kSyntaxError, "the statement's comment names no known class"};
     if (!deadline_ms || *deadline_ms == 0)
-      return CommandError{kSyntaxError, "the statement's comment holds no time to wait"};
+      return SqlError{kSyntaxError, "the statement's comment holds no time to wait"};
     if (!group)
-      return CommandError{kSyntaxError, "the statement's comment names no cluster"};
+      return SqlError{kSyntaxError, "the statement's comment names no cluster"};
     const RequestClass& settings = frontend_.broker().settings().classes[request_class->second];
     const sql_classifier::Verdict verdict = classify(statement, text);
     if (auto error = check_class(statement, verdict, settings))
@@ -243,14 +232,14 @@
     request.group = static_cast<GroupId>(*group);
     const auto decision = contracts_.admit(team_, net::now(), request);
     if (decision != proxy::ContractEnforcer::Decision::Admitted)
-      return CommandError{kInsufficientPrivilege, proxy::describe(decision)};
+      return SqlError{kInsufficientPrivilege, proxy::describe(decision)};
     if (classifier_ && verdict.effect == Effect::Unknown)
       request.max_attempts = 1;  // it may not be idempotent
     query_size_ = text.size();
     deadline_offset_ = static_cast<std::size_t>(statement.deadline.data() - text.data());
     deadline_size_ = statement.deadline.size();
     if (!begin_request(std::move(request), message_size))
-      return CommandError{kDuplicateObject, "a request with this id is open, or it is no fit id"};
+      return SqlError{kDuplicateObject, "a request with this id is open, or it is no fit id"};
     return std::nullopt;
   }
 
@@ -263,16 +252,16 @@
 
   // The caller names the class. A write under a reading class would go to a replica, and would be
   // retried as if it changed nothing.
-  [[nodiscard]] std::optional<CommandError> check_class(const Statement& statement,
-                                                        const sql_classifier::Verdict& verdict,
-                                                        const RequestClass& settings) const {
+  [[nodiscard]] std::optional<SqlError> check_class(const Statement& statement,
+                                                    const sql_classifier::Verdict& verdict,
+                                                    const RequestClass& settings) const {
     if (classifier_ && verdict.effect != Effect::Read && !is_write(settings))
-      return CommandError{kReadOnlyTransaction,
-                          "the statement may write, and its class reads: " + verdict.reason};
+      return SqlError{kReadOnlyTransaction,
+                      "the statement may write, and its class reads: " + verdict.reason};
     if (!classifier_ && statement.is_select == is_write(settings))
-      return CommandError{kSyntaxError, "the statement does not fit its class"};
+      return SqlError{kSyntaxError, "the statement does not fit its class"};
     if (settings.idempotency == Idempotency::IdempotencyKey && statement.idempotency.empty())
-      return CommandError{kSyntaxError, "the class needs an idempotency key"};
+      return SqlError{kSyntaxError, "the class needs an idempotency key"};
     return std::nullopt;
   }
 
--- a/src/postgres/load_report.cpp
+++ b/src/postgres/load_report.cpp
@@ -1,7 +1,5 @@
 #include "load_report.h"
 
-#include "net/timer.h"
-
 #include <algorithm>
 #include <cmath>
 #include <cstdlib>
@@ -25,26 +23,26 @@
   return value;
 }
 
-std::optional<Nanos> position_at(double unix_ms) {
-  if (unix_ms < 0 || unix_ms * kNanosPerMs > static_cast<double>(net::now() + kMaxClockSkew))
+std::optional<Nanos> position_at(double unix_ms, Nanos now) {
+  if (unix_ms < 0 || unix_ms * kNanosPerMs > static_cast<double>(now + kMaxClockSkew))
     return std::nullopt;
   return static_cast<Nanos>(std::floor(unix_ms * kNanosPerMs));
 }
 
-/// A report's position is a Unix time in seconds, while an answer's is in milliseconds. A value too
-/// large to be seconds is read as milliseconds.
-std::optional<Nanos> report_position_at(double value) {
-  return position_at(value < kMaxPositionSeconds ? value * kMsPerSecond : value);
+/// The position in a report is a Unix time in seconds, while the one in a response is in
+/// milliseconds. A value too large to be seconds is read as milliseconds.
+std::optional<Nanos> report_position_at(double value, Nanos now) {
+  return position_at(value < kMaxPositionSeconds ? value * kMsPerSecond : value, now);
 }
 
-/// Reads one value of a report; returns false where the whole report is to be ignored.
-bool read_value(std::string_view name, double value, LoadReport& report) {
+/// Reads one value into `report`; returns false if the whole report is to be ignored.
+bool read_value(std::string_view name, double value, Nanos now, LoadReport& report) {
   if (name == "x0") {
-    // An endpoint that has not made its first report sends zeros. They would say that no group has
-    // a primary, to each gateway that starts, and prove no position.
+    // An endpoint that has not made its first report sends zeros. Read as a report, they would tell
+    // each gateway that starts that no group has a primary, and they prove no position.
     if (value == 0)
       return false;
-    report.replication_position = report_position_at(value);
+    report.replication_position = report_position_at(value, now);
     return report.replication_position.has_value();
   }
   if (name == "x1")
@@ -54,23 +52,23 @@
 
 }  // namespace
 
-std::optional<Nanos> parse_position(std::string_view text) {
+std::optional<Nanos> parse_position(std::string_view text, Nanos now) {
   const auto unix_ms = parse_number(text);
-  return unix_ms ? position_at(*unix_ms) : std::nullopt;
+  return unix_ms ? position_at(*unix_ms, now) : std::nullopt;
 }
 
-void read_load_report(std::string_view text, LoadReport& report) {
-  LoadReport parsed;
+std::optional<LoadReport> parse_load_report(std::string_view text, Nanos now) {
+  LoadReport report;
   while (!text.empty()) {
     const std::size_t comma = text.find(',');
     const std::string_view pair = text.substr(0, comma);
     const std::string_view name = pair.substr(0, pair.find('='));
     text = comma == std::string_view::npos ? std::string_view() : text.substr(comma + 1);
     const auto value = parse_number(pair.substr(std::min(pair.size(), name.size() + 1)));
-    if (!value || !read_value(name, *value, parsed))
-      return;
+    if (!value || !read_value(name, *value, now, report))
+      return std::nullopt;
   }
-  report = parsed;
+  return report;
 }
 
 }  // namespace gorsebeam::postgres
--- a/src/postgres/load_report.h
+++ b/src/postgres/load_report.h
@@ -1,5 +1,4 @@
-/// Reads the replication positions and load reports that endpoints send in parameters. Pure but for
-/// the clock.
+/// Reads the replication positions and load reports that endpoints send in parameters. Pure.
 #pragma once
 
 #include "proxy/interfaces.h"
@@ -9,12 +8,12 @@
 
 namespace gorsebeam::postgres {
 
-/// A position in Unix milliseconds; nothing where it cannot be read or is too far ahead of our
-/// clock.
-std::optional<Nanos> parse_position(std::string_view text);
+/// A replication position in Unix milliseconds; nothing if it is no number, negative, or too far
+/// ahead of `now`.
+std::optional<Nanos> parse_position(std::string_view text, Nanos now);
 
-/// Reads a report such as "x0=1767225600.123,x1=0". A report that is malformed, or not made yet by
-/// its endpoint, leaves `report` as it is.
-void read_load_report(std::string_view text, LoadReport& report);
+/// Reads a report such as "x0=1767225600.123,x1=0". Nothing if it is malformed, or if its endpoint
+/// has not made its first report.
+std::optional<LoadReport> parse_load_report(std::string_view text, Nanos now);
 
 }  // namespace gorsebeam::postgres
--- a/src/postgres/upstream_protocol.cpp
+++ b/src/postgres/upstream_protocol.cpp
@@ -3,38 +3,45 @@
 #include "codec.h"
 #include "load_report.h"
 
+#include "net/timer.h"
 #include "wire/integers.h"
 
 namespace gorsebeam::postgres {
 namespace {
 
-using connection_pool::ParseStep;
+using connection_pool::HandshakeResult;
+using connection_pool::InputState;
+using connection_pool::ParsedResponse;
+using connection_pool::RequestKind;
 using proxy::UpstreamResponse;
-using wire::Framing;
+using wire::Framed;
+using wire::FramingError;
 
 constexpr std::size_t kMaxMessageLength = 128 * 1024;  // a value holds at most 64 KiB
 constexpr std::size_t kMessageHeaderSize = 5;
+constexpr std::size_t kLengthSize = 4;
 constexpr std::size_t kRowHeaderSize = 6;  // the number of columns, and the length of the first
 constexpr std::uint32_t kNullLength = 0xffffffffU;
 constexpr std::string_view kHandshakeTypes = "RSKZEN";
 constexpr std::string_view kResponseTypes = "TDCESNZ";
 
-/// Whether a count of columns, as two bytes, is one.
+/// Whether a number of columns, as two bytes, is one.
 bool is_one_column(std::string_view count) {
   return count[0] == 0 && count[1] == 1;
 }
 
-/// Whether a DataRow's body of `size` bytes, which begins with `head`, is one column that fills it.
-bool is_single_column_row(std::string_view head, std::size_t size) {
-  if (!is_one_column(head))
+/// Whether the body of a DataRow, which has `size` bytes and begins with `header`, is one column
+/// that fills it.
+bool is_single_column_row(std::string_view header, std::size_t size) {
+  if (!is_one_column(header))
     return false;
-  const std::uint32_t length = wire::read_u32_big_endian(head.data() + 2);
+  const std::uint32_t length = wire::read_u32_big_endian(header.data() + 2);
   const std::size_t value_size = length == kNullLength ? 0 : length;
   return size == kRowHeaderSize + value_size;
 }
 
-/// Whether the incomplete message in `in` cannot become one of the given types. Noise is found in
-/// this way at once, without waiting for the length that it seems to announce.
+/// Whether the incomplete message in `in` cannot become one of `types`. So bytes that belong to no
+/// protocol are rejected at once, without waiting for the length that they seem to announce.
 bool is_hopeless(std::string_view in, std::string_view types) {
   if (in.empty())
     return false;
@@ -42,22 +49,32 @@
     return true;
   if (in[0] != 'D' || in.size() < kMessageHeaderSize + kRowHeaderSize)
     return false;
-  const std::size_t body_size = wire::read_u32_big_endian(in.data() + 1) - 4;
+  const std::size_t body_size = wire::read_u32_big_endian(in.data() + 1) - kLengthSize;
   return !is_single_column_row(in.substr(kMessageHeaderSize), body_size);
 }
 
-/// The value of a DataRow of one column; nothing where it is not one column or its length is wrong.
+/// Reads the first message of `in`, which is to be one of `types`.
+Framed<Message> read_message_of(std::string_view in, std::string_view types) {
+  Framed<Message> message = read_message(in, kMaxMessageLength);
+  if (!message && message.error() == FramingError::Incomplete && is_hopeless(in, types))
+    return FramingError::Malformed;
+  return message;
+}
+
+/// The value of a DataRow of one column; nothing if it has another number of columns or its length
+/// is wrong.
 std::optional<std::string_view> read_row(std::string_view body) {
   if (body.size() < kRowHeaderSize || !is_single_column_row(body, body.size()))
     return std::nullopt;
   return body.substr(kRowHeaderSize);
 }
 
-std::size_t offset_behind(const Message& message, std::string_view in) {
-  return static_cast<std::size_t>(message.complete.data() + message.complete.size() - in.data());
+bool is_authentication_ok(std::string_view body) {
+  return body.size() >= sizeof(std::uint32_t) && wire::read_u32_big_endian(body.data()) == 0;
 }
 
-AttemptStatus status_of(std::string_view sqlstate) {
+/// `Misdirected` and `Rejected` mean that the endpoint did not execute the statement.
+AttemptStatus status_for(std::string_view sqlstate) {
   if (sqlstate == kReadOnlyTransaction || sqlstate == kSnapshotTooOld)
     return AttemptStatus::Misdirected;
   if (sqlstate == kTooManyConnections || sqlstate == kCannotConnectNow)
@@ -65,28 +82,27 @@
   return AttemptStatus::Error;
 }
 
-/// Collects the messages of one answer to a simple query.
+/// Collects the messages of the response to one simple query.
 class ResponseParser {
 public:
-  ResponseParser(bool is_health_check, UpstreamResponse& response)
-      : is_health_check_(is_health_check), response_(response) {}
+  explicit ResponseParser(RequestKind kind) : kind_(kind) {}
 
-  /// Returns false where the message shows that this is no answer.
+  /// Returns false if the message cannot belong to a response.
   bool add(const Message& message) {
     switch (message.type) {
     case 'T':
-      add_description(message);
+      add_row_description(message);
       return true;
     case 'D':
       add_row(message);
       return true;
     case 'C':
-      command_complete_ = message.complete;
+      command_complete_ = message.encoded;
       return true;
     case 'E':
       return add_error(message);
     case 'S':
-      add_status(message);
+      add_parameter_status(message);
       return true;
     case 'N':
       return true;
@@ -98,50 +114,55 @@
     }
   }
 
+  /// Whether ReadyForQuery, which ends a response, was added.
   [[nodiscard]] bool is_ready() const { return is_ready_; }
 
-  /// An answer is complete without ReadyForQuery only where the connection ended after it, as a
-  /// fatal error needs none.
-  ParseStep finish(bool connection_ended) {
+  /// What the messages so far, which have `size` bytes together, amount to. Without ReadyForQuery a
+  /// response is complete only if the connection ended after its result, as after a fatal error.
+  ParsedResponse finish(InputState input, std::size_t size) {
+    using Status = ParsedResponse::Status;
     const bool has_result = !sqlstate_.empty() || !command_complete_.empty();
-    if (!is_ready_ && !(connection_ended && has_result))
-      return ParseStep::More;
+    const bool is_complete = is_ready_ || (input == InputState::Ended && has_result);
+    if (!is_complete)
+      return {Status::Incomplete, 0, {}};
     if (!sqlstate_.empty()) {
-      response_.status = status_of(sqlstate_);
-      return ParseStep::Done;
+      response_.status = status_for(sqlstate_);
+      return {Status::Complete, size, std::move(response_)};
     }
-    if (has_invalid_rows_ || description_.empty() || row_.empty() || command_complete_.empty())
-      return ParseStep::Broken;
+    if (has_invalid_rows_ || row_description_.empty() || row_.empty() || command_complete_.empty())
+      return {Status::Malformed, 0, {}};
     response_.status = AttemptStatus::Ok;
-    response_.value = {description_, row_, command_complete_};
-    return ParseStep::Done;
+    response_.value = {row_description_, row_, command_complete_};
+    return {Status::Complete, size, std::move(response_)};
   }
 
 private:
-  void add_description(const Message& message) {
-    if (!description_.empty() || message.body.size() < 2 || !is_one_column(message.body))
+  void add_row_description(const Message& message) {
+    if (!row_description_.empty() || message.body.size() < 2 || !is_one_column(message.body))
       has_invalid_rows_ = true;
-    description_ = message.complete;
+    row_description_ = message.encoded;
   }
 
   void add_row(const Message& message) {
     const std::optional<std::string_view> value = read_row(message.body);
-    if (!row_.empty() || description_.empty() || !command_complete_.empty() || !value)
+    if (!row_.empty() || row_description_.empty() || !command_complete_.empty() || !value)
       has_invalid_rows_ = true;
-    row_ = message.complete;
-    if (is_health_check_ && !has_invalid_rows_)
-      read_load_report(*value, response_.load_report);
+    row_ = message.encoded;
+    if (kind_ == RequestKind::HealthCheck && !has_invalid_rows_)
+      add_load_report(*value);
   }
 
+  /// Returns false if the error does not end as the protocol says: its SQLSTATE proves nothing
+  /// then.
   bool add_error(const Message& message) {
     if (message.body.empty() || message.body.back() != '\0')
-      return false;  // its code proves nothing
+      return false;
     sqlstate_ = error_field(message.body, 'C').value_or(kInternalError);
     return true;
   }
 
-  // A malformed status is ignored, and the answer stands.
-  void add_status(const Message& message) {
+  /// A malformed status is ignored, and the response counts without it.
+  void add_parameter_status(const Message& message) {
     const std::optional<ParameterStatus> status = read_parameter_status(message.body);
     if (!status)
       return;
@@ -150,55 +171,59 @@
     if (status->name == "part" && status->value == "replica")
       response_.role = Role::Replica;
     if (status->name == "caught_up_to")
-      response_.replication_position = parse_position(status->value);
+      response_.replication_position = parse_position(status->value, net::now());
     if (status->name == "gauges")
-      read_load_report(status->value, response_.load_report);
+      add_load_report(status->value);
   }
 
-  const bool is_health_check_;
-  UpstreamResponse& response_;
-  std::string_view description_;
+  void add_load_report(std::string_view text) {
+    if (const auto report = parse_load_report(text, net::now()))
+      response_.load_report = *report;
+  }
+
+  const RequestKind kind_;
+  UpstreamResponse response_;
+  std::string_view row_description_;
   std::string_view row_;
   std::string_view command_complete_;
-  std::string_view sqlstate_;
+  std::string_view sqlstate_;  ///< Of the last error; empty: none.
   bool has_invalid_rows_ = false;
   bool is_ready_ = false;
 };
 
-class PostgresUpstream : public connection_pool::UpstreamProtocol {
+class PostgresUpstreamProtocol : public connection_pool::UpstreamProtocol {
 public:
   std::string handshake_message() override {
-    std::string body = wire::encode_u32_big_endian(kProtocolVersion3);
+    std::string startup = wire::encode_u32_big_endian(kProtocolVersion3);
     for (const char* word : {"user", "gorsebeam", "database", "crm"})
-      body.append(word).push_back('\0');
-    body.push_back('\0');
-    return wire::encode_u32_big_endian(static_cast<std::uint32_t>(body.size() + 4)) + body;
+      startup.append(word).push_back('\0');
+    startup.push_back('\0');
+    const std::size_t length = kLengthSize + startup.size();
+    return wire::encode_u32_big_endian(static_cast<std::uint32_t>(length)) + startup;
   }
 
-  ParseStep parse_handshake(std::string_view in, std::size_t& consumed_bytes,
-                            bool& is_rejected) override {
-    Message message;
-    for (std::string_view rest = in;; rest.remove_prefix(message.complete.size())) {
-      const Framing framing = read_message(rest, kMaxMessageLength, message);
-      if (framing == Framing::Incomplete && !is_hopeless(rest, kHandshakeTypes))
-        return ParseStep::More;
-      if (framing != Framing::Complete)
-        return ParseStep::Broken;
+  HandshakeResult parse_handshake(std::string_view in) override {
+    using Status = HandshakeResult::Status;
+    std::size_t offset = 0;
+    while (true) {
+      const Framed<Message> framed = read_message_of(in.substr(offset), kHandshakeTypes);
+      if (!framed)
+        return {framed.error() == FramingError::Incomplete ? Status::Incomplete : Status::Failed};
+      const Message& message = framed.value();
+      offset += message.encoded.size();
+      if (message.type == 'Z')
+        return {Status::Complete, offset};
       if (message.type == 'E') {
-        is_rejected = error_field(message.body, 'C') == kTooManyConnections;
-        return ParseStep::Broken;
+        const bool is_rejected = error_field(message.body, 'C') == kTooManyConnections;
+        return {is_rejected ? Status::Rejected : Status::Failed};
       }
       if (message.type == 'R' && !is_authentication_ok(message.body))
-        return ParseStep::Broken;
-      if (message.type != 'Z')
-        continue;
-      consumed_bytes = offset_behind(message, in);
-      return ParseStep::Done;
+        return {Status::Failed};
     }
   }
 
   proxy::Parts frame_request(const proxy::Parts& body) override {
-    std::size_t length = 5;  // the length itself, and the zero byte at the end of the text
+    std::size_t length = kLengthSize + 1;  // and the zero byte at the end of the text
     for (const std::string_view part : body)
       length += part.size();
     header_ = 'Q' + wire::encode_u32_big_endian(static_cast<std::uint32_t>(length));
@@ -213,40 +238,29 @@
     return {header_};
   }
 
-  ParseStep parse_response(std::string_view in, bool ended, bool is_health_check,
-                           UpstreamResponse& response, std::size_t& consumed_bytes) override {
-    response = UpstreamResponse{};
-    ResponseParser parser(is_health_check, response);
-    Message message;
-    std::string_view rest = in;
+  ParsedResponse parse_response(std::string_view in, RequestKind kind, InputState input) override {
+    using Status = ParsedResponse::Status;
+    ResponseParser parser(kind);
+    std::size_t offset = 0;
     while (!parser.is_ready()) {
-      const Framing framing = read_message(rest, kMaxMessageLength, message);
-      if (framing == Framing::Malformed)
-        return ParseStep::Broken;
-      if (framing == Framing::Incomplete && is_hopeless(rest, kResponseTypes))
-        return ParseStep::Broken;
-      if (framing == Framing::Incomplete)
+      const Framed<Message> message = read_message_of(in.substr(offset), kResponseTypes);
+      if (!message && message.error() == FramingError::Incomplete)
         break;
-      consumed_bytes = offset_behind(message, in);
-      if (!parser.add(message))
-        return ParseStep::Broken;
-      rest.remove_prefix(message.complete.size());
+      if (!message || !parser.add(message.value()))
+        return {Status::Malformed, 0, {}};
+      offset += message.value().encoded.size();
     }
-    return parser.finish(ended);
+    return parser.finish(input, offset);
   }
 
 private:
-  static bool is_authentication_ok(std::string_view body) {
-    return body.size() >= 4 && wire::read_u32_big_endian(body.data()) == 0;
-  }
-
-  std::string header_;  ///< The parts of the present request lead into it.
+  std::string header_;  ///< The last message's parts borrow from it.
 };
 
 }  // namespace
 
 std::unique_ptr<connection_pool::UpstreamProtocol> make_upstream_protocol() {
-  return std::make_unique<PostgresUpstream>();
+  return std::make_unique<PostgresUpstreamProtocol>();
 }
 
 }  // namespace gorsebeam::postgres
--- a/src/postgres/upstream_protocol.h
+++ b/src/postgres/upstream_protocol.h
@@ -1,4 +1,4 @@
-/// Speaks PostgreSQL's protocol to the endpoints: the client's side.
+/// The frontend's side of PostgreSQL's protocol, towards the endpoints: simple queries only.
 /// Source: PostgreSQL 15 documentation, chapter "Frontend/Backend Protocol" (version 3.0).
 #pragma once
 
--- a/src/wire/framing.h
+++ b/src/wire/framing.h
@@ -1,12 +1,17 @@
-/// What the bytes received so far hold of a length-prefixed message.
+/// The result of reading a length-prefixed message from the bytes received so far.
 #pragma once
 
+#include "common/result.h"
+
 namespace gorsebeam::wire {
 
-enum class Framing {
+/// Why there is no message.
+enum class FramingError {
   Incomplete,  ///< More bytes are needed.
-  Complete,
-  Malformed,  ///< The length is out of bounds.
+  Malformed,   ///< The length is out of bounds.
 };
 
+template <typename Message>
+using Framed = common::Result<Message, FramingError>;
+
 }  // namespace gorsebeam::wire
--- a/src/wire/integers.h
+++ b/src/wire/integers.h
@@ -6,7 +6,7 @@
 
 namespace gorsebeam::wire {
 
-/// The readers need 4 or 8 readable bytes at `bytes`; alignment is not required.
+/// The functions that read require 4 or 8 readable bytes at `bytes`, which need not be aligned.
 std::uint32_t read_u32_big_endian(const char* bytes);
 std::uint32_t read_u32_little_endian(const char* bytes);
 std::uint64_t read_u64_little_endian(const char* bytes);
--- a/tests/upstream_protocol_test.cpp
+++ b/tests/upstream_protocol_test.cpp
@@ -10,6 +10,10 @@
 namespace gorsebeam::postgres {
 namespace {
 
+using connection_pool::InputState;
+using connection_pool::ParsedResponse;
+using connection_pool::RequestKind;
+
 LoadReport report_of(const std::string& gauges) {
   const std::string column = std::string("\0\1gauges\0", 9) + std::string(18, '\0');
   const std::string row = std::string("\0\1", 2) +
@@ -18,12 +22,11 @@
   const std::string in = encode_message('T', column) + encode_message('D', row) +
                          encode_message('C', std::string("SELECT 1\0", 9)) +
                          encode_message('Z', "I");
-  proxy::UpstreamResponse answer;
-  std::size_t used = 0;
-  EXPECT_EQ(make_upstream_protocol()->parse_response(in, false, true, answer, used),
-            connection_pool::ParseStep::Done);
-  EXPECT_EQ(answer.status, AttemptStatus::Ok);
-  return answer.load_report;
+  const ParsedResponse parsed =
+      make_upstream_protocol()->parse_response(in, RequestKind::HealthCheck, InputState::Open);
+  EXPECT_EQ(parsed.status, ParsedResponse::Status::Complete);
+  EXPECT_EQ(parsed.response.status, AttemptStatus::Ok);
+  return parsed.response.load_report;
 }
 
 TEST(PostgresUpstream, ReadsReportPositionsInSecondsOrMilliseconds) {
