--- a/include/gorsebeam/actions.h
+++ b/include/gorsebeam/actions.h
@@ -34,7 +34,7 @@
   RateLimit,      ///< Its team is over its rate limit.
   OutOfTime,      ///< No further attempt could be answered in time.
   AttemptsUsed,   ///< It has had all attempts that it may have.
-  NotRepeatable,  ///< An attempt may have run, and its class allows no other.
+  UnsafeToRetry,  ///< An attempt may have run, and its class allows no other.
   NoPrimary,      ///< Its group has had no primary for half of its time.
 };
 
--- a/include/gorsebeam/settings.h
+++ b/include/gorsebeam/settings.h
@@ -68,7 +68,7 @@
   Duration response_slack{};  ///< A final answer still counts this long after the deadline.
   Duration drain_grace{};     ///< How long after a drain notice attempts may still start.
   /// Only endpoints listed as draining are off limits; one listed as removed may still serve.
-  bool only_draining_is_binding = false;
+  bool removed_endpoints_may_serve = false;
 
   Duration slow_start_duration{};          ///< A started endpoint has full capacity after this.
   double slow_start_initial_capacity = 1;  ///< The fraction that it starts with, in (0, 1].
--- a/src/logging/log_record.cpp
+++ b/src/logging/log_record.cpp
@@ -23,8 +23,8 @@
     return "out_of_time";
   case AnswerReason::AttemptsUsed:
     return "attempts_used";
-  case AnswerReason::NotRepeatable:
-    return "not_repeatable";
+  case AnswerReason::UnsafeToRetry:
+    return "unsafe_to_retry";
   case AnswerReason::NoPrimary:
     return "no_primary";
   }
--- a/src/proxy/invariant_guard.cpp
+++ b/src/proxy/invariant_guard.cpp
@@ -28,7 +28,7 @@
 void InvariantGuard::record_listed(EndpointId endpoint, GroupId group, EndpointStatus status) {
   ListedEndpointState& state = endpoints_[endpoint];
   state.group = group;
-  if (status == EndpointStatus::Removed && settings_.only_draining_is_binding)
+  if (status == EndpointStatus::Removed && settings_.removed_endpoints_may_serve)
     return;
   state.is_leaving = status != EndpointStatus::Up;
 }
--- a/src/proxy/request_broker.cpp
+++ b/src/proxy/request_broker.cpp
@@ -148,8 +148,8 @@
   if (!list_events_.empty() && guard_.check_endpoint(attempt.endpoint))
     return false;
   request.history.is_open = request.call != nullptr;
-  const bool is_first_look = now - request.begun_at < kMaxListDelay;
-  if (request.history.is_open && !is_first_look && request.call->has_client_left())
+  const bool is_first_dispatch = now - request.begun_at < kMaxListDelay;
+  if (request.history.is_open && !is_first_dispatch && request.call->has_client_left())
     return false;
   if (!router_.is_attempt_allowed(now, attempt.request_id, attempt.endpoint))
     return false;
@@ -221,7 +221,7 @@
                                      const std::vector<ListedEndpoint>& endpoints) {
   const EventBatch batch(*this);
   // Where only draining is binding, an endpoint that was removed may still be asked.
-  const bool removal_is_binding = !settings_.only_draining_is_binding;
+  const bool removal_is_binding = !settings_.removed_endpoints_may_serve;
   // A removal that was never announced must not leave its connections and table entries behind.
   if (kind == EndpointList::Kind::Full && removal_is_binding)
     remove_unlisted(endpoints);
--- a/src/router/attempt_observer.cpp
+++ b/src/router/attempt_observer.cpp
@@ -12,9 +12,9 @@
   // Reads that began before a handover end with the old role. Each would send all that waits to an
   // endpoint that has turned writes away since, until their attempts are used up.
   if (result.role == Role::Replica)
-    endpoint.denied_primary_at = now;
+    endpoint.answered_as_replica_at = now;
   const bool claims_primary =
-      result.role == Role::Primary && now - result.elapsed > endpoint.denied_primary_at;
+      result.role == Role::Primary && now - result.elapsed > endpoint.answered_as_replica_at;
   if (claims_primary || result.role == Role::Replica)
     state_.roles.record_role_evidence(endpoint,
                                       {claims_primary, now, RoleEvidence::Source::Answer});
@@ -31,10 +31,10 @@
   if (!report.is_primary)
     return;
   // A primary's position is the present, so it dates the report.
-  const TimePoint dated =
-      report.replication_position ? time_of(*report.replication_position) : now - kUndatedRoleAge;
+  const TimePoint as_of = report.replication_position ? time_of(*report.replication_position)
+                                                      : now - kAssumedEvidenceAge;
   state_.roles.record_role_evidence(endpoint,
-                                    {*report.is_primary, dated, RoleEvidence::Source::Report});
+                                    {*report.is_primary, as_of, RoleEvidence::Source::Report});
 }
 
 void AttemptObserver::record_attempt_end(EndpointState& endpoint, PendingRequest& request,
@@ -82,8 +82,8 @@
   const ReplicationPosition required = attempt.required_position;
   if (is_read(request) && state_.settings.staleness_check != StalenessCheck::None &&
       required != kUnknownPosition) {
-    const TimePoint shown_at = required > endpoint.position ? attempt.sent_at : kUnknown;
-    advance_replication_position(state_.endpoints, endpoint, required, shown_at);
+    const TimePoint reported_at = required > endpoint.position ? attempt.sent_at : kUnknown;
+    advance_replication_position(state_.endpoints, endpoint, required, reported_at);
   }
   state_.outliers.record_answer(endpoint, attempt);
 }
@@ -139,13 +139,13 @@
 // none come: where they are quick, answers are being lost, and holding requests back would not
 // help.
 void AttemptObserver::record_silence(EndpointState& endpoint) {
-  const FadingLoad& pool = state_.pool_of(endpoint);
+  const DecayingLoad& pool = state_.pool_of(endpoint);
   if (pool.count() < 1 || pool.exceeds(kTargetLoad))
     record_load(endpoint, LatencyLoadEstimator::kNoAnswer);
 }
 
 void AttemptObserver::record_load(EndpointState& endpoint, double objective_fraction) {
-  FadingLoad& pool = state_.pool_of(endpoint);
+  DecayingLoad& pool = state_.pool_of(endpoint);
   LatencyLoadEstimator::record(endpoint.load, pool, objective_fraction, state_.event.now);
 }
 
--- a/src/router/class_statistics.cpp
+++ b/src/router/class_statistics.cpp
@@ -23,11 +23,11 @@
 
 void ClassStatistics::record_answer(std::size_t class_index, double elapsed) {
   Row& row = rows_.at(class_index);
-  row.usual_time *= elapsed > row.usual_time ? 1 + kStep : 1 - kStep;
+  row.typical_latency *= elapsed > row.typical_latency ? 1 + kStep : 1 - kStep;
 }
 
 void ClassStatistics::record_overdue(std::size_t class_index) {
-  rows_.at(class_index).usual_time *= 1 + kStep;
+  rows_.at(class_index).typical_latency *= 1 + kStep;
 }
 
 }  // namespace gorsebeam::router
--- a/src/router/class_statistics.h
+++ b/src/router/class_statistics.h
@@ -23,8 +23,8 @@
   void record_overdue(std::size_t class_index);
 
   /// The median answer time in nanoseconds, with overdue attempts counted as long.
-  [[nodiscard]] double usual_time(std::size_t class_index) const {
-    return rows_.at(class_index).usual_time;
+  [[nodiscard]] double typical_latency(std::size_t class_index) const {
+    return rows_.at(class_index).typical_latency;
   }
 
   /// Recent requests, older ones counting less: the class's share of this router's traffic.
@@ -34,7 +34,7 @@
 
 private:
   struct Row {
-    double usual_time = 0;
+    double typical_latency = 0;
     double traffic = 0;
   };
 
--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -41,7 +41,7 @@
   }
   const bool needs_proof = is_bounded || request_class.consistency == ConsistencyLevel::Session;
   state_.health_checks.accrue_budget(group.sparse_bounded_reads && needs_proof,
-                                     admission_.pressure(Role::Primary));
+                                     admission_.saturation(Role::Primary));
 }
 
 void Dispatcher::dispatch(PendingRequest& request) {
@@ -70,11 +70,10 @@
   const auto replica = selector_.choose_replica(request);
   if (replica && start_attempt(request, *replica, AttemptKind::Normal))
     return;
-  const auto last_resort =
-      selector_.choose_recovery_attempt(request, RecoveryChoice::NoOtherIsLeft);
-  if (last_resort && start_attempt(request, *last_resort, AttemptKind::Recovery))
+  const auto fallback = selector_.choose_recovery_attempt(request, RecoveryChoice::Fallback);
+  if (fallback && start_attempt(request, *fallback, AttemptKind::Recovery))
     return;
-  wait_for_proof(request);
+  await_current_replica(request);
 }
 
 void Dispatcher::hedge(PendingRequest& request) {
@@ -91,10 +90,10 @@
 
 // No replica is admitted: the read waits while health checks ask for positions, and goes to the
 // primary once waiting longer would miss the latency objective.
-void Dispatcher::wait_for_proof(PendingRequest& request) {
-  const bool proof_may_come = request_proofs(request);
-  const Duration work = to_duration(2 * state_.usual_time(request));
-  if (proof_may_come && state_.event.now < request.objective_at - work)
+void Dispatcher::await_current_replica(PendingRequest& request) {
+  const bool position_may_arrive = request_positions(request);
+  const Duration work = to_duration(2 * state_.typical_latency(request));
+  if (position_may_arrive && state_.event.now < request.objective_at - work)
     return;
   const ReplicaGroup& group = state_.group_of(request);
   if (!group.primary || group.primary_suspected || selector_.was_attempted(request, *group.primary))
@@ -112,14 +111,14 @@
 // Deviates from the base design where bounded reads of a group come further apart than a proof
 // holds, as with many routers: one endpoint is checked at a time, and waited for, as old is not
 // behind. Costs latency where several replicas lag.
-bool Dispatcher::request_proofs(const PendingRequest& request) {
+bool Dispatcher::request_positions(const PendingRequest& request) {
   const ReplicaGroup& group = state_.group_of(request);
   const bool lacks_primary = !group.primary || group.primary_suspected;
-  const bool is_first_look = state_.event.now == request.arrived_at;
-  int extra = is_first_look && lacks_primary ? kExtraHealthChecks : 0;
+  const bool is_first_dispatch = state_.event.now == request.arrived_at;
+  int extra = is_first_dispatch && lacks_primary ? kExtraHealthChecks : 0;
   const bool one_at_a_time = group.sparse_bounded_reads && extra == 0;
-  bool waits_for_check = one_at_a_time && is_proof_requested(group);
-  bool proof_may_come = false;
+  bool waits_for_check = one_at_a_time && is_position_requested(group);
+  bool position_may_arrive = false;
   const std::vector<EndpointId>& ids = group.endpoints;
   for (std::size_t i = 0; i < ids.size(); ++i) {
     const EndpointId id = ids[(i + request.draw) % ids.size()];
@@ -133,9 +132,9 @@
       extra = std::max(0, extra - 1);
     }
     if (!is_primary && !selector_.was_attempted(request, id))
-      proof_may_come |= can_catch_up(endpoint, request);
+      position_may_arrive |= can_catch_up(endpoint, request);
   }
-  return proof_may_come || waits_for_check;
+  return position_may_arrive || waits_for_check;
 }
 
 bool Dispatcher::can_catch_up(const EndpointState& endpoint, const PendingRequest& request) const {
@@ -150,7 +149,7 @@
          required < endpoint.position + (request.objective_at - now);
 }
 
-bool Dispatcher::is_proof_requested(const ReplicaGroup& group) const {
+bool Dispatcher::is_position_requested(const ReplicaGroup& group) const {
   const TimePoint now = state_.event.now;
   const auto is_being_checked = [this, now](EndpointId id) {
     const EndpointState& endpoint = state_.endpoints.at(id);
@@ -175,7 +174,7 @@
 // most advanced first: a wrong one turns it away unexecuted. Costs those attempts.
 void Dispatcher::discover_primary(PendingRequest& request) {
   ReplicaGroup& group = state_.group_of(request);
-  if (rejections_.is_discovery_hopeless(request, group)) {
+  if (rejections_.cannot_find_primary_in_time(request, group)) {
     rejections_.give_up(request, AnswerReason::NoPrimary);
     return;
   }
@@ -214,18 +213,20 @@
   // After an attempt an endpoint may have the request again if it has shown since that it is the
   // primary: it may have broken one connection and live on, and then no other would ever take the
   // write.
-  const bool shown_since = is_primary && !request.attempts.empty() &&
-                           group.primary_evidence_at > request.attempts.back().sent_at;
+  const bool has_evidence_since_attempt =
+      is_primary && !request.attempts.empty() &&
+      group.primary_evidence_at > request.attempts.back().sent_at;
   // One that shows itself by health checks, where answers are quick, loses some answers: the
   // backoff, which doubles, would keep writes from it for seconds. One that hangs shows nothing;
   // where all are slow, it may be overloaded.
-  const bool shows_itself = is_primary && endpoint.position_shown_at > now - 4 * kHealthCheckGap &&
-                            !admission_.is_pool_overloaded(endpoint);
+  const bool has_recent_evidence = is_primary &&
+                                   endpoint.position_reported_at > now - 4 * kHealthCheckGap &&
+                                   !admission_.is_pool_overloaded(endpoint);
   if (!endpoint.is_usable())
     return false;
-  if (endpoint.is_ejected && now < endpoint.next_recovery_at && !shows_itself)
+  if (endpoint.is_ejected && now < endpoint.next_recovery_at && !has_recent_evidence)
     return false;
-  return shown_since || !selector_.was_attempted(request, id);
+  return has_evidence_since_attempt || !selector_.was_attempted(request, id);
 }
 
 // What waits in a group goes in order of value for its work: in overload the least is left over.
@@ -238,10 +239,10 @@
   waiting.reserve(group.waiting.size());
   for (const std::uint64_t sequence : group.waiting)
     waiting.push_back(&state_.requests.at(sequence));
-  const auto is_worth_more = [this](const PendingRequest* a, const PendingRequest* b) {
+  const auto has_higher_value = [this](const PendingRequest* a, const PendingRequest* b) {
     return admission_.value_per_work(*a) > admission_.value_per_work(*b);
   };
-  std::stable_sort(waiting.begin(), waiting.end(), is_worth_more);
+  std::stable_sort(waiting.begin(), waiting.end(), has_higher_value);
   for (PendingRequest* request : waiting) {
     dispatch(*request);
     scheduler_.finish_or_rearm(*request);
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -35,11 +35,11 @@
   void send_to_primary(PendingRequest& request);
   void discover_primary(PendingRequest& request);
   [[nodiscard]] bool can_try_discovery(const PendingRequest& request, EndpointState& endpoint);
-  void wait_for_proof(PendingRequest& request);
-  [[nodiscard]] bool request_proofs(const PendingRequest& request);
+  void await_current_replica(PendingRequest& request);
+  [[nodiscard]] bool request_positions(const PendingRequest& request);
   [[nodiscard]] bool can_catch_up(const EndpointState& endpoint,
                                   const PendingRequest& request) const;
-  [[nodiscard]] bool is_proof_requested(const ReplicaGroup& group) const;
+  [[nodiscard]] bool is_position_requested(const ReplicaGroup& group) const;
 
   /// Every attempt starts here. Returns whether it did.
   bool start_attempt(PendingRequest& request, EndpointId id, AttemptKind kind);
--- a/src/router/endpoint_list_updater.cpp
+++ b/src/router/endpoint_list_updater.cpp
@@ -69,9 +69,9 @@
       state_.endpoints.group_of(endpoint).primary)
     return;
   const bool is_cached = kind == EndpointList::Kind::Cached;
-  const TimePoint dated =
-      is_cached ? TimePoint(kUnknown + 1ns) : state_.event.now - kUndatedRoleAge;
-  state_.roles.record_role_evidence(endpoint, {true, dated, RoleEvidence::Source::Report});
+  const TimePoint as_of =
+      is_cached ? TimePoint(kUnknown + 1ns) : state_.event.now - kAssumedEvidenceAge;
+  state_.roles.record_role_evidence(endpoint, {true, as_of, RoleEvidence::Source::Report});
 }
 
 // Where only draining is binding, an endpoint listed as removed, or left out, that never drained is
@@ -79,7 +79,7 @@
 // connections.
 void EndpointListUpdater::mark_leaving(EndpointState& endpoint, EndpointStatus status) {
   const bool is_removed = status == EndpointStatus::Removed;
-  if (state_.settings.only_draining_is_binding && is_removed && !endpoint.is_leaving) {
+  if (state_.settings.removed_endpoints_may_serve && is_removed && !endpoint.is_leaving) {
     endpoint.listing.status = EndpointStatus::Up;
     return;
   }
--- a/src/router/endpoint_selection.cpp
+++ b/src/router/endpoint_selection.cpp
@@ -51,10 +51,10 @@
   const std::vector<RequestClass>& classes = state_.settings.classes;
   if (classes[class_index].consistency != ConsistencyLevel::Eventual)
     return false;
-  const double usual_time = state_.classes.usual_time(class_index);
+  const double typical_latency = state_.classes.typical_latency(class_index);
   for (std::size_t i = 0; i < classes.size(); ++i) {
     if (needs_current_data(classes[i]) &&
-        usual_time < kLongReadFactor * state_.classes.usual_time(i))
+        typical_latency < kLongReadFactor * state_.classes.typical_latency(i))
       return false;
   }
   return true;
@@ -106,8 +106,8 @@
     return true;
   if (request_class.consistency != ConsistencyLevel::BoundedStaleness)
     return false;
-  return endpoint.position_shown_at == kUnknown ||
-         endpoint.position_shown_at - time_of(endpoint.position) <= request_class.max_staleness;
+  return endpoint.position_reported_at == kUnknown ||
+         endpoint.position_reported_at - time_of(endpoint.position) <= request_class.max_staleness;
 }
 
 // Deviates from the base design where an even split leaves the replica with the long reads, or the
@@ -120,7 +120,7 @@
   double all = 0;
   double own = 0;
   for (std::size_t i = 0; i < state_.settings.classes.size(); ++i) {
-    const double work = state_.classes.traffic(i) * state_.classes.usual_time(i);
+    const double work = state_.classes.traffic(i) * state_.classes.typical_latency(i);
     all += work;
     if (is_primary ? only_primary_serves(state_.settings.classes[i])
                    : serves_long_reads && is_long_running(i))
@@ -202,7 +202,7 @@
     const bool serves_long_reads = long_read_replica == id;
     const double share = load_share(group, id, serves_long_reads);
     if (group.primary == id) {
-      const double weight = share * admission_.pressure(Role::Replica);
+      const double weight = share * admission_.saturation(Role::Replica);
       if (!group.primary_suspected && weight > 0)
         candidates.admitted.emplace_back(id, weight);
       continue;
--- a/src/router/endpoint_selection.h
+++ b/src/router/endpoint_selection.h
@@ -16,8 +16,8 @@
 
 /// When an ejected endpoint may get a request to see whether it answers.
 enum class RecoveryChoice {
-  ByHashShare,   ///< Not more often than the hash would give it requests.
-  NoOtherIsLeft  ///< Whenever one is ready, as no other endpoint can serve the request.
+  ByHashShare,  ///< Not more often than the hash would give it requests.
+  Fallback      ///< Whenever one is ready, as no other endpoint can serve the request.
 };
 
 /// Sessions hash over the admitted replicas, sorted by id, so that all routers send one session to
--- a/src/router/endpoint_table.h
+++ b/src/router/endpoint_table.h
@@ -38,14 +38,14 @@
   bool has_health_check = false;      ///< One is in flight.
   TimePoint next_recovery_at{};       ///< No recovery attempt before this.
   Duration recovery_backoff =
-      kInitialRecoveryBackoff;                ///< The next pause; doubles with each failure.
-  TimePoint last_answer_at{};                 ///< When it last answered an attempt.
-  TimePoint last_health_check_at = kUnknown;  ///< When the last one was sent.
-  TimePoint position_shown_at = kUnknown;     ///< When it last showed a position.
-  TimePoint role_evidence_at = kUnknown;      ///< The date of the newest evidence of its role.
-  TimePoint denied_primary_at = kUnknown;     ///< When it last answered that it is a replica.
-  TimePoint warming_since = kUnknown;         ///< When its slow start began.
-  FadingLoad load;                            ///< Of its own answers.
+      kInitialRecoveryBackoff;                  ///< The next pause; doubles with each failure.
+  TimePoint last_answer_at{};                   ///< When it last answered an attempt.
+  TimePoint last_health_check_at = kUnknown;    ///< When the last one was sent.
+  TimePoint position_reported_at = kUnknown;    ///< When it last showed a position.
+  TimePoint role_evidence_at = kUnknown;        ///< The date of the newest evidence of its role.
+  TimePoint answered_as_replica_at = kUnknown;  ///< When it last answered that it is a replica.
+  TimePoint warming_since = kUnknown;           ///< When its slow start began.
+  DecayingLoad load;                            ///< Of its own answers.
 
   /// Whether requests and health checks may be sent to it at all.
   [[nodiscard]] bool is_usable() const {
--- a/src/router/event_context.h
+++ b/src/router/event_context.h
@@ -13,13 +13,13 @@
 /// Owned by the router's state and updated with each event; other modules hold a reference.
 struct EventContext {
   TimePoint now{};
-  TimePoint stalled_at = kNever;  ///< When a timer last came far too late.
+  TimePoint stall_detected_at = kNever;  ///< When a timer last came far too late.
   std::vector<Action>* actions =
       nullptr;  ///< The caller's list; set only while an event is handled.
 
   /// Whether the router itself stood still until this event. What it finds then says nothing about
   /// the endpoints.
-  [[nodiscard]] bool is_after_stall() const { return stalled_at == now; }
+  [[nodiscard]] bool is_after_stall() const { return stall_detected_at == now; }
 
   /// Appends an action. Actions are done in this order.
   template <typename AnyAction>
--- a/src/router/health_check_scheduler.cpp
+++ b/src/router/health_check_scheduler.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 constexpr double kBudgetShare = 0.1;  // checks for each request of this router: bounds their cost
-constexpr double kMinProofValue = 0.04;  // of a read's value, for a proof that it alone uses
+constexpr double kMinPositionValue = 0.04;  // of a read's value, for a proof that it alone uses
 
 }  // namespace
 
-void HealthCheckScheduler::accrue_budget(bool read_needs_own_proof, double primary_pressure) {
-  const double value = std::max(kMinProofValue, primary_pressure);
+void HealthCheckScheduler::accrue_budget(bool read_needs_own_check, double primary_saturation) {
+  const double value = std::max(kMinPositionValue, primary_saturation);
   const double share =
-      read_needs_own_proof ? value / std::max(settings_.health_check_price, value) : kBudgetShare;
+      read_needs_own_check ? value / std::max(settings_.health_check_price, value) : kBudgetShare;
   budget_ = std::min(budget_ + share, kMaxBudget);
 }
 
--- a/src/router/health_check_scheduler.h
+++ b/src/router/health_check_scheduler.h
@@ -27,8 +27,8 @@
 
   /// Adds a request's share to the budget. A read of a group whose bounded reads are sparse may
   /// spend what its proof is worth to it alone, which rises with the load of the primaries, as
-  /// `primary_pressure` in [0, 1] says.
-  void accrue_budget(bool read_needs_own_proof, double primary_pressure);
+  /// `primary_saturation` in [0, 1] says.
+  void accrue_budget(bool read_needs_own_check, double primary_saturation);
 
   /// Sends a health check if one is allowed, none is in flight and the last is at least `gap` ago.
   /// Returns whether it was sent.
--- a/src/router/load_admission.cpp
+++ b/src/router/load_admission.cpp
@@ -13,14 +13,14 @@
 // pass that the rest are in time; what is left goes to others or waits. Costs requests where one
 // group alone is overloaded and has few answers.
 bool LoadAdmission::admits_under_load(EndpointState& endpoint, const PendingRequest& request) {
-  const FadingLoad& pool = state_.pool_of(endpoint);
-  const FadingLoad& own = state_.load_of(endpoint);
+  const DecayingLoad& pool = state_.pool_of(endpoint);
+  const DecayingLoad& own = state_.load_of(endpoint);
   const double headroom = LatencyLoadEstimator::headroom(own, pool, kTargetLoad);
   double value = 0;
   double work = 0;
   for (std::size_t i = 0; i < state_.settings.classes.size(); ++i) {
     value += state_.classes.traffic(i) * state_.settings.classes[i].priority_weight;
-    work += state_.classes.traffic(i) * state_.classes.usual_time(i);
+    work += state_.classes.traffic(i) * state_.classes.typical_latency(i);
   }
   // About squared, as clients repeat what was late; more for requests whose value for their work is
   // below the mean.
@@ -40,14 +40,14 @@
   const double capacity = slow_start_capacity(endpoint, state_.settings, state_.event.now);
   if (capacity >= 1)
     return true;
-  const FadingLoad& pool = state_.pool_of(endpoint);
+  const DecayingLoad& pool = state_.pool_of(endpoint);
   const bool start_is_listed = endpoint.warming_since == endpoint.listing.started_at;
   const double tolerance = start_is_listed ? std::sqrt(state_.settings.overload_factor) : 1;
   const double relief = pool.exceeds(kTargetLoad) ? kTargetLoad * pool.count() / pool.sum() : 1;
   return unit_interval(request.draw) < tolerance * capacity * relief;
 }
 
-double LoadAdmission::pressure(Role role) {
+double LoadAdmission::saturation(Role role) {
   const double mean = state_.loads.role_mean(role, state_.event.now);
   return std::clamp(2 * mean / kTargetLoad - 1, 0.0, 1.0);
 }
@@ -57,7 +57,7 @@
 }
 
 double LoadAdmission::value_per_work(const PendingRequest& request) const {
-  return state_.class_of(request).priority_weight / state_.usual_time(request);
+  return state_.class_of(request).priority_weight / state_.typical_latency(request);
 }
 
 }  // namespace gorsebeam::router
--- a/src/router/load_admission.h
+++ b/src/router/load_admission.h
@@ -25,7 +25,7 @@
 
   /// How far the endpoints of a role are from having room: 1 where answers use the target load, 0
   /// up to half of it.
-  [[nodiscard]] double pressure(Role role);
+  [[nodiscard]] double saturation(Role role);
 
   /// Whether the endpoints in this one's zone with its role answer slower than the target load.
   [[nodiscard]] bool is_pool_overloaded(const EndpointState& endpoint);
--- a/src/router/load_estimator.h
+++ b/src/router/load_estimator.h
@@ -1,6 +1,6 @@
 /// Estimates the load of endpoints from how long their answers take.
 ///
-/// A sample is an answer's time as a fraction of its latency objective. Samples fade, so that an
+/// A sample is an answer's time as a fraction of its latency objective. Samples decay, so that an
 /// estimate follows jams, which last seconds. Few answers of a single endpoint reach a small
 /// router, so they are weighed against those of all endpoints in its zone with its role; this also
 /// covers a slow network path between zones.
@@ -15,12 +15,12 @@
 namespace gorsebeam::router {
 
 /// A sum of samples in which older ones count less.
-class FadingLoad {
+class DecayingLoad {
 public:
-  /// Fades all samples up to `now`.
-  FadingLoad& fade(TimePoint now);
+  /// Decays all samples up to `now`.
+  DecayingLoad& decay(TimePoint now);
 
-  /// Adds a sample at the time of the last `fade`. Capped: late is late.
+  /// Adds a sample at the time of the last `decay`. Capped: late is late.
   void add(double objective_fraction);
 
   /// Whether the mean of the samples exceeds `target`.
@@ -33,7 +33,7 @@
 private:
   double sum_ = 0;
   double count_ = 0;
-  TimePoint faded_at_{};
+  TimePoint decayed_at_{};
 };
 
 /// Holds the pooled load for each zone and role. Bounded by the zones that the list names.
@@ -42,22 +42,23 @@
   /// The sample of a request that got no usable answer.
   static constexpr double kNoAnswer = 2;
 
-  /// The pool of a zone and a role, faded to `now`.
-  [[nodiscard]] FadingLoad& pool(const std::string& zone, Role role, TimePoint now);
+  /// The pool of a zone and a role, decayed to `now`.
+  [[nodiscard]] DecayingLoad& pool(const std::string& zone, Role role, TimePoint now);
 
   /// Adds a sample to an endpoint's own load and to its pool.
-  static void record(FadingLoad& own, FadingLoad& pool, double objective_fraction, TimePoint now);
+  static void record(DecayingLoad& own, DecayingLoad& pool, double objective_fraction,
+                     TimePoint now);
 
   /// `target` divided by the estimated load: above 1 for an endpoint with room. Both loads must be
-  /// faded to the present.
-  [[nodiscard]] static double headroom(const FadingLoad& own, const FadingLoad& pool,
+  /// decayed to the present.
+  [[nodiscard]] static double headroom(const DecayingLoad& own, const DecayingLoad& pool,
                                        double target);
 
   /// The mean load of a role over all zones, with the samples of `excluded` left out.
-  [[nodiscard]] double role_mean(Role role, TimePoint now, const FadingLoad& excluded = {});
+  [[nodiscard]] double role_mean(Role role, TimePoint now, const DecayingLoad& excluded = {});
 
 private:
-  std::map<std::pair<std::string, Role>, FadingLoad> pools_;
+  std::map<std::pair<std::string, Role>, DecayingLoad> pools_;
 };
 
 }  // namespace gorsebeam::router
--- a/src/router/outlier_ejection.cpp
+++ b/src/router/outlier_ejection.cpp
@@ -14,9 +14,10 @@
 
 }  // namespace
 
-void OutlierEjector::eject(EndpointState& endpoint, RecoveryProof proof, EjectionReason reason) {
+void OutlierEjector::eject(EndpointState& endpoint, RecoveryCondition proof,
+                           EjectionReason reason) {
   roles_.suspect_primary(endpoint);
-  if (proof == RecoveryProof::Attempt)
+  if (proof == RecoveryCondition::Attempt)
     endpoint.needs_recovery_attempt = true;
   if (endpoint.is_ejected)
     return;
@@ -74,7 +75,7 @@
     back_off_recovery(endpoint);
   ++endpoint.consecutive_failures;
   if (endpoint.consecutive_failures >= kConsecutiveFailures)
-    eject(endpoint, RecoveryProof::Attempt, EjectionReason::ConsecutiveTimeouts);
+    eject(endpoint, RecoveryCondition::Attempt, EjectionReason::ConsecutiveTimeouts);
 }
 
 void OutlierEjector::record_success(EndpointState& endpoint) {
@@ -86,7 +87,7 @@
   if (attempt.is_recovery)
     back_off_recovery(endpoint);
   if (endpoint.error_ratio > kMaxErrorRatio && !endpoints_.is_primary(endpoint))
-    eject(endpoint, RecoveryProof::Attempt, EjectionReason::ErrorRatio);
+    eject(endpoint, RecoveryCondition::Attempt, EjectionReason::ErrorRatio);
 }
 
 bool OutlierEjector::record_connection_failure(EndpointState& endpoint,
@@ -109,7 +110,7 @@
     if (endpoint.consecutive_failures < kConsecutiveFailures)
       return false;
   }
-  eject(endpoint, RecoveryProof::HealthCheck, EjectionReason::ConnectionFailure);
+  eject(endpoint, RecoveryCondition::HealthCheck, EjectionReason::ConnectionFailure);
   return true;
 }
 
--- a/src/router/outlier_ejection.h
+++ b/src/router/outlier_ejection.h
@@ -11,7 +11,7 @@
 namespace gorsebeam::router {
 
 /// What ends an ejection.
-enum class RecoveryProof {
+enum class RecoveryCondition {
   HealthCheck,  ///< A health check or any answer.
   Attempt,      ///< Only the answer to a request: a health check proves little after such failures.
 };
@@ -30,7 +30,7 @@
       : event_(event), settings_(settings), endpoints_(endpoints), roles_(roles) {}
 
   /// Stops reads to the endpoint and suspects it if it is primary.
-  void eject(EndpointState& endpoint, RecoveryProof proof, EjectionReason reason);
+  void eject(EndpointState& endpoint, RecoveryCondition proof, EjectionReason reason);
 
   /// Ends the ejection, if there is one. Starts a slow start if the endpoint may have restarted.
   void readmit(EndpointState& endpoint);
--- a/src/router/rejection_policy.cpp
+++ b/src/router/rejection_policy.cpp
@@ -22,16 +22,16 @@
     return AnswerReason::OutOfTime;
   if (!retries_.has_attempts_left(request))
     return AnswerReason::AttemptsUsed;
-  if (!retries_.is_repeatable(request))
-    return AnswerReason::NotRepeatable;
+  if (!retries_.is_safe_to_retry(request))
+    return AnswerReason::UnsafeToRetry;
   return std::nullopt;
 }
 
 // A client must not be held for an election, which lasts seconds: what was not sent by half of its
 // time is rejected while its client can still come back. A suspected primary may answer any time,
 // so requests wait for it.
-bool RejectionPolicy::is_discovery_hopeless(const PendingRequest& request,
-                                            const ReplicaGroup& group) const {
+bool RejectionPolicy::cannot_find_primary_in_time(const PendingRequest& request,
+                                                  const ReplicaGroup& group) const {
   if (!request.attempts.empty() || group.primary || group.primary_evidence_at == kUnknown)
     return false;
   const TimePoint now = state_.event.now;
--- a/src/router/rejection_policy.h
+++ b/src/router/rejection_policy.h
@@ -22,8 +22,8 @@
   [[nodiscard]] std::optional<AnswerReason> reason_to_give_up(const PendingRequest& request) const;
 
   /// Whether a request that needs its group's unknown primary should not wait for it any longer.
-  [[nodiscard]] bool is_discovery_hopeless(const PendingRequest& request,
-                                           const ReplicaGroup& group) const;
+  [[nodiscard]] bool cannot_find_primary_in_time(const PendingRequest& request,
+                                                 const ReplicaGroup& group) const;
 
   /// Closes a request without an attempt in flight: rejected when that is true to say, else failed.
   void give_up(PendingRequest& request, AnswerReason reason) const;
--- a/src/router/replication_positions.cpp
+++ b/src/router/replication_positions.cpp
@@ -5,8 +5,8 @@
 namespace gorsebeam::router {
 
 void advance_replication_position(EndpointTable& endpoints, EndpointState& endpoint,
-                                  ReplicationPosition position, TimePoint shown_at) {
-  endpoint.position_shown_at = std::max(endpoint.position_shown_at, shown_at);
+                                  ReplicationPosition position, TimePoint reported_at) {
+  endpoint.position_reported_at = std::max(endpoint.position_reported_at, reported_at);
   if (position <= endpoint.position)
     return;
   endpoint.position = position;
--- a/src/router/replication_positions.h
+++ b/src/router/replication_positions.h
@@ -7,10 +7,10 @@
 
 namespace gorsebeam::router {
 
-/// An endpoint showed at `shown_at` that it has applied the log up to `position`. A position holds
-/// for good once shown: it never falls.
+/// An endpoint showed at `reported_at` that it has applied the log up to `position`. A position
+/// holds for good once shown: it never falls.
 void advance_replication_position(EndpointTable& endpoints, EndpointState& endpoint,
-                                  ReplicationPosition position, TimePoint shown_at);
+                                  ReplicationPosition position, TimePoint reported_at);
 
 /// Whether a misdirected read showed a need that no position has proved met since.
 [[nodiscard]] bool is_known_stale(const EndpointState& endpoint);
--- a/src/router/retry_policy.cpp
+++ b/src/router/retry_policy.cpp
@@ -33,8 +33,8 @@
   const bool is_ejected = state_.endpoints.at(last.endpoint).is_ejected;
   if (!is_ejected && hedge_budget_ < 1)
     return HedgeDecision::None;
-  const auto usual_time = to_duration(state_.usual_time(request));
-  if (state_.event.now + usual_time > request.give_up_at)
+  const auto typical_latency = to_duration(state_.typical_latency(request));
+  if (state_.event.now + typical_latency > request.give_up_at)
     return HedgeDecision::None;
   return is_ejected ? HedgeDecision::Free : HedgeDecision::Budgeted;
 }
@@ -52,8 +52,8 @@
   const TimePoint now = state_.event.now;
   const double peers = state_.loads.role_mean(role, now, state_.load_of(endpoint));
   const double others = std::max(peers, state_.loads.role_mean(other_role, now));
-  const double limit =
-      std::max(kOverdueFactor * state_.usual_time(request), objective / 4) + 2 * others * objective;
+  const double limit = std::max(kOverdueFactor * state_.typical_latency(request), objective / 4) +
+                       2 * others * objective;
   return to_duration(std::min(limit, 2.0 * to_double(request_class.deadline)));
 }
 
@@ -65,7 +65,7 @@
 }
 
 // No effect twice: what may have run goes out again only where its key holds, within its window.
-bool RetryPolicy::is_repeatable(const PendingRequest& request) const {
+bool RetryPolicy::is_safe_to_retry(const PendingRequest& request) const {
   const RequestClass& request_class = state_.class_of(request);
   if (request.may_have_run_at == kUnknown || request_class.idempotency == Idempotency::Idempotent)
     return true;
@@ -76,8 +76,7 @@
 }
 
 // A key that holds within a zone binds a request that may have run to the zone where it ran.
-bool RetryPolicy::can_repeat_at(const PendingRequest& request,
-                                const EndpointState& endpoint) const {
+bool RetryPolicy::can_retry_at(const PendingRequest& request, const EndpointState& endpoint) const {
   const RequestClass& request_class = state_.class_of(request);
   if (request_class.idempotency != Idempotency::IdempotencyKey ||
       request_class.deduplication_scope != DeduplicationScope::Zone ||
@@ -95,7 +94,7 @@
     return false;
   if (!endpoint.is_usable())  // drains are kept
     return false;
-  if (!is_repeatable(request) || !can_repeat_at(request, endpoint))
+  if (!is_safe_to_retry(request) || !can_retry_at(request, endpoint))
     return false;
   const RequestClass& request_class = state_.class_of(request);
   if (state_.settings.staleness_check != StalenessCheck::None ||
--- a/src/router/retry_policy.h
+++ b/src/router/retry_policy.h
@@ -35,7 +35,7 @@
   [[nodiscard]] bool has_attempts_left(const PendingRequest& request) const;
 
   /// Whether another attempt can have no second effect.
-  [[nodiscard]] bool is_repeatable(const PendingRequest& request) const;
+  [[nodiscard]] bool is_safe_to_retry(const PendingRequest& request) const;
 
   /// The rules on what may go to an endpoint: kept at the decision, and again when it is written.
   [[nodiscard]] bool is_attempt_allowed(const PendingRequest& request,
@@ -55,8 +55,8 @@
   [[nodiscard]] static bool may_have_run(AttemptStatus status);
 
 private:
-  [[nodiscard]] bool can_repeat_at(const PendingRequest& request,
-                                   const EndpointState& endpoint) const;
+  [[nodiscard]] bool can_retry_at(const PendingRequest& request,
+                                  const EndpointState& endpoint) const;
 
   RouterState& state_;
   double hedge_budget_ = kMaxHedgeBudget;
--- a/src/router/role_evidence.cpp
+++ b/src/router/role_evidence.cpp
@@ -7,19 +7,19 @@
 void RoleTracker::record_role_evidence(EndpointState& endpoint, const RoleEvidence& evidence) {
   // A load report can be older than the answer that brings it. It would elect again, and again, the
   // endpoint that has just said that it is primary no more.
-  if (evidence.dated < endpoint.role_evidence_at)
+  if (evidence.as_of < endpoint.role_evidence_at)
     return;
-  endpoint.role_evidence_at = evidence.dated;
+  endpoint.role_evidence_at = evidence.as_of;
   ReplicaGroup& group = endpoints_.group_of(endpoint);
   const bool was_primary = group.primary == endpoint.listing.id;
   if (!evidence.is_primary && !was_primary)
     return;
   const bool changes = evidence.is_primary != was_primary;
-  if (changes && group.primary && evidence.dated <= group.primary_evidence_at)
+  if (changes && group.primary && evidence.as_of <= group.primary_evidence_at)
     return;
   if (changes)
     change_primary(endpoint, evidence.is_primary);
-  group.primary_evidence_at = std::max(group.primary_evidence_at, evidence.dated);
+  group.primary_evidence_at = std::max(group.primary_evidence_at, evidence.as_of);
   if (evidence.source == RoleEvidence::Source::Answer)
     group.primary_suspected = false;
   endpoints_.mark_dispatchable(endpoint.listing.group);
--- a/src/router/role_evidence.h
+++ b/src/router/role_evidence.h
@@ -7,7 +7,7 @@
 namespace gorsebeam::router {
 
 /// Age given to a role when its evidence bears no date.
-constexpr Duration kUndatedRoleAge = 2000ms;
+constexpr Duration kAssumedEvidenceAge = 2000ms;
 
 /// What something says of an endpoint's role.
 struct RoleEvidence {
@@ -15,7 +15,7 @@
   enum class Source { Answer, Report };
 
   bool is_primary = false;
-  TimePoint dated{};
+  TimePoint as_of{};
   Source source = Source::Report;
 };
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -29,7 +29,7 @@
     state_.event.now = now;
     state_.event.actions = &actions;
     if (state_.timers.is_long_overdue(now))
-      state_.event.stalled_at = now;
+      state_.event.stall_detected_at = now;
     std::visit(
         [this](const auto& content) {
           on(content);
--- a/src/router/router_state.cpp
+++ b/src/router/router_state.cpp
@@ -20,12 +20,12 @@
       health_checks(event, settings, endpoints), sessions(settings),
       timers(seed, settings.clock_resolution) {}
 
-FadingLoad& RouterState::pool_of(const EndpointState& endpoint) {
+DecayingLoad& RouterState::pool_of(const EndpointState& endpoint) {
   return loads.pool(endpoint.listing.zone, endpoints.role_of(endpoint), event.now);
 }
 
-FadingLoad& RouterState::load_of(EndpointState& endpoint) const {
-  return endpoint.load.fade(event.now);
+DecayingLoad& RouterState::load_of(EndpointState& endpoint) const {
+  return endpoint.load.decay(event.now);
 }
 
 }  // namespace gorsebeam::router
--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -30,8 +30,8 @@
   }
 
   /// The usual answer time of the request's class, in nanoseconds.
-  [[nodiscard]] double usual_time(const PendingRequest& request) const {
-    return classes.usual_time(request.request.class_index);
+  [[nodiscard]] double typical_latency(const PendingRequest& request) const {
+    return classes.typical_latency(request.request.class_index);
   }
 
   /// The group of a request, created if it is new.
@@ -39,11 +39,11 @@
     return endpoints.group(request.request.group);
   }
 
-  /// The load of all endpoints in this one's zone with its role, faded to the present.
-  [[nodiscard]] FadingLoad& pool_of(const EndpointState& endpoint);
+  /// The load of all endpoints in this one's zone with its role, decayed to the present.
+  [[nodiscard]] DecayingLoad& pool_of(const EndpointState& endpoint);
 
-  /// The endpoint's own load, faded to the present.
-  [[nodiscard]] FadingLoad& load_of(EndpointState& endpoint) const;
+  /// The endpoint's own load, decayed to the present.
+  [[nodiscard]] DecayingLoad& load_of(EndpointState& endpoint) const;
 
   const Settings settings;
   EventContext event;
--- a/src/settings/deployment_profile.cpp
+++ b/src/settings/deployment_profile.cpp
@@ -167,7 +167,7 @@
 void read_obligations(const JsonObjectReader& obligations, Settings& settings) {
   settings.response_slack = obligations.read_duration("answer_slack", 0ms);
   settings.drain_grace = obligations.read_duration("drain_grace", 0ms);
-  settings.only_draining_is_binding = obligations.read_bool("only_draining_binds");
+  settings.removed_endpoints_may_serve = obligations.read_bool("only_draining_binds");
   settings.slow_start_duration = obligations.read_duration("cold", 0ms);
   settings.slow_start_initial_capacity = obligations.read_non_negative("cold_from", 1);
   if (settings.slow_start_initial_capacity <= 0 || settings.slow_start_initial_capacity > 1)
--- a/tests/invariant_guard_test.cpp
+++ b/tests/invariant_guard_test.cpp
@@ -82,7 +82,7 @@
 }
 
 TEST_F(InvariantGuardTest, RemovalBindsOnlyAfterADrainWhereOnlyDrainingIsBinding) {
-  settings_.only_draining_is_binding = true;
+  settings_.removed_endpoints_may_serve = true;
   guard_.record_listed(kEndpoint, kGroup, EndpointStatus::Removed);
   EXPECT_EQ(guard_.check_endpoint(kEndpoint), std::nullopt);
   guard_.record_listed(kEndpoint, kGroup, EndpointStatus::Draining);
--- a/tests/router/class_statistics_test.cpp
+++ b/tests/router/class_statistics_test.cpp
@@ -17,24 +17,24 @@
 
 TEST(ClassStatistics, StartsAtAFifthOfTheObjectiveWithoutTraffic) {
   const ClassStatistics statistics(two_classes());
-  EXPECT_DOUBLE_EQ(statistics.usual_time(0), 200);
-  EXPECT_DOUBLE_EQ(statistics.usual_time(1), 1000);
+  EXPECT_DOUBLE_EQ(statistics.typical_latency(0), 200);
+  EXPECT_DOUBLE_EQ(statistics.typical_latency(1), 1000);
   EXPECT_DOUBLE_EQ(statistics.traffic(0), 0);
 }
 
 TEST(ClassStatistics, AnswersMoveTheUsualTimeTowardsTheMedian) {
   ClassStatistics statistics(two_classes());
   statistics.record_answer(0, 300);
-  EXPECT_DOUBLE_EQ(statistics.usual_time(0), 200 * 1.02);
+  EXPECT_DOUBLE_EQ(statistics.typical_latency(0), 200 * 1.02);
   statistics.record_answer(0, 100);
-  EXPECT_DOUBLE_EQ(statistics.usual_time(0), 200 * 1.02 * 0.98);
-  EXPECT_DOUBLE_EQ(statistics.usual_time(1), 1000);
+  EXPECT_DOUBLE_EQ(statistics.typical_latency(0), 200 * 1.02 * 0.98);
+  EXPECT_DOUBLE_EQ(statistics.typical_latency(1), 1000);
 }
 
 TEST(ClassStatistics, AnOverdueAttemptCountsAsALongAnswer) {
   ClassStatistics statistics(two_classes());
   statistics.record_overdue(1);
-  EXPECT_DOUBLE_EQ(statistics.usual_time(1), 1000 * 1.02);
+  EXPECT_DOUBLE_EQ(statistics.typical_latency(1), 1000 * 1.02);
 }
 
 TEST(ClassStatistics, TrafficOfAllClassesFadesWithEachRequest) {
--- a/tests/router/load_estimator_test.cpp
+++ b/tests/router/load_estimator_test.cpp
@@ -10,22 +10,22 @@
 
 constexpr double kTarget = 0.35;
 
-TEST(FadingLoad, FadesToOneOverEInThreeSeconds) {
-  FadingLoad load;
-  load.fade(TimePoint(1s)).add(1);
-  load.fade(TimePoint(4s));
+TEST(DecayingLoad, FadesToOneOverEInThreeSeconds) {
+  DecayingLoad load;
+  load.decay(TimePoint(1s)).add(1);
+  load.decay(TimePoint(4s));
   EXPECT_DOUBLE_EQ(load.count(), std::exp(-1.0));
   EXPECT_DOUBLE_EQ(load.sum(), std::exp(-1.0));
 }
 
-TEST(FadingLoad, CapsSamplesAtNoAnswer) {
-  FadingLoad load;
+TEST(DecayingLoad, CapsSamplesAtNoAnswer) {
+  DecayingLoad load;
   load.add(50);
   EXPECT_DOUBLE_EQ(load.sum(), LatencyLoadEstimator::kNoAnswer);
 }
 
-TEST(FadingLoad, ExceedsATargetOnlyAboveIt) {
-  FadingLoad load;
+TEST(DecayingLoad, ExceedsATargetOnlyAboveIt) {
+  DecayingLoad load;
   EXPECT_FALSE(load.exceeds(kTarget));
   load.add(0.25);
   EXPECT_FALSE(load.exceeds(0.25));
@@ -34,7 +34,7 @@
 
 TEST(LatencyLoadEstimator, KeepsOnePoolForEachZoneAndRole) {
   LatencyLoadEstimator estimator;
-  FadingLoad own;
+  DecayingLoad own;
   LatencyLoadEstimator::record(own, estimator.pool("north", Role::Replica, TimePoint{}), 1,
                                TimePoint{});
   EXPECT_DOUBLE_EQ(own.count(), 1);
@@ -45,8 +45,8 @@
 
 TEST(LatencyLoadEstimator, RoleMeanSpansZonesAndLeavesOutOneEndpoint) {
   LatencyLoadEstimator estimator;
-  FadingLoad slow;
-  FadingLoad quick;
+  DecayingLoad slow;
+  DecayingLoad quick;
   LatencyLoadEstimator::record(slow, estimator.pool("north", Role::Replica, TimePoint{}), 1,
                                TimePoint{});
   LatencyLoadEstimator::record(quick, estimator.pool("south", Role::Replica, TimePoint{}), 0.5,
@@ -61,7 +61,7 @@
 }
 
 TEST(LatencyLoadEstimator, FewSlowAnswersOfAPoolDoNotMakeAnEndpointFull) {
-  FadingLoad pool;
+  DecayingLoad pool;
   for (int i = 0; i < 3; ++i)
     pool.add(1);
   EXPECT_GT(LatencyLoadEstimator::headroom({}, pool, kTarget), 1);
@@ -71,10 +71,10 @@
 }
 
 TEST(LatencyLoadEstimator, AnEndpointsOwnAnswersOutweighItsPool) {
-  FadingLoad pool;
+  DecayingLoad pool;
   for (int i = 0; i < 100; ++i)
     pool.add(0.1);
-  FadingLoad own;
+  DecayingLoad own;
   for (int i = 0; i < 40; ++i)
     own.add(1);
   EXPECT_GT(LatencyLoadEstimator::headroom({}, pool, kTarget), 1);
--- a/tests/router/outlier_ejection_test.cpp
+++ b/tests/router/outlier_ejection_test.cpp
@@ -39,7 +39,7 @@
 
 TEST_F(OutlierEjectorTest, OnlyTheAnswerToARecoveryAttemptReadmitsAfterTimeouts) {
   EndpointState& endpoint = add_endpoint(1);
-  outliers_.eject(endpoint, RecoveryProof::Attempt, EjectionReason::ConsecutiveTimeouts);
+  outliers_.eject(endpoint, RecoveryCondition::Attempt, EjectionReason::ConsecutiveTimeouts);
   outliers_.record_answer(endpoint, {});
   EXPECT_TRUE(endpoint.is_ejected);
   outliers_.record_answer(endpoint, recovery_attempt());
@@ -99,7 +99,7 @@
 TEST_F(OutlierEjectorTest, EjectingThePrimarySuspectsIt) {
   EndpointState& endpoint = add_endpoint(1);
   group().primary = 1;
-  outliers_.eject(endpoint, RecoveryProof::HealthCheck, EjectionReason::ConnectionFailure);
+  outliers_.eject(endpoint, RecoveryCondition::HealthCheck, EjectionReason::ConnectionFailure);
   EXPECT_TRUE(group().primary_suspected);
 }
 
@@ -121,8 +121,8 @@
   settings_.overload_duration = 1000ms;
   EndpointState& silent = add_endpoint(1);
   EndpointState& applying = add_endpoint(2);
-  outliers_.eject(silent, RecoveryProof::HealthCheck, EjectionReason::ConnectionFailure);
-  outliers_.eject(applying, RecoveryProof::HealthCheck, EjectionReason::ConnectionFailure);
+  outliers_.eject(silent, RecoveryCondition::HealthCheck, EjectionReason::ConnectionFailure);
+  outliers_.eject(applying, RecoveryCondition::HealthCheck, EjectionReason::ConnectionFailure);
   event_.now = kStart + 2000ms;
   applying.position = position_at(event_.now - 500ms);
   outliers_.readmit(silent);
@@ -134,7 +134,7 @@
 TEST_F(OutlierEjectorTest, StaysWarmAfterAnOutageTooShortToRestart) {
   settings_.overload_duration = 1000ms;
   EndpointState& endpoint = add_endpoint(1);
-  outliers_.eject(endpoint, RecoveryProof::HealthCheck, EjectionReason::ConnectionFailure);
+  outliers_.eject(endpoint, RecoveryCondition::HealthCheck, EjectionReason::ConnectionFailure);
   event_.now = kStart + 1000ms;
   outliers_.readmit(endpoint);
   EXPECT_EQ(endpoint.warming_since, kUnknown);
--- a/tests/router/replication_positions_test.cpp
+++ b/tests/router/replication_positions_test.cpp
@@ -16,7 +16,7 @@
   advance_replication_position(endpoints_, endpoint, ReplicationPosition(100ns), TimePoint(150ns));
   advance_replication_position(endpoints_, endpoint, ReplicationPosition(90ns), TimePoint(200ns));
   EXPECT_EQ(endpoint.position, ReplicationPosition(100ns));
-  EXPECT_EQ(endpoint.position_shown_at, TimePoint(200ns));
+  EXPECT_EQ(endpoint.position_reported_at, TimePoint(200ns));
 }
 
 TEST_F(ReplicationPositionsTest, AnAdvanceReleasesWaitingRequests) {
--- a/tests/router/router_endpoint_list_test.cpp
+++ b/tests/router/router_endpoint_list_test.cpp
@@ -34,7 +34,7 @@
 
 TEST(RouterEndpointList, KeepsRemovedEndpointsWhereOnlyDrainingIsBinding) {
   Settings settings = default_settings();
-  settings.only_draining_is_binding = true;
+  settings.removed_endpoints_may_serve = true;
   RouterHarness harness(settings);
   harness.list_healthy_group();
 
