--- a/include/gorsebeam/log_messages.h
+++ b/include/gorsebeam/log_messages.h
@@ -1,4 +1,4 @@
-/// Log messages of a router, as typed events. The embedding program puts them into words.
+/// Log messages of a router, as typed events. The embedding program renders them as text.
 #pragma once
 
 #include "gorsebeam/types.h"
@@ -39,14 +39,18 @@
   EndpointId endpoint = 0;
 };
 
-/// The endpoint list says for the first time that an endpoint drains or was removed.
-struct EndpointLeaving {
+/// The endpoint list says that an endpoint that was up is draining.
+struct EndpointDraining {
+  EndpointId endpoint = 0;
+};
+
+/// The endpoint list says that an endpoint that was up was removed, or no longer holds it.
+struct EndpointRemoved {
   EndpointId endpoint = 0;
-  EndpointStatus status = EndpointStatus::Draining;
 };
 
 /// One message for the operators' log.
 using LogMessage = std::variant<PrimaryElected, PrimaryDemoted, PrimarySuspected, EndpointEjected,
-                                EndpointReadmitted, EndpointLeaving>;
+                                EndpointReadmitted, EndpointDraining, EndpointRemoved>;
 
 }  // namespace gorsebeam
--- a/src/logging/log_record.cpp
+++ b/src/logging/log_record.cpp
@@ -15,22 +15,6 @@
   return "unknown";
 }
 
-const char* reason_name(AnswerReason reason) {
-  switch (reason) {
-  case AnswerReason::RateLimit:
-    return "rate_limit";
-  case AnswerReason::OutOfTime:
-    return "out_of_time";
-  case AnswerReason::AttemptsUsed:
-    return "attempts_used";
-  case AnswerReason::UnsafeToRetry:
-    return "unsafe_to_retry";
-  case AnswerReason::NoPrimary:
-    return "no_primary";
-  }
-  return "unknown";
-}
-
 struct RecordBuilder {
   LogRecord operator()(const PrimaryElected& message) const {
     return group_event("primary_elected", message.group, message.endpoint);
@@ -54,9 +38,11 @@
     return {"endpoint_readmitted", {{"endpoint", std::to_string(message.endpoint)}}};
   }
 
-  LogRecord operator()(const EndpointLeaving& message) const {
-    if (message.status == EndpointStatus::Draining)
-      return {"endpoint_draining", {{"endpoint", std::to_string(message.endpoint)}}};
+  LogRecord operator()(const EndpointDraining& message) const {
+    return {"endpoint_draining", {{"endpoint", std::to_string(message.endpoint)}}};
+  }
+
+  LogRecord operator()(const EndpointRemoved& message) const {
     return {"endpoint_removed", {{"endpoint", std::to_string(message.endpoint)}}};
   }
 
@@ -88,11 +74,23 @@
   return std::visit(RecordBuilder{}, message);
 }
 
-const char* name_of(AnswerReason reason) {
-  return reason_name(reason);
+const char* reason_name(AnswerReason reason) {
+  switch (reason) {
+  case AnswerReason::RateLimit:
+    return "rate_limit";
+  case AnswerReason::OutOfTime:
+    return "out_of_time";
+  case AnswerReason::AttemptsUsed:
+    return "attempts_used";
+  case AnswerReason::UnsafeToRetry:
+    return "unsafe_to_retry";
+  case AnswerReason::NoPrimary:
+    return "no_primary";
+  }
+  return "unknown";
 }
 
-const char* name_of(AttemptStatus status) {
+const char* status_name(AttemptStatus status) {
   switch (status) {
   case AttemptStatus::Ok:
     return "ok";
--- a/src/logging/log_record.h
+++ b/src/logging/log_record.h
@@ -22,9 +22,11 @@
 /// The record of a router's message.
 [[nodiscard]] LogRecord to_record(const LogMessage& message);
 
-/// A reason or a status as log fields name it, such as "out_of_time" or "connect_failed".
-[[nodiscard]] const char* name_of(AnswerReason reason);
-[[nodiscard]] const char* name_of(AttemptStatus status);
+/// A reason as log fields name it, such as "out_of_time".
+[[nodiscard]] const char* reason_name(AnswerReason reason);
+
+/// A status as log fields name it, such as "connect_failed".
+[[nodiscard]] const char* status_name(AttemptStatus status);
 
 /// "endpoint_ejected endpoint=7 reason=consecutive_timeouts". A value that is not a single word is
 /// quoted, and control characters are replaced, so that no value can begin a line of its own.
--- a/src/proxy/request_broker.cpp
+++ b/src/proxy/request_broker.cpp
@@ -26,7 +26,7 @@
             {{"request", result.request_id},
              {"attempt", std::to_string(result.attempt)},
              {"endpoint", std::to_string(result.endpoint)},
-             {"status", logging::name_of(result.status)},
+             {"status", logging::status_name(result.status)},
              {"elapsed_ms", std::to_string(result.elapsed / 1ms)}}});
 }
 
@@ -364,7 +364,7 @@
   }
   net::log({"request_rejected",
             {{"request", action.request_id},
-             {"reason", logging::name_of(action.reason)},
+             {"reason", logging::reason_name(action.reason)},
              {"retry_after_ms", std::to_string(action.retry_after / 1ms)}}});
   call->reject(action.retry_after);
 }
@@ -374,7 +374,7 @@
   if (call == nullptr)
     return;
   net::log({"request_failed",
-            {{"request", action.request_id}, {"reason", logging::name_of(action.reason)}}});
+            {{"request", action.request_id}, {"reason", logging::reason_name(action.reason)}}});
   call->fail();
 }
 
--- a/src/router/attempt_observer.cpp
+++ b/src/router/attempt_observer.cpp
@@ -9,8 +9,9 @@
 
 void AttemptObserver::record_answer(EndpointState& endpoint, const AttemptResult& result) {
   const TimePoint now = state_.event.now;
-  // Reads that began before a handover end with the old role. Each would send all that waits to an
-  // endpoint that has turned writes away since, until their attempts are used up.
+  // Reads that began before a handover report the old role. Without this check each of them would
+  // send all waiting writes to an endpoint that has rejected writes since, until their attempts are
+  // used up.
   if (result.role == Role::Replica)
     endpoint.answered_as_replica_at = now;
   const bool claims_primary =
@@ -78,7 +79,7 @@
   if (!state_.event.is_after_stall())
     record_load(endpoint, objective_fraction(request, result.elapsed));
   OutlierEjector::record_success(endpoint);
-  // The endpoint checked the read itself, so its answer proves the position that the read needed.
+  // The endpoint checked the read itself, so its answer proves the position that the read required.
   const ReplicationPosition required = attempt.required_position;
   if (is_read(request) && state_.settings.staleness_check != StalenessCheck::None &&
       required != kUnknownPosition) {
@@ -118,8 +119,8 @@
                                                 UpstreamAttempt& attempt,
                                                 const AttemptResult& result) {
   attempt.connection_broke = true;
-  // Refused at once, the process is down; run into the timeout, the network path or the set-up may
-  // be slow.
+  // A connection that is refused at once shows that the process is down. One that times out may
+  // show a slow network path or a slow set-up.
   const bool is_slow = result.status == AttemptStatus::ConnectFailed &&
                        result.elapsed >= state_.settings.connect_timeout / 2;
   if (is_slow)
@@ -135,9 +136,8 @@
     request.retry_not_before = retries_.retry_after_rejection(request);
 }
 
-// An attempt without an answer is a sign of load only where the answers that do come are slow, or
-// none come: where they are quick, answers are being lost, and holding requests back would not
-// help.
+// An attempt without an answer indicates load only where other answers are slow or missing as well.
+// Where they are fast, answers are being lost, and sending fewer requests would not help.
 void AttemptObserver::record_silence(EndpointState& endpoint) {
   const DecayingLoad& pool = state_.pool_of(endpoint);
   if (pool.count() < 1 || pool.exceeds(kTargetLoad))
@@ -161,9 +161,8 @@
                                           const HealthCheckResult& result) {
   endpoint.has_health_check = false;
   const GroupId group_id = endpoint.listing.group;
-  // Answers outrank health checks: one that fails ejects no endpoint, as health checks may fail, or
-  // be too many, while requests are served. An endpoint that died shows at the next request's
-  // connection.
+  // A failed health check ejects no endpoint: health checks may fail, or be too many, while
+  // requests are served. If the endpoint is down, the connection of the next request fails.
   if (!result.succeeded) {
     state_.endpoints.mark_dispatchable(group_id);
     return;
@@ -171,9 +170,9 @@
   record_load_report(endpoint, result.load_report);
   if (endpoint.needs_recovery_attempt)
     return;
-  // Writes must not wait for a discovery after each broken connection: a primary that accepts a new
-  // one and says what it is was not lost. After timeouts only an answer decides, as a health check
-  // proves little.
+  // Writes do not wait for a discovery after each broken connection: a primary that accepts a new
+  // connection and reports its role is still the primary. After timeouts only an answer decides, as
+  // a health check proves little.
   ReplicaGroup& group = state_.endpoints.group(group_id);
   if (group.primary == endpoint.listing.id && result.load_report.is_primary.value_or(false))
     group.primary_suspected = false;
--- a/src/router/attempt_observer.h
+++ b/src/router/attempt_observer.h
@@ -1,4 +1,4 @@
-/// Turns results of attempts and health checks into what is known of endpoints and classes.
+/// Updates the state of endpoints and classes from the results of attempts and health checks.
 #pragma once
 
 #include "router/retry_policy.h"
@@ -6,22 +6,22 @@
 
 namespace gorsebeam::router {
 
-/// Passes results on to the modules that keep state.
+/// Passes results to the modules that hold the state.
 class AttemptObserver {
 public:
   AttemptObserver(RouterState& state, RetryPolicy& retries) : state_(state), retries_(retries) {}
 
-  /// An endpoint answered: what it says of its role and its position.
+  /// Records the role and the position that an endpoint stated in an answer.
   void record_answer(EndpointState& endpoint, const AttemptResult& result);
 
-  /// An attempt ended: what that says of the endpoint, and of what the request may have done.
+  /// Records the end of an attempt: its evidence of the endpoint, and whether it may have run.
   void record_attempt_end(EndpointState& endpoint, PendingRequest& request,
                           UpstreamAttempt& attempt, const AttemptResult& result);
 
-  /// A health check ended.
+  /// Records the result of a health check.
   void record_health_check(EndpointState& endpoint, const HealthCheckResult& result);
 
-  /// Marks those attempts of a request as overdue that have become so.
+  /// Marks the attempts of a request that have become overdue.
   void mark_overdue_attempts(PendingRequest& request);
 
 private:
--- a/src/router/class_statistics.cpp
+++ b/src/router/class_statistics.cpp
@@ -3,7 +3,7 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr double kStep = 0.02;  // by which a sample moves a median: about the last fifty count
+constexpr double kStep = 0.02;  // of a median per sample: about the last fifty samples count
 constexpr double kInitialObjectiveFraction = 5;  // the first estimate is the objective over this
 
 }  // namespace
--- a/src/router/class_statistics.h
+++ b/src/router/class_statistics.h
@@ -1,4 +1,4 @@
-/// Estimates the usual answer time and the traffic of each request class.
+/// Estimates the typical latency and the traffic of each request class.
 #pragma once
 
 #include "gorsebeam/settings.h"
@@ -13,21 +13,21 @@
 public:
   explicit ClassStatistics(const std::vector<RequestClass>& classes);
 
-  /// A request of the class came in.
+  /// Records that a request of the class arrived.
   void record_request(std::size_t class_index);
 
-  /// An answer arrived after `elapsed` nanoseconds.
+  /// Records an answer that took `elapsed` nanoseconds.
   void record_answer(std::size_t class_index, double elapsed);
 
-  /// An attempt is overdue; it counts as a long answer.
+  /// Records that an attempt is overdue; it counts as a slow answer.
   void record_overdue(std::size_t class_index);
 
-  /// The median answer time in nanoseconds, with overdue attempts counted as long.
+  /// The median latency in nanoseconds, with overdue attempts counted as slow.
   [[nodiscard]] double typical_latency(std::size_t class_index) const {
     return rows_.at(class_index).typical_latency;
   }
 
-  /// Recent requests, older ones counting less: the class's share of this router's traffic.
+  /// The number of recent requests, with decaying weights.
   [[nodiscard]] double traffic(std::size_t class_index) const {
     return rows_.at(class_index).traffic;
   }
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -1,8 +1,11 @@
-/// Policy: decides what each request does next, and starts its attempts.
+/// Policy: decides what each request does next.
 #pragma once
 
+#include "router/attempt_starter.h"
 #include "router/endpoint_selection.h"
 #include "router/load_admission.h"
+#include "router/position_requester.h"
+#include "router/primary_discovery.h"
 #include "router/rejection_policy.h"
 #include "router/request_scheduler.h"
 #include "router/retry_policy.h"
@@ -15,34 +18,25 @@
 public:
   Dispatcher(RouterState& state, RetryPolicy& retries, RequestScheduler& scheduler)
       : state_(state), retries_(retries), scheduler_(scheduler), rejections_(state, retries),
-        admission_(state), selector_(state, admission_) {}
+        admission_(state), selector_(state, admission_), starter_(state, retries, admission_),
+        positions_(state, selector_), discovery_(state, selector_, admission_, starter_) {}
 
   /// Handles a request that has just come in.
   void accept(PendingRequest& request);
 
-  /// Takes the request's next step: an attempt, a hedge, a final answer, or waiting.
+  /// Takes the request's next step: an attempt, a hedge, a final answer, or none while it waits.
   void dispatch(PendingRequest& request);
 
-  /// Dispatches what waits in a group if the last time was long enough ago.
+  /// Dispatches the requests that wait in a group, unless it did so a short time ago.
   void dispatch_waiting(GroupId id);
 
 private:
-  enum class AttemptKind { Normal, Recovery };
-
   void accrue_budgets(const PendingRequest& request);
   void hedge(PendingRequest& request);
   void read_from_replica(PendingRequest& request);
-  void send_to_primary(PendingRequest& request);
-  void discover_primary(PendingRequest& request);
-  [[nodiscard]] bool can_try_discovery(const PendingRequest& request, EndpointState& endpoint);
   void await_current_replica(PendingRequest& request);
-  [[nodiscard]] bool request_positions(const PendingRequest& request);
-  [[nodiscard]] bool can_catch_up(const EndpointState& endpoint,
-                                  const PendingRequest& request) const;
-  [[nodiscard]] bool is_position_requested(const ReplicaGroup& group) const;
-
-  /// Every attempt starts here. Returns whether it did.
-  bool start_attempt(PendingRequest& request, EndpointId id, AttemptKind kind);
+  void send_to_primary(PendingRequest& request);
+  void start_at_primary(PendingRequest& request, EndpointId primary);
 
   RouterState& state_;
   RetryPolicy& retries_;
@@ -50,6 +44,9 @@
   RejectionPolicy rejections_;
   LoadAdmission admission_;
   EndpointSelector selector_;
+  AttemptStarter starter_;
+  PositionRequester positions_;
+  PrimaryDiscovery discovery_;
 };
 
 }  // namespace gorsebeam::router
--- a/src/router/endpoint_list_updater.cpp
+++ b/src/router/endpoint_list_updater.cpp
@@ -29,7 +29,7 @@
   if (list.kind != EndpointList::Kind::Delta) {
     for (auto& [id, endpoint] : state_.endpoints.all()) {
       if (listed.count(id) == 0)
-        mark_leaving(endpoint, EndpointStatus::Removed);
+        exclude(endpoint, endpoint.listing.status, EndpointStatus::Removed);
     }
   }
   state_.endpoints.forget_removed(now, state_.requests.endpoints_in_use());
@@ -41,6 +41,7 @@
     return;
   EndpointState& endpoint = state_.endpoints.obtain(entry.id);
   const TimePoint previous_start = endpoint.listing.started_at;
+  const EndpointStatus previous_status = endpoint.listing.status;
   const bool was_listed_as_primary = endpoint.listing.listed_as_primary;
   endpoint.listing = entry;
   std::vector<EndpointId>& ids = state_.endpoints.group(entry.group).endpoints;
@@ -50,10 +51,9 @@
   if (entry.started_at > TimePoint{} && has_restarted)
     endpoint.warming_since = std::max(endpoint.warming_since, entry.started_at);
   if (entry.status != EndpointStatus::Up) {
-    mark_leaving(endpoint, entry.status);
+    exclude(endpoint, previous_status, entry.status);
     return;
   }
-  endpoint.is_leaving = false;
   endpoint.removed_at = kNever;
   if (entry.listed_as_primary && (is_new || !was_listed_as_primary))
     record_listed_primary(endpoint, list.kind);
@@ -62,8 +62,8 @@
   state_.endpoints.mark_dispatchable(entry.group);
 }
 
-// The list's word counts only while no primary is known, and a cached list's as the oldest
-// evidence.
+// The listed role is used only while no primary is known, and that of a cached list as the oldest
+// possible evidence.
 void EndpointListUpdater::record_listed_primary(EndpointState& endpoint, EndpointList::Kind kind) {
   if (state_.settings.listed_role == ListedRole::None ||
       state_.endpoints.group_of(endpoint).primary)
@@ -74,22 +74,30 @@
   state_.roles.record_role_evidence(endpoint, {true, as_of, RoleEvidence::Source::Report});
 }
 
-// Where only draining is binding, an endpoint listed as removed, or left out, that never drained is
-// assumed to run: lists shrink and recover while endpoints serve, and one that is gone shows at its
-// connections.
-void EndpointListUpdater::mark_leaving(EndpointState& endpoint, EndpointStatus status) {
+// Where removed endpoints may serve, an endpoint that was not draining before it was removed from
+// the list is assumed to run: lists lose entries and regain them while the endpoints serve, and
+// connections to an endpoint that does not run fail.
+void EndpointListUpdater::exclude(EndpointState& endpoint, EndpointStatus previous,
+                                  EndpointStatus status) {
+  const bool was_up = previous == EndpointStatus::Up;
   const bool is_removed = status == EndpointStatus::Removed;
-  if (state_.settings.removed_endpoints_may_serve && is_removed && !endpoint.is_leaving) {
+  if (state_.settings.removed_endpoints_may_serve && is_removed && was_up) {
     endpoint.listing.status = EndpointStatus::Up;
     return;
   }
-  if (!endpoint.is_leaving)
-    state_.event.log(EndpointLeaving{endpoint.listing.id, status});
+  if (was_up)
+    log_exclusion(endpoint.listing.id, status);
   endpoint.listing.status = status;
   endpoint.removed_at = is_removed ? std::min(endpoint.removed_at, state_.event.now) : kNever;
-  endpoint.is_leaving = true;
   state_.roles.suspect_primary(endpoint);
   state_.endpoints.mark_dispatchable(endpoint.listing.group);
 }
 
+void EndpointListUpdater::log_exclusion(EndpointId id, EndpointStatus status) const {
+  if (status == EndpointStatus::Draining)
+    state_.event.log(EndpointDraining{id});
+  else
+    state_.event.log(EndpointRemoved{id});
+}
+
 }  // namespace gorsebeam::router
--- a/src/router/endpoint_list_updater.h
+++ b/src/router/endpoint_list_updater.h
@@ -6,18 +6,19 @@
 
 namespace gorsebeam::router {
 
-/// Also schedules polls of the list, where it is polled.
+/// Also schedules the polls of a list that is polled.
 class EndpointListUpdater {
 public:
   explicit EndpointListUpdater(RouterState& state) : state_(state) {}
 
-  /// Applies a list, a change or a failed poll.
+  /// Applies a full list, a delta or a failed poll.
   void apply(const EndpointList& list);
 
 private:
   void apply_entry(const Endpoint& entry, const EndpointList& list);
   void record_listed_primary(EndpointState& endpoint, EndpointList::Kind kind);
-  void mark_leaving(EndpointState& endpoint, EndpointStatus status);
+  void exclude(EndpointState& endpoint, EndpointStatus previous, EndpointStatus status);
+  void log_exclusion(EndpointId id, EndpointStatus status) const;
 
   RouterState& state_;
 };
--- a/src/router/endpoint_selection.cpp
+++ b/src/router/endpoint_selection.cpp
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-// A read that met a broken connection at every endpoint must not wait while all of them live on:
-// once as many attempts went out as there are endpoints to serve it, one whose connection broke may
-// have it again.
+// A read that met a broken connection at every endpoint must not wait while all of them are
+// running. Once it had as many attempts as there are endpoints to serve it, an endpoint whose
+// connection broke may have it again.
 bool EndpointSelector::was_attempted(const PendingRequest& request, EndpointId id) const {
   const ReplicaGroup& group = state_.group_of(request);
   for (const UpstreamAttempt& attempt : request.attempts) {
@@ -43,10 +43,10 @@
   return false;
 }
 
-// Deviates from the base design for reads that any endpoint may serve and that run far longer than
-// those which need current data. A replica may apply nothing while it holds one, so they go
-// together to one replica, the same at every router; it serves others when proven current. What
-// finds no room there goes to the primary. Costs latency if such reads fill a machine.
+// The base design treats all reads alike. Reads that any endpoint may serve and that run far longer
+// than those which need current data may keep a replica from applying the log. They go to one
+// replica, the same at every router, which serves other reads when it is proven current. Reads that
+// it does not admit go to the primary. The cost is latency if such reads fill a machine.
 bool EndpointSelector::is_long_running(std::size_t class_index) const {
   const std::vector<RequestClass>& classes = state_.settings.classes;
   if (classes[class_index].consistency != ConsistencyLevel::Eventual)
@@ -79,7 +79,7 @@
   return best;
 }
 
-// The base design's test and nothing else: not ejected, and known to be current for this read.
+// The test of the base design: the endpoint is not ejected, and known to be current for this read.
 bool EndpointSelector::is_admitted(const EndpointState& endpoint,
                                    const PendingRequest& request) const {
   if (endpoint.is_ejected)
@@ -91,11 +91,11 @@
          is_proven_current(endpoint, request_class, request, state_.event.now);
 }
 
-// Deviates from the base design where endpoints check reads for staleness and a replica's known
-// position is too old to prove it current. Once it answered, it is taken as current unless a
-// misdirected read, or its position when last shown, says otherwise; its own check keeps the read
-// from stale data. Also covers health checks that fail. Costs a misdirected read where the replica
-// fell behind.
+// Applies where endpoints check reads for staleness, and a replica's known position is too old to
+// prove it current. A replica that has answered is presumed current unless a misdirected read, or
+// its lag when it last reported a position, shows otherwise; its own check protects the read from
+// stale data. This also covers health checks that fail. The cost is a misdirected read if the
+// replica lags. The base design does not admit the replica.
 bool EndpointSelector::is_presumed_current(const EndpointState& endpoint,
                                            const PendingRequest& request) const {
   if (state_.settings.staleness_check == StalenessCheck::None || endpoint.is_ejected ||
@@ -110,10 +110,10 @@
          endpoint.position_reported_at - time_of(endpoint.position) <= request_class.max_staleness;
 }
 
-// Deviates from the base design where an even split leaves the replica with the long reads, or the
-// primary once replicas are under pressure (answers take over half of the target load), with less
-// work than the rest. An endpoint's share is what its even share of all work leaves beside what
-// only it can do. Costs balance where other routers have another mix of requests.
+// The base design divides reads evenly. That leaves less work to the replica with the long reads,
+// and to the primary once replicas are saturated. An endpoint's share is its even share of all work
+// less the work that only it can do. The cost is an uneven load where other routers have another
+// mix of requests.
 double EndpointSelector::load_share(const ReplicaGroup& group, EndpointId id,
                                     bool serves_long_reads) const {
   const bool is_primary = group.primary == id;
@@ -166,11 +166,12 @@
          endpoint.position >= required_position(request_class, request, now);
 }
 
-// Deviates from the base design when the health check of an ejected endpoint did not decide: it
-// failed, exceeded the budget, or proves little after timeouts or errors. One idempotent read at a
-// time is sent to it, after a pause that doubles with each failure; this also lets a fresh router's
-// first reads through. It gets no more than the hash would give it, unless no other is left: many
-// routers, each for itself, would overload one that has just started.
+// The base design readmits an endpoint by a health check only. A health check may fail, exceed the
+// budget, or prove little after timeouts or errors. Therefore one idempotent read at a time is sent
+// to the endpoint, after a backoff that doubles with each failure; this also serves the first reads
+// of a new router. The endpoint gets no more than the hash would assign to it, unless no other is
+// left: many routers, each without knowledge of the others, would overload one that has just
+// started.
 std::optional<EndpointId> EndpointSelector::choose_recovery_attempt(const PendingRequest& request,
                                                                     RecoveryChoice choice) {
   if (state_.class_of(request).idempotency != Idempotency::Idempotent || !request.attempts.empty())
@@ -236,18 +237,18 @@
 }
 
 std::optional<EndpointId> EndpointSelector::choose_replica(const PendingRequest& request) {
-  const auto gathering = long_read_replica(state_.group_of(request));
-  if (gathering && is_long_running(request.request.class_index)) {
-    if (was_attempted(request, *gathering))
+  const auto long_reads_at = long_read_replica(state_.group_of(request));
+  if (long_reads_at && is_long_running(request.request.class_index)) {
+    if (was_attempted(request, *long_reads_at))
       return std::nullopt;
-    return pick_by_weighted_hash(request, {{*gathering, 1}});
+    return pick_by_weighted_hash(request, {{*long_reads_at, 1}});
   }
-  Candidates candidates = collect_candidates(request, gathering);
+  Candidates candidates = collect_candidates(request, long_reads_at);
   if (candidates.has_replica)
     return pick_by_weighted_hash(request, std::move(candidates.admitted));
-  // A replica that is not proven current stays out of bounded and session reads, except where
-  // endpoints check reads themselves: then the most advanced one is asked first, unless it is known
-  // to lag too far.
+  // A replica that is not proven current gets no bounded or session read, except where endpoints
+  // check reads themselves: then the most advanced one is tried first, unless it is known to lag
+  // too far.
   if (state_.settings.staleness_check == StalenessCheck::None)
     return std::nullopt;
   return most_advanced(request, candidates.reachable);
--- a/src/router/endpoint_selection.h
+++ b/src/router/endpoint_selection.h
@@ -11,13 +11,13 @@
 
 namespace gorsebeam::router {
 
-/// Reads that take this many times as long as those which need current data hold a replica up.
+/// Reads that take this many times as long as reads which need current data delay a replica.
 constexpr double kLongReadFactor = 2;
 
 /// When an ejected endpoint may get a request to see whether it answers.
 enum class RecoveryChoice {
-  ByHashShare,  ///< Not more often than the hash would give it requests.
-  Fallback      ///< Whenever one is ready, as no other endpoint can serve the request.
+  ByHashShare,  ///< No more often than the hash would assign requests to it.
+  Fallback,     ///< Whenever one is due, as no other endpoint can serve the request.
 };
 
 /// Sessions hash over the admitted replicas, sorted by id, so that all routers send one session to
@@ -27,14 +27,15 @@
   EndpointSelector(RouterState& state, LoadAdmission& admission)
       : state_(state), admission_(admission) {}
 
-  /// The replica, or the primary where it shares reads, that gets the read.
+  /// The replica that gets the read, or the primary where it shares the reads; none if no endpoint
+  /// is admitted.
   [[nodiscard]] std::optional<EndpointId> choose_replica(const PendingRequest& request);
 
-  /// The ejected endpoint that gets the read as a recovery attempt.
+  /// The ejected endpoint that gets the read as a recovery attempt, if any is due.
   [[nodiscard]] std::optional<EndpointId> choose_recovery_attempt(const PendingRequest& request,
                                                                   RecoveryChoice choice);
 
-  /// Whether the request had its attempt at the endpoint.
+  /// Whether the request had an attempt at the endpoint and may not have another there.
   [[nodiscard]] bool was_attempted(const PendingRequest& request, EndpointId id) const;
 
 private:
@@ -43,7 +44,7 @@
   struct Candidates {
     WeightedIds admitted;               // sorted by id
     bool has_replica = false;           // among the admitted
-    std::vector<EndpointId> reachable;  // replicas that are not ejected, whatever their position
+    std::vector<EndpointId> reachable;  // replicas that are not ejected, at any position
   };
 
   [[nodiscard]] Candidates collect_candidates(const PendingRequest& request,
--- a/src/router/endpoint_table.cpp
+++ b/src/router/endpoint_table.cpp
@@ -6,7 +6,7 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr Duration kForgetAfter = 60'000ms;  // a removed endpoint may come back sooner
+constexpr Duration kForgetAfter = 60'000ms;  // an endpoint may be listed again within this time
 
 }  // namespace
 
--- a/src/router/endpoint_table.h
+++ b/src/router/endpoint_table.h
@@ -14,57 +14,59 @@
 
 namespace gorsebeam::router {
 
-/// The first pause before an ejected endpoint gets a recovery attempt.
+/// The first backoff before an ejected endpoint gets a recovery attempt.
 constexpr Duration kInitialRecoveryBackoff = 500ms;
 
-/// What is known of one endpoint. A new one starts ejected: a fresh router has heard of none.
+/// What is known of one endpoint. A new entry is ejected, as a new router has no evidence of any
+/// endpoint.
 struct EndpointState {
   Endpoint listing;               ///< The newest entry of the endpoint list.
-  bool is_leaving = false;        ///< The list says that it drains or was removed.
   TimePoint removed_at = kNever;  ///< When the list said that it was removed.
   ReplicationPosition position =
-      kUnknownPosition;  ///< It has applied at least up to here. Never falls.
+      kUnknownPosition;  ///< It has applied the log at least up to here. Never decreases.
   ReplicationPosition stale_before =
-      kUnknownPosition;          ///< A misdirected read showed that it had not applied this yet.
+      kUnknownPosition;  ///< A misdirected read showed that it had not applied the log up to here.
   int consecutive_failures = 0;  ///< Timeouts, or connections that failed at once.
   double error_ratio = 0;        ///< The recent share of errors among its answers.
   bool is_ejected = true;        ///< Gets no reads until it answers.
-  bool needs_recovery_attempt = false;  ///< Ejected for what a health check does not disprove.
+  bool needs_recovery_attempt =
+      false;                   ///< Ejected for a reason that a health check does not refute.
   int connection_breaks = 0;   ///< Connections refused or broken in a row, with no answer between.
   TimePoint first_break_at{};  ///< The first of them.
-  bool may_have_restarted = false;    ///< Several such.
+  bool may_have_restarted = false;    ///< Connections broke repeatedly.
   TimePoint ejected_at = kNever;      ///< When it was last ejected.
   bool has_recovery_attempt = false;  ///< One is in flight.
   bool has_health_check = false;      ///< One is in flight.
   TimePoint next_recovery_at{};       ///< No recovery attempt before this.
   Duration recovery_backoff =
-      kInitialRecoveryBackoff;                  ///< The next pause; doubles with each failure.
-  TimePoint last_answer_at{};                   ///< When it last answered an attempt.
-  TimePoint last_health_check_at = kUnknown;    ///< When the last one was sent.
-  TimePoint position_reported_at = kUnknown;    ///< When it last showed a position.
-  TimePoint role_evidence_at = kUnknown;        ///< The date of the newest evidence of its role.
+      kInitialRecoveryBackoff;                ///< The next backoff; doubles with each failure.
+  TimePoint last_answer_at{};                 ///< When it last answered an attempt.
+  TimePoint last_health_check_at = kUnknown;  ///< When the last one was sent.
+  TimePoint position_reported_at = kUnknown;  ///< When it last reported a position.
+  TimePoint role_evidence_at =
+      kUnknown;  ///< The time for which the newest evidence of its role holds.
   TimePoint answered_as_replica_at = kUnknown;  ///< When it last answered that it is a replica.
   TimePoint warming_since = kUnknown;           ///< When its slow start began.
-  DecayingLoad load;                            ///< Of its own answers.
+  DecayingLoad load;                            ///< Estimated from its own answers.
 
   /// Whether requests and health checks may be sent to it at all.
-  [[nodiscard]] bool is_usable() const {
-    return !is_leaving && listing.status == EndpointStatus::Up;
-  }
+  [[nodiscard]] bool is_usable() const { return listing.status == EndpointStatus::Up; }
 };
 
 /// What is known of one replica group.
 struct ReplicaGroup {
-  std::vector<EndpointId> endpoints;  ///< Sorted.
-  std::optional<EndpointId> primary;  ///< By the newest evidence.
-  TimePoint primary_evidence_at =
-      kUnknown;                      ///< The date of that evidence; stays when it is unknown again.
-  bool primary_suspected = false;    ///< It failed to answer: writes wait.
-  bool sparse_bounded_reads = true;  ///< They come further apart than a proof holds.
+  std::vector<EndpointId> endpoints;         ///< Sorted.
+  std::optional<EndpointId> primary;         ///< By the newest evidence.
+  TimePoint primary_evidence_at = kUnknown;  ///< The time for which that evidence holds; remains
+                                             ///< when the primary becomes unknown.
+  bool primary_suspected = false;            ///< It failed to answer, so writes wait.
+  bool sparse_bounded_reads =
+      true;  ///< They come further apart than a position remains recent enough.
   TimePoint last_bounded_read_at = kUnknown;
-  bool is_dispatchable = false;            ///< Evidence may release requests that wait.
+  bool is_dispatchable = false;  ///< Something changed that may allow waiting requests to be sent.
   TimePoint last_discovery_at = kUnknown;  ///< When a write was last sent to find the primary.
-  TimePoint last_dispatch_at{};     ///< Dispatches are spaced: requests may wait in thousands.
+  TimePoint
+      last_dispatch_at{};  ///< Dispatches are rate-limited, as thousands of requests may wait.
   std::set<std::uint64_t> waiting;  ///< Sequence numbers of requests with no attempt in flight.
 };
 
@@ -109,18 +111,18 @@
   /// The number of endpoints in the group that are usable and not ejected, at least 1.
   [[nodiscard]] double serving_endpoints(const ReplicaGroup& group) const;
 
-  /// Something changed that may release the requests that wait in a group.
+  /// Records that something changed which may allow the waiting requests of a group to be sent.
   void mark_dispatchable(GroupId id);
 
-  /// The next group that was marked, in order; its mark is removed.
+  /// Removes and returns the group that was marked first, if any.
   [[nodiscard]] std::optional<GroupId> pop_dispatchable();
 
-  /// Forgets endpoints that were removed a minute ago, except those `in_use`. Bounds memory and the
-  /// work for each request: endpoints are replaced all day, each under a new id.
+  /// Removes endpoints that were removed from the list a minute ago, except those `in_use`. Bounds
+  /// memory and the work per request: replaced endpoints have new ids.
   void forget_removed(TimePoint now, const std::set<EndpointId>& in_use);
 
-  /// Forgets a group without endpoints and waiting requests. Bounds memory: clients may name groups
-  /// that no list ever held, and groups come and go.
+  /// Removes a group without endpoints and waiting requests. Bounds memory: clients may name groups
+  /// that no list contains, and lists add and drop groups.
   void forget_group_if_unused(GroupId id);
 
 private:
--- a/src/router/event_context.h
+++ b/src/router/event_context.h
@@ -1,4 +1,4 @@
-/// The event that a router handles: its time, and the actions that it leads to.
+/// The event that a router handles: its time and the resulting actions.
 #pragma once
 
 #include "gorsebeam/actions.h"
@@ -13,15 +13,15 @@
 /// Owned by the router's state and updated with each event; other modules hold a reference.
 struct EventContext {
   TimePoint now{};
-  TimePoint stall_detected_at = kNever;  ///< When a timer last came far too late.
+  TimePoint stall_detected_at = kNever;  ///< When a timer last expired far too late.
   std::vector<Action>* actions =
       nullptr;  ///< The caller's list; set only while an event is handled.
 
-  /// Whether the router itself stood still until this event. What it finds then says nothing about
-  /// the endpoints.
+  /// Whether the router itself was stalled until this event. Latencies that it observes now say
+  /// nothing about the endpoints.
   [[nodiscard]] bool is_after_stall() const { return stall_detected_at == now; }
 
-  /// Appends an action. Actions are done in this order.
+  /// Appends an action. The caller performs the actions in this order.
   template <typename AnyAction>
   void emit(AnyAction action) const {
     actions->emplace_back(std::move(action));
--- a/src/router/health_check_scheduler.cpp
+++ b/src/router/health_check_scheduler.cpp
@@ -7,8 +7,9 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr double kBudgetShare = 0.1;  // checks for each request of this router: bounds their cost
-constexpr double kMinPositionValue = 0.04;  // of a read's value, for a proof that it alone uses
+constexpr double kBudgetShare = 0.1;  // checks per request of this router; bounds their cost
+constexpr double kMinPositionValue =
+    0.04;  // as a fraction of a read's value, of a position that only this read uses
 
 }  // namespace
 
--- a/src/router/health_check_scheduler.h
+++ b/src/router/health_check_scheduler.h
@@ -1,4 +1,4 @@
-/// Spaces health checks and keeps them within a budget.
+/// Limits the rate of health checks, per endpoint and by a budget.
 #pragma once
 
 #include "gorsebeam/settings.h"
@@ -25,9 +25,9 @@
                        EndpointTable& endpoints)
       : event_(event), settings_(settings), endpoints_(endpoints) {}
 
-  /// Adds a request's share to the budget. A read of a group whose bounded reads are sparse may
-  /// spend what its proof is worth to it alone, which rises with the load of the primaries, as
-  /// `primary_saturation` in [0, 1] says.
+  /// Adds a request's share to the budget. A read of a group whose bounded reads are sparse adds
+  /// the value that a health check has for this read alone, which rises with `primary_saturation`,
+  /// in [0, 1].
   void accrue_budget(bool read_needs_own_check, double primary_saturation);
 
   /// Sends a health check if one is allowed, none is in flight and the last is at least `gap` ago.
@@ -35,12 +35,12 @@
   bool check(EndpointState& endpoint, Duration gap = kHealthCheckGap,
              HealthCheckBudget budget = HealthCheckBudget::Limited);
 
-  /// Keeps the group of a read known: checks ejected endpoints until they answer, and refreshes
-  /// positions before a staleness bound outlives them.
+  /// Checks the ejected endpoints of a read's group until they answer, and refreshes the positions
+  /// of the others before they are too old for the read's staleness bound.
   void refresh_group(const ReplicaGroup& group, const RequestClass& request_class);
 
-  /// Checks an endpoint that is new in a list of `list_size` entries. Those of longer lists are
-  /// checked when their group is read, as a fresh router must not check them all at once.
+  /// Checks an endpoint that is new in a list of `list_size` entries. The endpoints of long lists
+  /// are checked when their group is read, as a new router must not check all of them at once.
   void check_new_endpoint(EndpointState& endpoint, std::size_t list_size);
 
 private:
@@ -52,7 +52,8 @@
   EndpointTable& endpoints_;
   double budget_ = kMaxBudget;
 
-  static constexpr double kMaxBudget = 10;  // checks at once: a group's endpoints, and some more
+  static constexpr double kMaxBudget =
+      10;  // checks at once: those of a group's endpoints, and a few more
 };
 
 }  // namespace gorsebeam::router
--- a/src/router/load_admission.cpp
+++ b/src/router/load_admission.cpp
@@ -8,10 +8,10 @@
 
 namespace gorsebeam::router {
 
-// Deviates from the base design when answers take too large a fraction of their objectives, by
-// overload, slow machines or retries. Of the requests that the hash gives an endpoint, only so many
-// pass that the rest are in time; what is left goes to others or waits. Costs requests where one
-// group alone is overloaded and has few answers.
+// The base design sheds no load. When answers take too large a fraction of their objectives,
+// because of overload, slow machines or retries, an endpoint gets only so many of the requests that
+// the hash assigns to it that these are answered in time. The others go to other endpoints or wait.
+// The cost is requests of a group that is overloaded alone and has few answers.
 bool LoadAdmission::admits_under_load(EndpointState& endpoint, const PendingRequest& request) {
   const DecayingLoad& pool = state_.pool_of(endpoint);
   const DecayingLoad& own = state_.load_of(endpoint);
@@ -22,19 +22,20 @@
     value += state_.classes.traffic(i) * state_.settings.classes[i].priority_weight;
     work += state_.classes.traffic(i) * state_.classes.typical_latency(i);
   }
-  // About squared, as clients repeat what was late; more for requests whose value for their work is
-  // below the mean.
+  // The exponent is about two, as clients retry late requests, and higher for requests whose value
+  // for their work is below the mean.
   const double relative = 2 * value / work / value_per_work(request);
   const double exponent = std::min(kMaxSheddingExponent, std::max(1.0, relative));
   return unit_interval(request.draw + 1) < std::pow(headroom, exponent);
 }
 
-// Deviates from the base design while an endpoint is in slow start. It keeps its place in the hash,
-// and the primary its writes, but only for a fraction of the requests, drawn by the request, so
-// that what it leaves does not add up on the next. The fraction is its certain capacity, times the
-// root of the overload factor where the list told of its start, as usual work leaves room; less
-// while its role is overloaded, as clients repeat what is rejected. Costs an endpoint that has the
-// work of several.
+// The base design has no slow start. An endpoint in slow start keeps its place in the hash, and a
+// primary its writes, but only for a fraction of the requests. Each request draws whether it
+// belongs to that fraction, so that the rest does not add up on the next endpoint. The fraction is
+// the capacity that is certain, times the root of the overload factor where the list contained the
+// start, because typical work needs less than the settings assume. It is lower while the
+// endpoint's role is overloaded, as clients retry rejected requests. The cost falls on an endpoint
+// that does the work of several.
 bool LoadAdmission::admits_during_slow_start(const EndpointState& endpoint,
                                              const PendingRequest& request) {
   const double capacity = slow_start_capacity(endpoint, state_.settings, state_.event.now);
--- a/src/router/load_admission.h
+++ b/src/router/load_admission.h
@@ -1,17 +1,18 @@
-/// Policy: decides how much of the load that is meant for an endpoint it gets.
+/// Policy: decides which of the requests that are assigned to an endpoint it gets under load.
 #pragma once
 
 #include "router/router_state.h"
 
 namespace gorsebeam::router {
 
-/// Answers may use this fraction of their latency objectives; beyond, the slow ones miss them.
+/// The fraction of their latency objectives that answers may take on average. Above it, the slow
+/// answers miss their objectives.
 constexpr double kTargetLoad = 0.35;
 
-/// The highest power by which requests of little value are shed.
+/// The highest exponent by which requests of low value are shed.
 constexpr double kMaxSheddingExponent = 4;
 
-/// Sheds load by a request's own random draw, so that a request is treated alike everywhere.
+/// Sheds load by a request's own random number, so that all endpoints treat a request alike.
 class LoadAdmission {
 public:
   explicit LoadAdmission(RouterState& state) : state_(state) {}
@@ -23,14 +24,14 @@
   [[nodiscard]] bool admits_during_slow_start(const EndpointState& endpoint,
                                               const PendingRequest& request);
 
-  /// How far the endpoints of a role are from having room: 1 where answers use the target load, 0
-  /// up to half of it.
+  /// How close the endpoints of a role are to the target load: 0 up to half of it, 1 from the
+  /// target load on, linear between.
   [[nodiscard]] double saturation(Role role);
 
-  /// Whether the endpoints in this one's zone with its role answer slower than the target load.
+  /// Whether the mean load of the endpoints with the same zone and role exceeds the target load.
   [[nodiscard]] bool is_pool_overloaded(const EndpointState& endpoint);
 
-  /// The value of an answer for the work that it takes.
+  /// The priority weight of a request divided by its typical latency.
   [[nodiscard]] double value_per_work(const PendingRequest& request) const;
 
 private:
--- a/src/router/load_estimator.cpp
+++ b/src/router/load_estimator.cpp
@@ -6,11 +6,12 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr double kDecayTime = 3e9;      // ns in which a sample decays to 1/e: jams last seconds
-constexpr double kPoolPriorCount = 30;  // samples whose mean errs by a fifth: fewer say little
-constexpr double kIdleLoad = 0.21;  // the fraction of its objective that an answer takes when idle
+constexpr double kDecayTime = 3e9;  // ns in which a sample decays to 1/e; congestion lasts seconds
+constexpr double kPoolPriorCount = 30;  // samples; the mean of so many has an error of a fifth
+constexpr double kIdleLoad =
+    0.21;  // the fraction of its objective that an answer takes without load
 constexpr double kOwnPriorCount =
-    4;  // from so many samples of its own an endpoint outweighs its pool
+    4;  // samples from which an endpoint's own load outweighs that of its pool
 
 }  // namespace
 
@@ -39,8 +40,7 @@
 
 double LatencyLoadEstimator::headroom(const DecayingLoad& own, const DecayingLoad& pool,
                                       double target) {
-  // The prior keeps a router with few requests from mistaking chance for load: of a hundred such
-  // routers, many would.
+  // The prior prevents a router with few requests from taking random variation for load.
   const double pool_mean =
       (pool.sum() + kPoolPriorCount * kIdleLoad) / (pool.count() + kPoolPriorCount);
   return target * (own.count() + kOwnPriorCount) / (own.sum() + kOwnPriorCount * pool_mean + 1e-9);
--- a/src/router/load_estimator.h
+++ b/src/router/load_estimator.h
@@ -1,9 +1,9 @@
 /// Estimates the load of endpoints from how long their answers take.
 ///
-/// A sample is an answer's time as a fraction of its latency objective. Samples decay, so that an
-/// estimate follows jams, which last seconds. Few answers of a single endpoint reach a small
-/// router, so they are weighed against those of all endpoints in its zone with its role; this also
-/// covers a slow network path between zones.
+/// A sample is an answer's latency as a fraction of its latency objective. Samples decay, so that
+/// an estimate follows congestion, which lasts seconds. A router with little traffic gets few
+/// answers of a single endpoint, so they are weighted against those of all endpoints with the same
+/// zone and role; this also covers a slow network path between zones.
 #pragma once
 
 #include "gorsebeam/types.h"
@@ -20,7 +20,7 @@
   /// Decays all samples up to `now`.
   DecayingLoad& decay(TimePoint now);
 
-  /// Adds a sample at the time of the last `decay`. Capped: late is late.
+  /// Adds a sample at the time of the last `decay`, capped at `kNoAnswer`.
   void add(double objective_fraction);
 
   /// Whether the mean of the samples exceeds `target`.
@@ -49,8 +49,8 @@
   static void record(DecayingLoad& own, DecayingLoad& pool, double objective_fraction,
                      TimePoint now);
 
-  /// `target` divided by the estimated load: above 1 for an endpoint with room. Both loads must be
-  /// decayed to the present.
+  /// `target` divided by the estimated load; above 1 for an endpoint with free capacity. Both must
+  /// be decayed to the present.
   [[nodiscard]] static double headroom(const DecayingLoad& own, const DecayingLoad& pool,
                                        double target);
 
--- a/src/router/outlier_ejection.cpp
+++ b/src/router/outlier_ejection.cpp
@@ -6,11 +6,11 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr int kConsecutiveFailures = 2;  // one timeout is chance, two are a symptom, as DESIGN says
-constexpr double kErrorSmoothing = 0.1;  // weight of a new sample: about the last ten count
-constexpr double kMaxErrorRatio = 0.25;  // an endpoint that fails more of its requests is ejected
-constexpr Duration kMinRestartTime = 300ms;       // back sooner, it has not restarted
-constexpr Duration kMaxRecoveryBackoff = 4000ms;  // outages last seconds to tens of them
+constexpr int kConsecutiveFailures = 2;      // a single timeout may be chance
+constexpr double kErrorSmoothing = 0.1;      // weight of a new sample; about the last ten count
+constexpr double kMaxErrorRatio = 0.25;      // an endpoint with a higher ratio is ejected
+constexpr Duration kMinRestartTime = 300ms;  // an endpoint that is back sooner did not restart
+constexpr Duration kMaxRecoveryBackoff = 4000ms;  // outages last seconds to tens of seconds
 
 }  // namespace
 
@@ -41,10 +41,10 @@
   event_.log(EndpointReadmitted{endpoint.listing.id});
 }
 
-// An endpoint can be back before the list says that it restarted: it refused a connection, or was
-// silent and comes back without what was written meanwhile. One that applied the log all the while
-// was only out of reach, by a bad network path or expensive connections, and is warm. Costs an
-// endpoint that hung and comes back some traffic.
+// An endpoint can be back before the list contains its restart: it refused a connection, or was
+// silent and returns without the writes of that time. An endpoint that applied the log meanwhile
+// was only unreachable, because of a bad network path or expensive connections, and needs no slow
+// start. The cost is less traffic for an endpoint that hung and recovered.
 bool OutlierEjector::starts_cold(const EndpointState& endpoint, bool may_have_restarted) const {
   if (may_have_restarted)
     return true;
@@ -95,8 +95,9 @@
                                                ConnectionFailureKind kind) {
   if (attempt.is_recovery)
     back_off_recovery(endpoint);
-  // One connection broken at once is chance: endpoints reset some and live on, also while ejected
-  // as slow. Two in a row, as with timeouts, are a symptom: of one that died, all break.
+  // A single broken connection may be chance: endpoints reset some connections and continue to run,
+  // also while they are ejected for being slow. Two in a row count as a failure, as with timeouts:
+  // of an endpoint that is down, all connections break.
   const bool immediate = kind == ConnectionFailureKind::Immediate;
   if (immediate) {
     ++endpoint.connection_breaks;
@@ -115,8 +116,7 @@
 }
 
 void OutlierEjector::record_connection_use(EndpointState& endpoint) const {
-  // One that broke connections and answers this soon on a new one never stopped: restarts take
-  // longer.
+  // An endpoint that answers on a new connection so soon did not restart: restarts take longer.
   if (event_.now - endpoint.first_break_at < kMinRestartTime)
     endpoint.may_have_restarted = false;
   endpoint.connection_breaks = 0;
--- a/src/router/outlier_ejection.h
+++ b/src/router/outlier_ejection.h
@@ -1,5 +1,5 @@
-/// Ejects endpoints that fail and readmits those that answer, as a circuit breaker for each
-/// endpoint: closed, open when ejected, half-open while a recovery attempt is in flight.
+/// Ejects endpoints that fail and readmits those that answer. Works as a circuit breaker for each
+/// endpoint: closed, open while ejected, half-open while a recovery attempt is in flight.
 #pragma once
 
 #include "gorsebeam/settings.h"
@@ -13,7 +13,7 @@
 /// What ends an ejection.
 enum class RecoveryCondition {
   HealthCheck,  ///< A health check or any answer.
-  Attempt,      ///< Only the answer to a request: a health check proves little after such failures.
+  Attempt,      ///< Only the answer to a request, as a health check proves little.
 };
 
 /// How a connection failed.
@@ -22,7 +22,7 @@
   Slow,       ///< Ran into the timeout: the network path or the set-up may be slow.
 };
 
-/// Keeps the failure counts in an endpoint table.
+/// Holds the failure counts in an endpoint table.
 class OutlierEjector {
 public:
   OutlierEjector(const EventContext& event, const Settings& settings, EndpointTable& endpoints,
@@ -35,27 +35,27 @@
   /// Ends the ejection, if there is one. Starts a slow start if the endpoint may have restarted.
   void readmit(EndpointState& endpoint);
 
-  /// An attempt was answered: counts and backoff start anew, and the endpoint is readmitted.
+  /// Records an answered attempt: resets counts and backoff, and readmits the endpoint.
   void record_answer(EndpointState& endpoint, const UpstreamAttempt& attempt);
 
-  /// Postpones the next recovery attempt by a pause that doubles.
+  /// Postpones the next recovery attempt by a backoff that doubles.
   void back_off_recovery(EndpointState& endpoint) const;
 
-  /// An attempt timed out.
+  /// Records an attempt that timed out.
   void record_timeout(EndpointState& endpoint, const UpstreamAttempt& attempt);
 
-  /// An attempt succeeded: the error ratio falls.
+  /// Records a successful attempt, which lowers the error ratio.
   static void record_success(EndpointState& endpoint);
 
-  /// An attempt was answered with an error.
+  /// Records an attempt that was answered with an error.
   void record_error(EndpointState& endpoint, const UpstreamAttempt& attempt);
 
-  /// A connection failed or broke. Returns whether the endpoint was ejected for it.
+  /// Records a connection that failed or broke. Returns whether the endpoint was ejected for it.
   [[nodiscard]] bool record_connection_failure(EndpointState& endpoint,
                                                const UpstreamAttempt& attempt,
                                                ConnectionFailureKind kind);
 
-  /// The endpoint answered on a connection: breaks in a row start anew.
+  /// Records an answer on a connection, which resets the count of broken connections.
   void record_connection_use(EndpointState& endpoint) const;
 
 private:
--- /dev/null
+++ b/src/router/primary_discovery.cpp
@@ -0,0 +1,90 @@
+#include "router/primary_discovery.h"
+
+namespace gorsebeam::router {
+namespace {
+
+// The shortest time between two writes that are sent to find a group's primary.
+constexpr Duration kDiscoveryInterval = kHealthCheckGap;
+
+// A position that an endpoint reported within this time is recent evidence that it is running.
+constexpr Duration kRecentEvidenceAge = 4 * kHealthCheckGap;
+
+}  // namespace
+
+// The base design does not treat a group whose primary does not answer. Where health checks report
+// roles, they are sent to all endpoints. Otherwise one waiting write at a time is sent to the
+// replicas, the most advanced first: an endpoint that is not the primary rejects it unexecuted. The
+// cost is those attempts.
+void PrimaryDiscovery::discover_for(PendingRequest& request) {
+  ReplicaGroup& group = state_.group_of(request);
+  check_roles(group);
+  if (waits_for_reports(request))
+    return;
+  const TimePoint now = state_.event.now;
+  if (now - kDiscoveryInterval < group.last_discovery_at)
+    return;
+  const std::optional<EndpointId> candidate = choose_candidate(request);
+  if (!candidate)
+    return;
+  group.last_discovery_at = now;
+  starter_.start(request, *candidate, AttemptKind::Normal);
+}
+
+void PrimaryDiscovery::check_roles(const ReplicaGroup& group) {
+  const bool reports_hold_roles = state_.settings.load_reports_hold_roles;
+  for (const EndpointId id : group.endpoints) {
+    EndpointState& endpoint = state_.endpoints.at(id);
+    if (reports_hold_roles || endpoint.is_ejected)
+      state_.health_checks.check(endpoint, 2 * kHealthCheckGap, HealthCheckBudget::Exempt);
+  }
+}
+
+bool PrimaryDiscovery::waits_for_reports(const PendingRequest& request) const {
+  const bool reports_hold_roles = state_.settings.load_reports_hold_roles &&
+                                  state_.settings.load_report_source != LoadReportSource::None;
+  return reports_hold_roles && state_.event.now - request.arrived_at < kHealthCheckGap;
+}
+
+std::optional<EndpointId> PrimaryDiscovery::choose_candidate(const PendingRequest& request) {
+  std::optional<EndpointId> most_advanced;
+  for (const EndpointId id : state_.group_of(request).endpoints) {
+    EndpointState& endpoint = state_.endpoints.at(id);
+    if (!is_candidate(request, endpoint))
+      continue;
+    if (!most_advanced || endpoint.position > state_.endpoints.at(*most_advanced).position)
+      most_advanced = id;
+  }
+  return most_advanced;
+}
+
+bool PrimaryDiscovery::is_candidate(const PendingRequest& request, EndpointState& endpoint) {
+  const EndpointId id = endpoint.listing.id;
+  const bool is_primary = state_.group_of(request).primary == id;
+  const bool is_alive_primary = is_primary && has_recent_evidence(endpoint);
+  if (!endpoint.is_usable())
+    return false;
+  const bool is_backing_off = endpoint.is_ejected && state_.event.now < endpoint.next_recovery_at;
+  if (is_backing_off && !is_alive_primary)
+    return false;
+  if (is_primary && has_evidence_since_attempt(request))
+    return true;
+  return !selector_.was_attempted(request, id);
+}
+
+// The primary may get a request again after an attempt if evidence since then shows that it is the
+// primary: it may have broken one connection and continue to serve. Without this no other endpoint
+// would ever accept the write.
+bool PrimaryDiscovery::has_evidence_since_attempt(const PendingRequest& request) const {
+  return !request.attempts.empty() &&
+         state_.group_of(request).primary_evidence_at > request.attempts.back().sent_at;
+}
+
+// A primary that reports its position by health checks while answers are fast loses some answers.
+// The doubling backoff would withhold writes from it for seconds. A primary that hangs reports
+// nothing; where all answers are slow, it may be overloaded.
+bool PrimaryDiscovery::has_recent_evidence(const EndpointState& primary) {
+  return primary.position_reported_at > state_.event.now - kRecentEvidenceAge &&
+         !admission_.is_pool_overloaded(primary);
+}
+
+}  // namespace gorsebeam::router
--- a/src/router/rejection_policy.cpp
+++ b/src/router/rejection_policy.cpp
@@ -3,7 +3,7 @@
 namespace gorsebeam::router {
 namespace {
 
-// A role that is handed over, rather than lost, has a new holder sooner than this.
+// A primary that hands over its role, rather than dies, has a successor within this time.
 constexpr Duration kHandoverTime = 1000ms;
 
 }  // namespace
@@ -27,9 +27,9 @@
   return std::nullopt;
 }
 
-// A client must not be held for an election, which lasts seconds: what was not sent by half of its
-// time is rejected while its client can still come back. A suspected primary may answer any time,
-// so requests wait for it.
+// An election lasts seconds. A request that was not sent by half of its time is rejected while its
+// client still has time to retry. A suspected primary may answer at any time, so requests wait for
+// it.
 bool RejectionPolicy::cannot_find_primary_in_time(const PendingRequest& request,
                                                   const ReplicaGroup& group) const {
   if (!request.attempts.empty() || group.primary || group.primary_evidence_at == kUnknown)
@@ -45,7 +45,7 @@
   close(request, reason, advise ? state_.settings.max_retry_after : 0ms);
 }
 
-// Saying that a request is safe to send again must be true.
+// A rejection promises the client that the request is safe to send again.
 bool RejectionPolicy::can_reject(const PendingRequest& request) const {
   const RequestClass& request_class = state_.class_of(request);
   if (request_class.idempotency == Idempotency::Idempotent || request.may_have_run_at == kUnknown)
--- a/src/router/rejection_policy.h
+++ b/src/router/rejection_policy.h
@@ -8,24 +8,25 @@
 
 namespace gorsebeam::router {
 
-/// Every final answer of the router itself passes here.
+/// Emits every final answer that the router itself gives.
 class RejectionPolicy {
 public:
   RejectionPolicy(RouterState& state, const RetryPolicy& retries)
       : state_(state), retries_(retries) {}
 
-  /// Rejects a request beyond its rate limit before anything is sent, and says when the next one
-  /// fits. Returns whether it did.
+  /// Rejects a request over its rate limit before anything is sent, with the time after which one
+  /// is admitted. Returns whether it did.
   [[nodiscard]] bool reject_over_rate_limit(PendingRequest& request) const;
 
-  /// Why a request without an attempt in flight can get no further one; nothing if it can.
+  /// Why a request without an attempt in flight can get no further attempt; empty if it can.
   [[nodiscard]] std::optional<AnswerReason> reason_to_give_up(const PendingRequest& request) const;
 
-  /// Whether a request that needs its group's unknown primary should not wait for it any longer.
+  /// Whether a request that needs its group's primary, which is unknown, should wait no longer.
   [[nodiscard]] bool cannot_find_primary_in_time(const PendingRequest& request,
                                                  const ReplicaGroup& group) const;
 
-  /// Closes a request without an attempt in flight: rejected when that is true to say, else failed.
+  /// Closes a request without an attempt in flight: rejected if it is safe to send again, else
+  /// failed.
   void give_up(PendingRequest& request, AnswerReason reason) const;
 
 private:
--- a/src/router/replication_positions.h
+++ b/src/router/replication_positions.h
@@ -7,12 +7,12 @@
 
 namespace gorsebeam::router {
 
-/// An endpoint showed at `reported_at` that it has applied the log up to `position`. A position
-/// holds for good once shown: it never falls.
+/// Records that an endpoint reported at `reported_at` that it has applied the log up to `position`.
+/// A position never decreases, so a report remains valid.
 void advance_replication_position(EndpointTable& endpoints, EndpointState& endpoint,
                                   ReplicationPosition position, TimePoint reported_at);
 
-/// Whether a misdirected read showed a need that no position has proved met since.
+/// Whether a misdirected read showed that the endpoint lags, and no position has refuted it since.
 [[nodiscard]] bool is_known_stale(const EndpointState& endpoint);
 
 /// The position that an endpoint must have applied to serve the request now; kUnknownPosition: any.
--- a/src/router/request_scheduler.h
+++ b/src/router/request_scheduler.h
@@ -1,4 +1,4 @@
-/// Decides after each step of a request whether it is done, and otherwise when it is looked at
+/// Decides after each step of a request whether it is finished, and otherwise when it is checked
 /// next.
 #pragma once
 
@@ -7,12 +7,13 @@
 
 namespace gorsebeam::router {
 
-/// Keeps the waiting requests of each group and the timers up to date.
+/// Updates the waiting requests of each group and the timers.
 class RequestScheduler {
 public:
   RequestScheduler(RouterState& state, RetryPolicy& retries) : state_(state), retries_(retries) {}
 
-  /// Forgets the request if it is done; references to it then end. Else schedules its next check.
+  /// Removes the request if it is finished, which invalidates references to it. Otherwise schedules
+  /// its next check.
   void finish_or_rearm(PendingRequest& request);
 
 private:
--- a/src/router/request_table.h
+++ b/src/router/request_table.h
@@ -19,10 +19,11 @@
 struct UpstreamAttempt {
   EndpointId endpoint = 0;
   TimePoint sent_at{};
-  ReplicationPosition required_position = kUnknownPosition;  ///< The data that the read must see.
+  ReplicationPosition required_position =
+      kUnknownPosition;  ///< The position that the read must see.
   bool in_flight = true;
   bool is_overdue = false;
-  bool is_recovery = false;       ///< Sent to an ejected endpoint to see whether it answers.
+  bool is_recovery = false;       ///< Sent to an ejected endpoint, whose answer readmits it.
   bool connection_broke = false;  ///< Ended by a connection that failed or broke.
 };
 
@@ -35,7 +36,7 @@
   TimePoint give_up_at{};    ///< No attempt starts after this.
   ReplicationPosition session_token =
       kUnknownPosition;        ///< The position that a session read must see.
-  std::uint64_t hash_key = 0;  ///< The session's, or its own: places it among the endpoints.
+  std::uint64_t hash_key = 0;  ///< Of its session, or its own; assigns it to an endpoint.
   std::uint64_t draw = 0;      ///< Its own random number.
   std::vector<UpstreamAttempt> attempts;
   TimePoint may_have_run_at = kUnknown;  ///< When the first attempt that may have run was sent.
@@ -43,11 +44,11 @@
   bool is_closed = false;  ///< It has its final answer.
   bool is_hedged = false;
   TimePoint retry_not_before{};
-  TimePoint check_at = kNever;  ///< When a timer looks at it next.
+  TimePoint check_at = kNever;  ///< When it is checked next.
   int in_flight = 0;            ///< Attempts without a result.
 };
 
-/// Owns the open requests. Bounded by what the embedding program leaves open.
+/// Owns the open requests. Bounded by the requests that the embedding program keeps open.
 class RequestTable {
 public:
   /// Adds a request with the next sequence number.
@@ -61,10 +62,10 @@
   /// The open request with this sequence number; it must exist.
   [[nodiscard]] PendingRequest& at(std::uint64_t sequence) { return requests_.at(sequence); }
 
-  /// Forgets a request; references to it end.
+  /// Removes a request, which invalidates references to it.
   void remove(const PendingRequest& request);
 
-  /// The endpoints that attempts of open requests went to.
+  /// The endpoints to which open requests had attempts.
   [[nodiscard]] std::set<EndpointId> endpoints_in_use() const;
 
 private:
--- a/src/router/request_timers.cpp
+++ b/src/router/request_timers.cpp
@@ -46,7 +46,7 @@
 }
 
 void RequestTimers::record_expiry(TimePoint now) {
-  // A clock may be coarser than nanoseconds, so its timer may come a little early.
+  // On a clock that is coarser than nanoseconds, the timer may expire slightly early.
   if (now + clock_resolution_ > armed_at_)
     armed_at_ = kNever;
 }
--- a/src/router/request_timers.h
+++ b/src/router/request_timers.h
@@ -1,4 +1,4 @@
-/// Schedules when each open request is looked at, and the one timer of the router.
+/// Schedules the checks of open requests and the one timer of the router.
 #pragma once
 
 #include "router/event_context.h"
@@ -11,17 +11,18 @@
 
 namespace gorsebeam::router {
 
-/// How often requests that wait are looked at; well under any latency objective.
+/// The interval between checks of a waiting request; far below any latency objective.
 constexpr Duration kSweepInterval = 10ms;
 
-/// Keeps the check times of requests and asks for the earliest as a timer.
+/// Holds the check times of requests and arms a timer for the earliest.
 class RequestTimers {
 public:
-  /// `seed` gives this router's first sweep its own phase: routers that start together must not
-  /// retry in step. `clock_resolution` is the shortest time between two rounds of events.
+  /// `seed` determines the phase of this router's first sweep, so that routers that start together
+  /// do not retry at the same times. `clock_resolution` is the shortest time between two rounds of
+  /// events.
   RequestTimers(std::uint64_t seed, Duration clock_resolution);
 
-  /// The time of the next sweep. The phase is used up by the first call.
+  /// The time of the next sweep. Only the first call applies the phase.
   [[nodiscard]] TimePoint next_sweep(TimePoint now);
 
   /// Sets the time at which a request that is not scheduled is checked; kNever: not at all.
@@ -33,19 +34,19 @@
   /// The sequence number of the request whose check is due first, if any is due.
   [[nodiscard]] std::optional<std::uint64_t> first_due(TimePoint now) const;
 
-  /// Asks for the endpoint list at a time; replaces an earlier request to do so.
+  /// Schedules a poll of the endpoint list, in place of the one scheduled before.
   void schedule_list_poll(TimePoint at) { list_poll_at_ = at; }
 
-  /// Whether the endpoint list is to be asked for now. It then is no longer scheduled.
+  /// Whether a poll of the endpoint list is due. If so, it is no longer scheduled.
   [[nodiscard]] bool consume_due_list_poll(TimePoint now);
 
-  /// Whether the armed timer should have come so long ago that the router itself stood still.
+  /// Whether the armed timer is so long overdue that the router itself was stalled.
   [[nodiscard]] bool is_long_overdue(TimePoint now) const;
 
-  /// The armed timer came.
+  /// Records that the armed timer expired.
   void record_expiry(TimePoint now);
 
-  /// Asks for a timer if the earliest time is before the armed one.
+  /// Emits SetTimer if the earliest check is before the armed timer.
   void arm(const EventContext& event);
 
 private:
--- a/src/router/retry_policy.cpp
+++ b/src/router/retry_policy.cpp
@@ -8,9 +8,9 @@
 namespace gorsebeam::router {
 namespace {
 
-// Times the median: what one answer in fifty passes where answer times are exponential.
+// In multiples of the median; one answer in fifty takes longer if latencies are exponential.
 constexpr double kOverdueFactor = 6;
-constexpr double kHedgeShare = 0.02;  // hedges for each request: bounds the load that they add
+constexpr double kHedgeShare = 0.02;  // hedges per request; bounds the load that they add
 constexpr Duration kRejectionBackoff = 5 * kSweepInterval;
 
 }  // namespace
@@ -19,8 +19,8 @@
   hedge_budget_ = std::min(hedge_budget_ + kHedgeShare, kMaxHedgeBudget);
 }
 
-// An attempt is late. Where the settings allow it, a hedge goes to another replica: at once if the
-// endpoint was ejected, else within a small share of all requests.
+// Where the settings allow it, an attempt that is overdue is hedged at another replica: at once if
+// its endpoint was ejected, otherwise within a budget that is a small share of all requests.
 HedgeDecision RetryPolicy::decide_hedge(const PendingRequest& request) const {
   const RequestClass& request_class = state_.class_of(request);
   const UpstreamAttempt& last = request.attempts.back();
@@ -39,9 +39,9 @@
   return is_ejected ? HedgeDecision::Free : HedgeDecision::Budgeted;
 }
 
-// Far beyond the usual for the class, and beyond what the other endpoints take now. Where all are
-// slow none is to blame, so a jam ejects no endpoint, puts no primary under suspicion, and load is
-// not driven onto the last one left.
+// An attempt is overdue far beyond the typical latency of its class and beyond the present latency
+// of the other endpoints. Where all endpoints are slow, none is at fault: congestion ejects no
+// endpoint, suspects no primary, and does not concentrate the load on the last endpoint left.
 Duration RetryPolicy::overdue_after(const PendingRequest& request, EndpointId id) {
   const RequestClass& request_class = state_.class_of(request);
   const auto objective = to_double(request_class.latency_objective);
@@ -64,7 +64,7 @@
   return request.attempts.size() < limit;
 }
 
-// No effect twice: what may have run goes out again only where its key holds, within its window.
+// A request that may have run is sent again only if its idempotency key is still remembered.
 bool RetryPolicy::is_safe_to_retry(const PendingRequest& request) const {
   const RequestClass& request_class = state_.class_of(request);
   if (request.may_have_run_at == kUnknown || request_class.idempotency == Idempotency::Idempotent)
@@ -75,7 +75,7 @@
          request_class.deduplication_window - state_.settings.clock_resolution;
 }
 
-// A key that holds within a zone binds a request that may have run to the zone where it ran.
+// Where keys are remembered per zone, a request that may have run stays in the zone where it ran.
 bool RetryPolicy::can_retry_at(const PendingRequest& request, const EndpointState& endpoint) const {
   const RequestClass& request_class = state_.class_of(request);
   if (request_class.idempotency != Idempotency::IdempotencyKey ||
@@ -92,7 +92,7 @@
   if (request.is_closed || now >= request.request.deadline ||
       endpoint.listing.group != request.request.group)
     return false;
-  if (!endpoint.is_usable())  // drains are kept
+  if (!endpoint.is_usable())
     return false;
   if (!is_safe_to_retry(request) || !can_retry_at(request, endpoint))
     return false;
@@ -103,7 +103,7 @@
     return true;
   if (state_.group_of(request).primary == endpoint.listing.id)
     return true;
-  return is_proven_current(endpoint, request_class, request, now);  // no stale read
+  return is_proven_current(endpoint, request_class, request, now);
 }
 
 bool RetryPolicy::can_start_attempt(const PendingRequest& request,
--- a/src/router/retry_policy.h
+++ b/src/router/retry_policy.h
@@ -14,7 +14,7 @@
   Free,      ///< A hedge beyond the budget, as the endpoint of the attempt was ejected.
 };
 
-/// Also keeps the budget of hedges.
+/// Also holds the budget of hedges.
 class RetryPolicy {
 public:
   explicit RetryPolicy(RouterState& state) : state_(state) {}
@@ -22,36 +22,37 @@
   /// Adds a request's share to the budget of hedges.
   void accrue_hedge_budget();
 
-  /// Takes a hedge out of the budget.
+  /// Removes one hedge from the budget.
   void spend_hedge_budget() { hedge_budget_ -= 1; }
 
   /// Whether a hedge may be sent now, while an attempt is in flight.
   [[nodiscard]] HedgeDecision decide_hedge(const PendingRequest& request) const;
 
-  /// The nanoseconds after which an attempt counts as a timeout of its endpoint.
+  /// The time after which an attempt counts as a timeout of its endpoint.
   [[nodiscard]] Duration overdue_after(const PendingRequest& request, EndpointId id);
 
   /// Whether the request has attempts left, by the settings and its contract.
   [[nodiscard]] bool has_attempts_left(const PendingRequest& request) const;
 
-  /// Whether another attempt can have no second effect.
+  /// Whether another attempt cannot cause a second effect.
   [[nodiscard]] bool is_safe_to_retry(const PendingRequest& request) const;
 
-  /// The rules on what may go to an endpoint: kept at the decision, and again when it is written.
+  /// Whether the rules permit sending the request to the endpoint. Evaluated at the decision, and
+  /// again right before the write.
   [[nodiscard]] bool is_attempt_allowed(const PendingRequest& request,
                                         const EndpointState& endpoint) const;
 
-  /// Whether the request may go to the endpoint, given what is in flight for it.
+  /// As above, and whether the attempts made and in flight permit another one.
   [[nodiscard]] bool can_start_attempt(const PendingRequest& request,
                                        const EndpointState& endpoint) const;
 
-  /// When an arriving request is given up.
+  /// When a request that has arrived is given up.
   [[nodiscard]] TimePoint give_up_at(const PendingRequest& request) const;
 
-  /// The earliest retry after a primary rejected an attempt: a pause that doubles.
+  /// The time of the next retry after a primary rejected an attempt: a backoff that doubles.
   [[nodiscard]] TimePoint retry_after_rejection(const PendingRequest& request) const;
 
-  /// Whether an attempt that ended so may have had its effect without an answer.
+  /// Whether an attempt that ended with `status` may have had its effect without an answer.
   [[nodiscard]] static bool may_have_run(AttemptStatus status);
 
 private:
--- a/src/router/role_evidence.cpp
+++ b/src/router/role_evidence.cpp
@@ -5,8 +5,8 @@
 namespace gorsebeam::router {
 
 void RoleTracker::record_role_evidence(EndpointState& endpoint, const RoleEvidence& evidence) {
-  // A load report can be older than the answer that brings it. It would elect again, and again, the
-  // endpoint that has just said that it is primary no more.
+  // A load report can be older than the answer that contains it. It would reinstate an endpoint
+  // that has just reported that it is no longer the primary.
   if (evidence.as_of < endpoint.role_evidence_at)
     return;
   endpoint.role_evidence_at = evidence.as_of;
--- a/src/router/role_evidence.h
+++ b/src/router/role_evidence.h
@@ -6,16 +6,16 @@
 
 namespace gorsebeam::router {
 
-/// Age given to a role when its evidence bears no date.
+/// The age that is assumed of evidence without a date.
 constexpr Duration kAssumedEvidenceAge = 2000ms;
 
-/// What something says of an endpoint's role.
+/// A statement about an endpoint's role.
 struct RoleEvidence {
-  /// Only an answer of the endpoint itself ends a suspicion.
+  /// Only an answer to a request ends a suspicion.
   enum class Source { Answer, Report };
 
   bool is_primary = false;
-  TimePoint as_of{};
+  TimePoint as_of{};  ///< The time for which it holds.
   Source source = Source::Report;
 };
 
@@ -25,11 +25,11 @@
   RoleTracker(const EventContext& event, EndpointTable& endpoints)
       : event_(event), endpoints_(endpoints) {}
 
-  /// Takes evidence of an endpoint's role into account: the newest decides who is primary.
+  /// Records evidence of an endpoint's role. The newest evidence decides which is the primary.
   void record_role_evidence(EndpointState& endpoint, const RoleEvidence& evidence);
 
-  /// If the endpoint is its group's primary: it failed to answer or to be reached, so writes wait
-  /// until an endpoint is shown to be primary.
+  /// Records that an endpoint failed to answer or to be reached. If it is its group's primary,
+  /// writes wait until evidence shows which endpoint is the primary.
   void suspect_primary(const EndpointState& endpoint);
 
 private:
--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -1,5 +1,5 @@
-/// Holds all state of one router: its settings, the event in hand, and the modules that keep state
-/// and estimates. The policies decide on it.
+/// Holds all state of one router: its settings, the event that is handled, and the modules that
+/// hold state and estimates. The policies decide by it.
 #pragma once
 
 #include "gorsebeam/settings.h"
@@ -29,7 +29,7 @@
     return settings.classes[request.request.class_index];
   }
 
-  /// The usual answer time of the request's class, in nanoseconds.
+  /// The typical latency of the request's class, in nanoseconds.
   [[nodiscard]] double typical_latency(const PendingRequest& request) const {
     return classes.typical_latency(request.request.class_index);
   }
@@ -39,7 +39,7 @@
     return endpoints.group(request.request.group);
   }
 
-  /// The load of all endpoints in this one's zone with its role, decayed to the present.
+  /// The load of all endpoints with the same zone and role, decayed to the present.
   [[nodiscard]] DecayingLoad& pool_of(const EndpointState& endpoint);
 
   /// The endpoint's own load, decayed to the present.
--- a/src/router/session_requirements.h
+++ b/src/router/session_requirements.h
@@ -1,4 +1,4 @@
-/// Tracks which position a session's reads must see, where this router remembers sessions' writes.
+/// Determines which position a session's reads must see.
 #pragma once
 
 #include "gorsebeam/events.h"
@@ -8,19 +8,19 @@
 
 namespace gorsebeam::router {
 
-/// Feeds the attempts of writes to the session writes and reads tokens from them.
+/// Records writes where this router is the source of session tokens.
 class SessionRequirements {
 public:
   explicit SessionRequirements(const Settings& settings);
 
-  /// The position that a read which arrives now must see; kUnknownPosition: any.
+  /// The position that a read which arrives at `now` must see; kUnknownPosition: any.
   [[nodiscard]] ReplicationPosition
   token_for(const Request& request, const RequestClass& request_class, TimePoint now) const;
 
-  /// An attempt of the request starts.
+  /// Records that an attempt of the request starts.
   void record_start(const PendingRequest& request, TimePoint now);
 
-  /// An attempt ended; `may_have_run` says whether it may have run without an answer.
+  /// Records that an attempt ended.
   void record_end(const PendingRequest& request, const UpstreamAttempt& attempt,
                   const AttemptResult& result, bool may_have_run, TimePoint now);
 
--- a/src/router/slow_start.h
+++ b/src/router/slow_start.h
@@ -1,4 +1,4 @@
-/// Computes the capacity of an endpoint whose process started a short time ago.
+/// Computes the capacity of an endpoint whose process started a short time ago (slow start).
 #pragma once
 
 #include "gorsebeam/settings.h"
--- a/tests/router/health_check_scheduler_test.cpp
+++ b/tests/router/health_check_scheduler_test.cpp
@@ -39,9 +39,9 @@
 
 TEST_F(HealthCheckSchedulerTest, ChecksNothingWhereNotAllowedOrNotUsable) {
   EndpointState& endpoint = add_endpoint(1);
-  endpoint.is_leaving = true;
+  endpoint.listing.status = EndpointStatus::Draining;
   EXPECT_FALSE(scheduler_.check(endpoint));
-  endpoint.is_leaving = false;
+  endpoint.listing.status = EndpointStatus::Up;
   settings_.health_checks_allowed = false;
   EXPECT_FALSE(scheduler_.check(endpoint, kHealthCheckGap, HealthCheckBudget::Exempt));
   EXPECT_TRUE(actions_.empty());
