--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -1,5 +1,5 @@
-/// Holds all state of one router: its settings, the event in hand, and the modules that keep state
-/// and estimates. The policies decide on it.
+/// Holds all state of one router: its settings, the event that is handled, and the modules that
+/// hold state and estimates. The policies decide by it.
 #pragma once
 
 #include "gorsebeam/settings.h"
@@ -29,9 +29,9 @@
     return settings.classes[request.request.class_index];
   }
 
-  /// The usual answer time of the request's class, in nanoseconds.
-  [[nodiscard]] double usual_time(const PendingRequest& request) const {
-    return classes.usual_time(request.request.class_index);
+  /// The typical latency of the request's class, in nanoseconds.
+  [[nodiscard]] double typical_latency(const PendingRequest& request) const {
+    return classes.typical_latency(request.request.class_index);
   }
 
   /// The group of a request, created if it is new.
@@ -39,11 +39,11 @@
     return endpoints.group(request.request.group);
   }
 
-  /// The load of all endpoints in this one's zone with its role, faded to the present.
-  [[nodiscard]] FadingLoad& pool_of(const EndpointState& endpoint);
+  /// The load of all endpoints with the same zone and role, decayed to the present.
+  [[nodiscard]] DecayingLoad& pool_of(const EndpointState& endpoint);
 
-  /// The endpoint's own load, faded to the present.
-  [[nodiscard]] FadingLoad& load_of(EndpointState& endpoint) const;
+  /// The endpoint's own load, decayed to the present.
+  [[nodiscard]] DecayingLoad& load_of(EndpointState& endpoint) const;
 
   const Settings settings;
   EventContext event;
