--- /dev/null
+++ b/tests/fault_soak/fake_client.cpp
@@ -0,0 +1,136 @@
+#include "fake_client.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace fault_soak {
+
+using gorsebeam::net::Stream;
+using test_harness::ClientResult;
+using test_harness::postgres;
+using test_harness::Request;
+
+namespace {
+
+const char* result_name(ClientResult result) {
+  switch (result) {
+  case ClientResult::Served:
+    return "served";
+  case ClientResult::Rejected:
+    return "rejected";
+  case ClientResult::Failed:
+    break;
+  }
+  return "failed";
+}
+
+// Six of ten requests are reads, one is a single-shot write.
+ServiceClass class_of(Millis draw_of_ten) {
+  if (draw_of_ten < 6)
+    return ServiceClass::Idempotent;
+  return draw_of_ten < 9 ? ServiceClass::Keyed : ServiceClass::SingleShot;
+}
+
+}  // namespace
+
+FakeClient::FakeClient(SoakContext& context, int gateway, const GatewayProcess& process,
+                       Behavior behavior)
+    : context_(context), gateway_(gateway), process_(process), behavior_(behavior) {}
+
+void FakeClient::connect() {
+  if (context_.is_over || !process_.is_ready())
+    return;
+  input_.clear();
+  stream_ = Stream::connect(process_.address(), *this);
+  if (stream_)
+    stream_->write({postgres().client_handshake()});
+}
+
+void FakeClient::send_next() {
+  const bool is_idle = behavior_ == Behavior::Idle;
+  if (context_.is_over || is_idle || !request_id_.empty() || !is_connected())
+    return;
+  const std::string id =
+      "r" + std::to_string(gateway_) + "x" + std::to_string(context_.next_request_number);
+  ++context_.next_request_number;
+  request_ = draw_request(id);
+  send(id);
+}
+
+Request FakeClient::draw_request(const std::string& id) {
+  service_class_ = class_of(context_.traffic_random.between(0, 9));
+  Request request;
+  request.id = id;
+  request.service_class = class_name(service_class_);
+  request.timeout_ms = static_cast<int>(context_.traffic_random.between(150, 2000));
+  request.is_write = service_class_ != ServiceClass::Idempotent;
+  request.idempotency_key = request.is_write ? "k" + id : "";
+  return request;
+}
+
+void FakeClient::send(const std::string& id) {
+  const Millis now = now_ms();
+  request_.id = id;
+  request_id_ = id;
+  deadline_ = now + request_.timeout_ms;
+  context_.oracle.request_sent(gateway_, id, service_class_, deadline_, now);
+  stream_->write({postgres().encode_request(request_)});
+  if (!context_.traffic_random.draw_bool(0.05))
+    return;
+  context_.tasks.run_after(context_.traffic_random.between(1, 300), [this, id] {
+    if (request_id_ == id)
+      disconnect();
+  });
+}
+
+void FakeClient::send_next_after(Millis delay) {
+  context_.tasks.run_after(delay, [this] {
+    send_next();
+  });
+}
+
+void FakeClient::disconnect() {
+  context_.oracle.client_disconnected(std::exchange(request_id_, ""), now_ms());
+  stream_->close();
+  context_.tasks.run_after(context_.traffic_random.between(5, 100), [this] {
+    connect();
+    send_next_after(10);
+  });
+}
+
+void FakeClient::received() {
+  input_.append(stream_->input().view());
+  stream_->input().consume(stream_->input().size());
+  while (const auto response = postgres().decode_response(input_)) {
+    if (request_id_.empty())
+      continue;  // the error before the gateway closes a connection
+    context_.oracle.response_received(std::exchange(request_id_, ""), now_ms());
+    ++context_.report.result_counts[result_name(response->result)];
+    send_next_after(context_.traffic_random.between(5, 250));
+  }
+}
+
+void FakeClient::ended(const std::string&) {
+  const Millis now = now_ms();
+  const bool has_crossed =
+      !request_id_.empty() &&
+      context_.oracle.connection_ended(request_id_, now) == ConnectionClose::CrossedRequest;
+  const AfterReconnect next =
+      has_crossed && deadline_ > now ? AfterReconnect::SendAgain : AfterReconnect::SendNext;
+  request_id_.clear();
+  context_.tasks.run_after(context_.traffic_random.between(1, 40), [this, next] {
+    reconnect(next);
+  });
+}
+
+void FakeClient::reconnect(AfterReconnect next) {
+  connect();
+  if (next == AfterReconnect::SendNext || !is_connected()) {
+    send_next_after(context_.traffic_random.between(5, 100));
+    return;
+  }
+  request_.timeout_ms = static_cast<int>(std::max<Millis>(deadline_ - now_ms(), 20));
+  send("again" + request_.id);
+}
+
+}  // namespace fault_soak
--- /dev/null
+++ b/tests/fault_soak/fake_client.h
@@ -0,0 +1,56 @@
+/// A fake client that sends one request after another and reconnects when its connection ends.
+#pragma once
+
+#include "gateway_process.h"
+#include "soak_clock.h"
+#include "soak_context.h"
+
+#include "integration/protocol.h"
+#include "net/stream.h"
+
+#include <memory>
+#include <string>
+
+namespace fault_soak {
+
+/// The context and the process must outlive it.
+class FakeClient : gorsebeam::net::Stream::Events {
+public:
+  /// An idle client connects and sends no request.
+  enum class Behavior { SendsRequests, Idle };
+
+  FakeClient(SoakContext& context, int gateway, const GatewayProcess& process, Behavior behavior);
+  FakeClient(const FakeClient&) = delete;
+  FakeClient& operator=(const FakeClient&) = delete;
+
+  void connect();
+  /// Sends a request if none is in flight.
+  void send_next();
+
+private:
+  enum class AfterReconnect { SendNext, SendAgain };
+
+  void received() override;
+  void ended(const std::string&) override;
+
+  [[nodiscard]] test_harness::Request draw_request(const std::string& id);
+  void send(const std::string& id);
+  void send_next_after(Millis delay);
+  void disconnect();
+  void reconnect(AfterReconnect next);
+
+  [[nodiscard]] bool is_connected() const { return stream_ && stream_->open(); }
+
+  SoakContext& context_;
+  const int gateway_;
+  const GatewayProcess& process_;
+  const Behavior behavior_;
+  std::shared_ptr<gorsebeam::net::Stream> stream_;
+  std::string input_;
+  std::string request_id_;  ///< In flight; empty: none.
+  test_harness::Request request_;
+  ServiceClass service_class_ = ServiceClass::Idempotent;
+  Millis deadline_ = 0;
+};
+
+}  // namespace fault_soak
--- /dev/null
+++ b/tests/fault_soak/fake_discovery_agent.h
@@ -0,0 +1,64 @@
+/// A discovery agent that faults can silence, stop or move to another address.
+#pragma once
+
+#include "integration/discovery_messages.h"
+#include "net/listener.h"
+#include "net/stream.h"
+#include "net/timer.h"
+
+#include <functional>
+#include <memory>
+#include <string>
+#include <vector>
+
+namespace fault_soak {
+
+/// Serves the endpoint list to one watch at a time.
+class FakeDiscoveryAgent : gorsebeam::net::Stream::Events {
+public:
+  enum class State { Serving, Silent, Refusing };
+
+  /// `on_notified` runs whenever a list has been written to an open watch.
+  explicit FakeDiscoveryAgent(std::function<void()> on_notified);
+  FakeDiscoveryAgent(const FakeDiscoveryAgent&) = delete;
+  FakeDiscoveryAgent& operator=(const FakeDiscoveryAgent&) = delete;
+
+  [[nodiscard]] const std::string& address() const { return listening_address_; }
+
+  void set_state(State state);
+
+  [[nodiscard]] bool is_serving() const { return state_ == State::Serving; }
+
+  /// Replaces the list and sends it to an open watch.
+  void publish(const std::vector<test_harness::ListedEndpoint>& endpoints);
+  /// Resets the connection of the open watch.
+  void reset_watch();
+  /// Listens at another address from now on; an open watch stays open.
+  void move_to_new_address();
+
+private:
+  void received() override;
+
+  void ended(const std::string&) override {}
+
+  [[nodiscard]] bool has_open_watch() const { return watch_ && watch_->open(); }
+
+  void accept(gorsebeam::net::SocketHandle socket);
+  void listen(const std::string& address);
+  void send_list();
+  void send_heartbeat();
+  void write_chunk(const std::string& line);
+
+  std::function<void()> on_notified_;
+  std::unique_ptr<gorsebeam::net::Listener> listener_;
+  std::string listening_address_;
+  std::shared_ptr<gorsebeam::net::Stream> watch_;
+  int watch_descriptor_ = -1;
+  bool has_sent_head_ = false;  ///< To the open watch.
+  std::vector<test_harness::ListedEndpoint> endpoints_;
+  int revision_ = 1;
+  State state_ = State::Serving;
+  gorsebeam::net::Timer heartbeat_;
+};
+
+}  // namespace fault_soak
--- /dev/null
+++ b/tests/fault_soak/fake_endpoint.cpp
@@ -0,0 +1,207 @@
+#include "fake_endpoint.h"
+
+#include "integration/protocol.h"
+#include "net/stream.h"
+
+#include <algorithm>
+#include <stdexcept>
+#include <utility>
+
+namespace fault_soak {
+
+using gorsebeam::net::Listener;
+using gorsebeam::net::SocketHandle;
+using gorsebeam::net::Stream;
+using test_harness::ListedEndpoint;
+using test_harness::ListedStatus;
+using test_harness::postgres;
+using test_harness::ReplicationStatus;
+using test_harness::Request;
+using test_harness::ScriptedResponse;
+
+/// One connection of a gateway.
+struct FakeEndpoint::Connection : Stream::Events, std::enable_shared_from_this<Connection> {
+  Connection(FakeEndpoint& its_endpoint, int its_gateway, SocketHandle socket)
+      : endpoint(its_endpoint), context(its_endpoint.context_), gateway(its_gateway),
+        stream(Stream::adopt(std::move(socket), *this)) {}
+
+  void received() override {
+    const auto keep_alive = shared_from_this();
+    input.append(stream->input().view());
+    stream->input().consume(stream->input().size());
+    while (stream->open() && handle_message()) {
+    }
+  }
+
+  void ended(const std::string&) override { end_attempt(Effect::MayHaveRun); }
+
+  // Returns whether `input` held a complete message.
+  bool handle_message() {
+    const auto message = postgres().decode_endpoint_message(input, replication());
+    if (!message)
+      return false;
+    if (message->request)
+      serve(*message->request);
+    else
+      reply_to_handshake_or_health_check(message->reply);
+    return true;
+  }
+
+  void reply_to_handshake_or_health_check(const std::string& reply) {
+    const bool is_handshake = !std::exchange(is_handshake_complete, true);
+    const Millis now = now_ms();
+    if (!is_handshake)
+      context.oracle.health_check_arrived(gateway, endpoint.index_, now);
+    if (now < endpoint.unresponsive_until)
+      return;
+    if (!is_handshake || now >= endpoint.slow_handshakes_until) {
+      stream->write({reply});
+      return;
+    }
+    context.tasks.run_after(context.traffic_random.between(50, 1500),
+                            [self = weak_from_this(), reply] {
+                              if (const auto connection = self.lock())
+                                connection->stream->write({reply});
+                            });
+  }
+
+  void serve(const Request& request) {
+    const Millis now = now_ms();
+    endpoint.group_.end_closed_attempts(request.id);
+    request_id = request.id;
+    context.oracle.attempt_arrived(endpoint.index_, request.id, request.timeout_ms, now);
+    if (now < endpoint.unresponsive_until)
+      return;
+    context.tasks.run_after(context.traffic_random.between(1, 40),
+                            [self = weak_from_this(), request] {
+                              const auto connection = self.lock();
+                              if (connection && connection->request_id == request.id)
+                                connection->respond(request);
+                            });
+  }
+
+  void respond(const Request& request) {
+    if (!stream->open())
+      return;
+    const ScriptedResponse response = draw_response(request);
+    if (response == ScriptedResponse::ResetConnection) {
+      close();
+      return;
+    }
+    const bool may_have_run =
+        response == ScriptedResponse::Succeed || response == ScriptedResponse::Fail;
+    end_attempt(may_have_run ? Effect::MayHaveRun : Effect::None);
+    stream->write({postgres().encode_response(response, replication(), "by an endpoint")});
+  }
+
+  [[nodiscard]] ScriptedResponse draw_response(const Request& request) const {
+    if (request.is_write && !endpoint.is_primary)
+      return ScriptedResponse::RejectNotPrimary;
+    if (context.traffic_random.draw_bool(0.03))
+      return ScriptedResponse::Fail;
+    if (context.traffic_random.draw_bool(0.02))
+      return ScriptedResponse::RejectOverloaded;
+    if (context.traffic_random.draw_bool(0.03))
+      return ScriptedResponse::ResetConnection;
+    return ScriptedResponse::Succeed;
+  }
+
+  [[nodiscard]] ReplicationStatus replication() const { return {endpoint.is_primary, 0}; }
+
+  void end_attempt(Effect effect) {
+    if (!request_id.empty())
+      context.oracle.attempt_ended(endpoint.index_, std::exchange(request_id, ""), effect);
+  }
+
+  void close() {
+    end_attempt(Effect::MayHaveRun);
+    stream->close();
+  }
+
+  FakeEndpoint& endpoint;
+  SoakContext& context;
+  const int gateway;
+  std::shared_ptr<Stream> stream;
+  std::string input;
+  std::string request_id;  ///< In flight; empty: none.
+  bool is_handshake_complete = false;
+};
+
+FakeEndpoint::FakeEndpoint(SoakContext& context, FakeEndpointGroup& group, int index)
+    : context_(context), group_(group), index_(index) {
+  for (int gateway = 0; gateway < context_.settings.gateways; ++gateway) {
+    listeners_.push_back(std::make_unique<Listener>([this, gateway](SocketHandle socket) {
+      connections_.push_back(std::make_shared<Connection>(*this, gateway, std::move(socket)));
+    }));
+    if (const auto error = listeners_.back()->listen("127.0.0.1:0"))
+      throw std::runtime_error("an endpoint cannot listen: " + error->message);
+  }
+}
+
+FakeEndpoint::~FakeEndpoint() = default;
+
+ListedEndpoint FakeEndpoint::listed_for(int gateway) const {
+  ListedEndpoint listed;
+  listed.number = static_cast<std::size_t>(index_);
+  listed.address = listeners_[static_cast<std::size_t>(gateway)]->address();
+  listed.status = listed_status;
+  listed.is_primary = index_ == 0;
+  listed.started_at_ms = started_at_ms;
+  return listed;
+}
+
+void FakeEndpoint::close_connections() {
+  const auto connections = std::exchange(connections_, {});
+  for (const auto& connection : connections)
+    connection->close();
+}
+
+void FakeEndpoint::end_closed_attempts(const std::string& request_id) {
+  connections_.remove_if([](const auto& connection) {
+    return !connection->stream->open();
+  });
+  for (const auto& connection : connections_) {
+    if (connection->request_id == request_id && connection->stream->has_peer_closed())
+      connection->end_attempt(Effect::MayHaveRun);
+  }
+}
+
+FakeEndpointGroup::FakeEndpointGroup(SoakContext& context) {
+  for (int i = 0; i < context.settings.endpoints; ++i)
+    endpoints_.push_back(std::make_unique<FakeEndpoint>(context, *this, i));
+  endpoints_.front()->is_primary = true;
+}
+
+// A complete list leaves out removed endpoints.
+std::vector<ListedEndpoint> FakeEndpointGroup::list_for(int gateway) const {
+  std::vector<ListedEndpoint> list;
+  for (const auto& endpoint : endpoints_) {
+    if (endpoint->listed_status != ListedStatus::Removed)
+      list.push_back(endpoint->listed_for(gateway));
+  }
+  return list;
+}
+
+int FakeEndpointGroup::up_count() const {
+  return static_cast<int>(
+      std::count_if(endpoints_.begin(), endpoints_.end(), [](const auto& endpoint) {
+        return endpoint->listed_status == ListedStatus::Up;
+      }));
+}
+
+void FakeEndpointGroup::elect_primary() {
+  const auto elected = std::find_if(endpoints_.begin(), endpoints_.end(), [](const auto& endpoint) {
+    return endpoint->listed_status == ListedStatus::Up;
+  });
+  if (elected == endpoints_.end())
+    return;
+  for (const auto& endpoint : endpoints_)
+    endpoint->is_primary = endpoint == *elected;
+}
+
+void FakeEndpointGroup::end_closed_attempts(const std::string& request_id) {
+  for (const auto& endpoint : endpoints_)
+    endpoint->end_closed_attempts(request_id);
+}
+
+}  // namespace fault_soak
--- /dev/null
+++ b/tests/fault_soak/fault_injector.cpp
@@ -0,0 +1,179 @@
+#include "fault_injector.h"
+
+#include <array>
+
+#include <glib.h>
+
+namespace fault_soak {
+
+using test_harness::ListedStatus;
+
+namespace {
+
+constexpr Millis kFirstFaultDelay = 500;
+constexpr int kMinUpEndpoints = 3;
+constexpr int kFloodConnections = 60;
+
+}  // namespace
+
+void FaultInjector::start() {
+  started_at_ = now_ms();
+  inject_after(kFirstFaultDelay);
+}
+
+void FaultInjector::inject_after(Millis delay) {
+  context_.tasks.run_after(delay, [this] {
+    inject_fault();
+  });
+}
+
+void FaultInjector::inject_fault() {
+  using Fault = void (FaultInjector::*)();
+  // A fault is as probable as it is frequent in the list.
+  static constexpr std::array<Fault, 12> kFaults{
+      &FaultInjector::pause_gateway,
+      &FaultInjector::pause_gateway,
+      &FaultInjector::pause_gateway,
+      &FaultInjector::terminate_gateway,
+      &FaultInjector::kill_gateway,
+      &FaultInjector::reload_gateway,
+      &FaultInjector::disturb_agent,
+      &FaultInjector::drain_endpoint,
+      &FaultInjector::make_endpoint_unresponsive,
+      &FaultInjector::close_endpoint_connections,
+      &FaultInjector::slow_handshakes,
+      &FaultInjector::flood_connections,
+  };
+  if (now_ms() - started_at_ > context_.settings.duration)
+    return;
+  const Fault fault = kFaults.at(context_.fault_random.index(kFaults.size()));
+  (this->*fault)();
+  inject_after(context_.fault_random.between(20, 250));
+}
+
+GatewayUnderTest& FaultInjector::draw_gateway() {
+  return *gateways_[context_.fault_random.index(gateways_.size())];
+}
+
+FakeEndpoint& FaultInjector::draw_endpoint() {
+  return *endpoints_.endpoints()[context_.fault_random.index(endpoints_.endpoints().size())];
+}
+
+void FaultInjector::log_fault(const std::string& kind, const std::string& detail) {
+  ++context_.report.faults[kind];
+  context_.report.fault_log.push_back(std::to_string(now_ms() - started_at_) + " " + kind + " " +
+                                      detail);
+}
+
+void FaultInjector::log_fault(const std::string& kind, int target, Millis duration) {
+  log_fault(kind, std::to_string(target) + " for " + std::to_string(duration));
+}
+
+void FaultInjector::publish_endpoints() {
+  for (const auto& gateway : gateways_)
+    gateway->publish_endpoints();
+}
+
+void FaultInjector::pause_gateway() {
+  GatewayUnderTest& gateway = draw_gateway();
+  if (gateway.is_paused() || !gateway.is_serving())
+    return;
+  const bool is_long = context_.fault_random.between(0, 9) < 3;
+  const Millis duration =
+      is_long ? context_.fault_random.between(1500, 3500) : context_.fault_random.between(30, 800);
+  log_fault("pause", gateway.index(), duration);
+  gateway.pause_for(duration);
+}
+
+void FaultInjector::terminate_gateway() {
+  GatewayUnderTest& gateway = draw_gateway();
+  if (gateway.is_paused() || !gateway.is_serving())
+    return;
+  log_fault("terminate", std::to_string(gateway.index()));
+  gateway.terminate();
+}
+
+void FaultInjector::kill_gateway() {
+  GatewayUnderTest& gateway = draw_gateway();
+  if (!gateway.is_serving())
+    return;
+  log_fault("kill", std::to_string(gateway.index()));
+  gateway.kill();
+}
+
+void FaultInjector::reload_gateway() {
+  GatewayUnderTest& gateway = draw_gateway();
+  if (!gateway.is_serving() || !gateway.agent().is_serving())
+    return;
+  log_fault("reload", std::to_string(gateway.index()));
+  gateway.reload_with_moved_agent();
+}
+
+void FaultInjector::disturb_agent() {
+  using State = FakeDiscoveryAgent::State;
+  GatewayUnderTest& gateway = draw_gateway();
+  FakeDiscoveryAgent& agent = gateway.agent();
+  if (!agent.is_serving())
+    return;
+  if (context_.fault_random.between(0, 9) < 3) {
+    log_fault("watch reset", std::to_string(gateway.index()));
+    agent.reset_watch();
+    return;
+  }
+  const State state = context_.fault_random.between(0, 9) < 6 ? State::Silent : State::Refusing;
+  const Millis duration = context_.fault_random.between(300, 5000);
+  log_fault(state == State::Silent ? "agent silent" : "agent refuses", gateway.index(), duration);
+  agent.set_state(state);
+  context_.tasks.run_after(duration, [&agent] {
+    agent.set_state(State::Serving);
+  });
+}
+
+// Enough endpoints stay up that a request always has one to go to.
+void FaultInjector::drain_endpoint() {
+  FakeEndpoint& endpoint = draw_endpoint();
+  if (endpoints_.up_count() <= kMinUpEndpoints || endpoint.listed_status != ListedStatus::Up)
+    return;
+  log_fault("drain", std::to_string(endpoint.index()));
+  endpoint.listed_status = ListedStatus::Draining;
+  endpoints_.elect_primary();
+  publish_endpoints();
+  context_.tasks.run_after(context_.fault_random.between(800, 3000), [this, &endpoint] {
+    endpoint.listed_status = ListedStatus::Removed;
+    endpoint.close_connections();
+    publish_endpoints();
+  });
+  context_.tasks.run_after(context_.fault_random.between(3500, 6000), [this, &endpoint] {
+    endpoint.listed_status = ListedStatus::Up;
+    endpoint.started_at_ms = g_get_real_time() / 1000;
+    publish_endpoints();
+  });
+}
+
+void FaultInjector::make_endpoint_unresponsive() {
+  FakeEndpoint& endpoint = draw_endpoint();
+  const Millis duration = context_.fault_random.between(200, 2500);
+  log_fault("hang", endpoint.index(), duration);
+  endpoint.unresponsive_until = now_ms() + duration;
+}
+
+void FaultInjector::close_endpoint_connections() {
+  FakeEndpoint& endpoint = draw_endpoint();
+  log_fault("close connections", std::to_string(endpoint.index()));
+  endpoint.close_connections();
+}
+
+void FaultInjector::slow_handshakes() {
+  FakeEndpoint& endpoint = draw_endpoint();
+  const Millis duration = context_.fault_random.between(300, 2500);
+  log_fault("late handshakes", endpoint.index(), duration);
+  endpoint.slow_handshakes_until = now_ms() + duration;
+}
+
+void FaultInjector::flood_connections() {
+  GatewayUnderTest& gateway = draw_gateway();
+  log_fault("connection flood", std::to_string(gateway.index()));
+  gateway.open_idle_connections(kFloodConnections);
+}
+
+}  // namespace fault_soak
--- /dev/null
+++ b/tests/fault_soak/fault_injector.h
@@ -0,0 +1,56 @@
+/// Injects faults that are drawn from the seed, each into a gateway or an endpoint that is drawn.
+#pragma once
+
+#include "fake_endpoint.h"
+#include "gateway_under_test.h"
+#include "soak_context.h"
+
+#include <memory>
+#include <string>
+#include <vector>
+
+namespace fault_soak {
+
+/// The context, the gateways and the endpoints must outlive it.
+class FaultInjector {
+public:
+  FaultInjector(SoakContext& context, std::vector<std::unique_ptr<GatewayUnderTest>>& gateways,
+                FakeEndpointGroup& endpoints)
+      : context_(context), gateways_(gateways), endpoints_(endpoints) {}
+
+  FaultInjector(const FaultInjector&) = delete;
+  FaultInjector& operator=(const FaultInjector&) = delete;
+
+  /// Injects faults from now on, for the duration in the settings.
+  void start();
+
+  /// Lets the agent of each gateway list the endpoints as they are now.
+  void publish_endpoints();
+
+private:
+  void inject_after(Millis delay);
+  void inject_fault();
+
+  void pause_gateway();
+  void terminate_gateway();
+  void kill_gateway();
+  void reload_gateway();
+  void disturb_agent();
+  void drain_endpoint();
+  void make_endpoint_unresponsive();
+  void close_endpoint_connections();
+  void slow_handshakes();
+  void flood_connections();
+
+  GatewayUnderTest& draw_gateway();
+  FakeEndpoint& draw_endpoint();
+  void log_fault(const std::string& kind, const std::string& detail);
+  void log_fault(const std::string& kind, int target, Millis duration);
+
+  SoakContext& context_;
+  std::vector<std::unique_ptr<GatewayUnderTest>>& gateways_;
+  FakeEndpointGroup& endpoints_;
+  Millis started_at_ = 0;
+};
+
+}  // namespace fault_soak
--- a/tests/fault_soak/gateway_under_test.h
+++ b/tests/fault_soak/gateway_under_test.h
@@ -1,123 +1,75 @@
-/// One gateway process, started and restarted without waiting, and the discovery agent beside it.
+/// One gateway with its discovery agent and its clients, and the faults that concern them.
 #pragma once
 
-#include "oracle.h"
+#include "fake_client.h"
+#include "fake_discovery_agent.h"
+#include "fake_endpoint.h"
+#include "gateway_process.h"
+#include "soak_context.h"
 
-#include "net/listener.h"
-#include "net/stream.h"
-#include "net/timer.h"
+#include "integration/listed_status.h"
 
-#include <functional>
 #include <memory>
 #include <string>
 #include <vector>
 
-#include <glib.h>
-
 namespace fault_soak {
 
-/// Milliseconds of the clock that the oracle uses.
-[[nodiscard]] Millis now_ms();
-
-/// What an agent tells of one endpoint.
-struct ListedEndpoint {
-  std::string address;
-  std::string phase = "ready";
-  bool listed_as_primary = false;
-  std::int64_t started_at_ms = 0;  ///< Unix time; 0: long ago.
-};
-
-/// Serves the endpoint list at two addresses, one at a time; each holds the same.
-class FakeDiscoveryAgent : gorsebeam::net::Stream::Events {
+/// Restarts the process whenever it has exited. The context and the endpoints must outlive it.
+class GatewayUnderTest {
 public:
-  enum class State { Serving, Silent, Refusing };
-
-  /// `on_notified` runs whenever a list has been written to an open watch.
-  explicit FakeDiscoveryAgent(std::function<void()> on_notified);
-
-  [[nodiscard]] const std::string& address() const { return listening_address_; }
-
-  void set_state(State state);
+  /// The process's files are in a new folder below `parent_folder`.
+  GatewayUnderTest(SoakContext& context, const FakeEndpointGroup& endpoints, int index,
+                   const std::string& parent_folder);
+  GatewayUnderTest(const GatewayUnderTest&) = delete;
+  GatewayUnderTest& operator=(const GatewayUnderTest&) = delete;
 
-  [[nodiscard]] bool is_serving() const { return state_ == State::Serving; }
+  [[nodiscard]] int index() const { return index_; }
 
-  /// Sets the list and tells it to an open watch.
-  void publish(const std::vector<ListedEndpoint>& endpoints);
-  /// Resets the connection under the open watch.
-  void reset_watch();
-  /// Listens at another address from now on; an open watch goes on.
-  void move();
+  /// Whether a process listens that has not been told to end.
+  [[nodiscard]] bool is_serving() const { return process_.is_ready() && !is_ending_; }
 
-private:
-  void received() override;
-
-  void ended(const std::string&) override {}
-
-  void accept(gorsebeam::net::SocketHandle socket);
-  void listen(const std::string& address);
-  void respond_to_watch();
-  void send_list();
-  void write_chunk(const std::string& line);
-  [[nodiscard]] std::string encode_list() const;
-
-  std::function<void()> on_notified_;
-  std::unique_ptr<gorsebeam::net::Listener> listener_;
-  std::string listening_address_;
-  std::shared_ptr<gorsebeam::net::Stream> watch_;
-  int watch_descriptor_ = -1;
-  bool has_responded_ = false;  ///< The open watch has had the head of its answer.
-  std::vector<ListedEndpoint> endpoints_;
-  int revision_ = 1;
-  State state_ = State::Serving;
-  gorsebeam::net::Timer heartbeat_;
-};
-
-struct ProcessSettings {
-  std::string program;
-  std::string shim;  ///< Preloaded into the process; empty: none.
-  std::string folder;
-  std::size_t sockets = 200;
-  int index = 0;
-  unsigned shim_seed = 0;
-};
-
-class GatewayProcess {
-public:
-  /// `on_ready` runs when a process listens, `on_exit` when it has exited, with the wait status.
-  GatewayProcess(ProcessSettings settings, std::function<void()> on_ready,
-                 std::function<void(int)> on_exit);
-  GatewayProcess(const GatewayProcess&) = delete;
-  GatewayProcess& operator=(const GatewayProcess&) = delete;
-  ~GatewayProcess();
+  [[nodiscard]] bool is_paused() const { return is_paused_; }
 
-  /// Writes the configuration and starts the program.
-  void start(const std::string& agent_address);
-  void write_config(const std::string& agent_address) const;
-  void send_signal(int number) const;
+  [[nodiscard]] bool is_running() const { return process_.is_running(); }
 
-  [[nodiscard]] bool is_running() const { return pid_ != 0; }
+  [[nodiscard]] const std::string& log() const { return process_.log(); }
 
-  [[nodiscard]] bool is_ready() const { return is_running() && is_ready_; }
+  [[nodiscard]] FakeDiscoveryAgent& agent() { return agent_; }
 
-  /// Where clients connect; the same for all processes once one has listened.
-  [[nodiscard]] const std::string& address() const { return address_; }
+  void start();
+  /// Lets the agent list the endpoints as they are now.
+  void publish_endpoints();
 
-  [[nodiscard]] const std::string& log() const { return log_; }
+  /// Stops the process for `duration`.
+  void pause_for(Millis duration);
+  void terminate();
+  void kill();
+  /// Moves the agent to another address and lets the process reload its configuration.
+  void reload_with_moved_agent();
+  /// Opens connections that stay idle.
+  void open_idle_connections(int count);
+  /// Ends the process at the end of the run.
+  void finish();
 
 private:
-  static gboolean on_log(gint descriptor, GIOCondition condition, gpointer self_pointer);
-  void read_log();
-
-  const ProcessSettings settings_;
-  std::function<void()> on_ready_;
-  std::function<void(int)> on_exit_;
-  std::string address_;
-  std::string log_;
-  std::size_t log_of_process_ = 0;  ///< Where the log of the present process begins.
-  GPid pid_ = 0;
-  int log_descriptor_ = -1;
-  guint log_source_ = 0;
-  bool is_ready_ = false;
+  [[nodiscard]] static ProcessSettings process_settings(SoakContext& context, int index,
+                                                        const std::string& parent_folder);
+  void handle_ready();
+  void handle_exit(int wait_status);
+  void notify_oracle_of_list();
+
+  SoakContext& context_;
+  const FakeEndpointGroup& endpoints_;
+  const int index_;
+  FakeDiscoveryAgent agent_;
+  GatewayProcess process_;
+  std::vector<std::unique_ptr<FakeClient>> clients_;
+  std::vector<std::unique_ptr<FakeClient>> idle_clients_;
+  /// By endpoint: the status that the oracle knows.
+  std::vector<test_harness::ListedStatus> notified_statuses_;
+  bool is_paused_ = false;
+  bool is_ending_ = false;  ///< By SIGTERM or SIGKILL.
 };
 
 }  // namespace fault_soak
--- a/tests/fault_soak/main.cpp
+++ b/tests/fault_soak/main.cpp
@@ -1,14 +1,18 @@
-/// `fault_soak PROGRAM [--shim FILE] [--seeds FIRST COUNT] [--gateways N] [--seconds N] [--logs
-/// DIR]` plays faults against real processes, a seed after the other, and tells what broke.
+/// Injects faults into real gateway processes, one seed after another, and reports violated rules.
 ///
-/// It runs by the wall clock, so that it is run by hand and not in CI. A run in which the stand-ins
-/// themselves were held up is void.
+///   fault_soak PROGRAM [--shim FILE] [--seeds FIRST COUNT] [--gateways N] [--seconds N]
+///              [--logs DIR]
+///
+/// It runs by the wall clock, so that it is run by hand and not in CI. A run in which the soak's
+/// own event loop stalled is void. The exit status is 0 if a run counts and none that counts
+/// violated a rule, 2 if the arguments are wrong, and 1 otherwise.
 #include "fault_soak_environment.h"
 
 #include <cstdio>
 #include <exception>
 #include <filesystem>
 #include <fstream>
+#include <stdexcept>
 #include <string>
 #include <vector>
 
@@ -17,13 +21,14 @@
 using fault_soak::SoakReport;
 using fault_soak::SoakSettings;
 
+// A longer iteration of the soak's own event loop makes the run void.
 constexpr fault_soak::Millis kMaxOwnIteration = 80;
 
 struct Options {
   SoakSettings soak;
   std::uint64_t first_seed = 1;
-  int seeds = 1;
-  std::string logs;
+  int seed_count = 1;
+  std::string log_folder;  ///< Empty: logs are not written.
 };
 
 Options parse(const std::vector<std::string>& arguments) {
@@ -31,17 +36,20 @@
   options.soak.program = arguments.at(1);
   for (std::size_t i = 2; i < arguments.size(); ++i) {
     const std::string& name = arguments[i];
-    if (name == "--shim")
-      options.soak.shim = std::filesystem::absolute(arguments.at(++i)).string();
-    else if (name == "--gateways")
-      options.soak.gateways = std::stoi(arguments.at(++i));
-    else if (name == "--seconds")
-      options.soak.duration = 1000LL * std::stoi(arguments.at(++i));
-    else if (name == "--logs")
-      options.logs = arguments.at(++i);
-    else if (name == "--seeds") {
-      options.first_seed = std::stoull(arguments.at(++i));
-      options.seeds = std::stoi(arguments.at(++i));
+    ++i;
+    const std::string& value = arguments.at(i);
+    if (name == "--shim") {
+      options.soak.shim = std::filesystem::absolute(value).string();
+    } else if (name == "--gateways") {
+      options.soak.gateways = std::stoi(value);
+    } else if (name == "--seconds") {
+      options.soak.duration = 1000LL * std::stoi(value);
+    } else if (name == "--logs") {
+      options.log_folder = value;
+    } else if (name == "--seeds") {
+      options.first_seed = std::stoull(value);
+      ++i;
+      options.seed_count = std::stoi(arguments.at(i));
     } else {
       throw std::invalid_argument("unknown option " + name);
     }
@@ -49,11 +57,11 @@
   return options;
 }
 
-void print(const SoakSettings& settings, const SoakReport& report) {
+void print_report(const SoakSettings& settings, const SoakReport& report) {
   std::printf("seed %llu: %zu requests, %zu attempts;",
               static_cast<unsigned long long>(settings.seed), report.requests, report.attempts);
-  for (const auto& [kind, count] : report.result_counts)
-    std::printf(" %s %d", kind.c_str(), count);
+  for (const auto& [result, count] : report.result_counts)
+    std::printf(" %s %d", result.c_str(), count);
   std::printf("; faults:");
   for (const auto& [kind, count] : report.faults)
     std::printf(" %s %d", kind.c_str(), count);
@@ -66,33 +74,33 @@
 
 void write_logs(const std::string& folder, const SoakSettings& settings,
                 const fault_soak::FaultSoakEnvironment& environment, const SoakReport& report) {
-  const std::string place = folder + "/seed-" + std::to_string(settings.seed);
-  std::filesystem::create_directories(place);
+  const std::string run_folder = folder + "/seed-" + std::to_string(settings.seed);
+  std::filesystem::create_directories(run_folder);
   for (int i = 0; i < settings.gateways; ++i)
-    std::ofstream(place + "/n" + std::to_string(i) + ".log") << environment.log_of(i);
-  std::ofstream faults(place + "/faults.txt");
+    std::ofstream(run_folder + "/n" + std::to_string(i) + ".log") << environment.log_of(i);
+  std::ofstream faults(run_folder + "/faults.txt");
   for (const std::string& line : report.fault_log)
     faults << line << '\n';
 }
 
-int play_all(Options options) {
-  int broken = 0;
+int run_all_seeds(Options options) {
+  int broken_runs = 0;
   int void_runs = 0;
-  for (int i = 0; i < options.seeds; ++i) {
+  for (int i = 0; i < options.seed_count; ++i) {
     options.soak.seed = options.first_seed + static_cast<std::uint64_t>(i);
     fault_soak::FaultSoakEnvironment environment(options.soak);
     const SoakReport report = environment.run();
-    print(options.soak, report);
-    if (!options.logs.empty())
-      write_logs(options.logs, options.soak, environment, report);
+    print_report(options.soak, report);
+    if (!options.log_folder.empty())
+      write_logs(options.log_folder, options.soak, environment, report);
     if (report.longest_iteration > kMaxOwnIteration)
       ++void_runs;
     else if (!report.violations.empty())
-      ++broken;
+      ++broken_runs;
     std::fflush(stdout);
   }
-  std::printf("%d seeds, %d broken, %d void\n", options.seeds, broken, void_runs);
-  return broken > 0 || void_runs == options.seeds ? 1 : 0;
+  std::printf("%d seeds, %d broken, %d void\n", options.seed_count, broken_runs, void_runs);
+  return broken_runs > 0 || void_runs == options.seed_count ? 1 : 0;
 }
 
 }  // namespace
@@ -100,7 +108,7 @@
 int main(int argument_count, char** argument_values) {
   try {
     const std::vector<std::string> arguments(argument_values, argument_values + argument_count);
-    return play_all(parse(arguments));
+    return run_all_seeds(parse(arguments));
   } catch (const std::exception& error) {
     std::fprintf(stderr,
                  "fault_soak: %s\nusage: fault_soak PROGRAM [--shim FILE] [--seeds FIRST COUNT] "
--- a/tests/fault_soak/oracle.cpp
+++ b/tests/fault_soak/oracle.cpp
@@ -43,25 +43,25 @@
   return total;
 }
 
-void Oracle::endpoint_notified(int gateway, int endpoint, bool is_draining, Millis at) {
-  auto& draining_since = gateways_[gateway].draining_since;
-  if (is_draining)
-    draining_since.emplace(endpoint, at);
-  else
-    draining_since.erase(endpoint);
-}
-
-// A pause is no excuse: what was written to the gateway before it is known after it.
-void Oracle::check_endpoint(const Gateway& gateway, int gateway_index, int endpoint,
-                            const std::string& what, Millis at) {
-  const auto found = gateway.draining_since.find(endpoint);
-  if (found == gateway.draining_since.end())
+void Oracle::endpoint_listed_as_up(int gateway, int endpoint) {
+  gateways_[gateway].draining_since.erase(endpoint);
+}
+
+void Oracle::endpoint_listed_as_draining(int gateway, int endpoint, Millis at) {
+  gateways_[gateway].draining_since.emplace(endpoint, at);
+}
+
+// A pause is no excuse: the gateway reads a list that was written during the pause before it acts.
+void Oracle::check_endpoint(int gateway, int endpoint, const std::string& traffic, Millis at) {
+  const std::map<int, Millis>& draining_since = gateways_[gateway].draining_since;
+  const auto found = draining_since.find(endpoint);
+  if (found == draining_since.end())
     return;
-  const Millis late = at - found->second;
-  if (late > kDrainGrace + kRecordSlack)
+  const Millis elapsed = at - found->second;
+  if (elapsed > kDrainGrace + kRecordSlack)
     report("drain",
-           what + " by gateway " + std::to_string(gateway_index) + " at endpoint " +
-               std::to_string(endpoint) + ", " + std::to_string(late) + " ms after the notice",
+           traffic + " by gateway " + std::to_string(gateway) + " at endpoint " +
+               std::to_string(endpoint) + ", " + std::to_string(elapsed) + " ms after the notice",
            at);
 }
 
@@ -77,17 +77,18 @@
 void Oracle::response_received(const std::string& id, Millis at) {
   const auto found = requests_.find(id);
   if (found == requests_.end())
-    return report("unknown", "an answer to no request", at);
+    return report("unknown", "a response to no request", at);
   Request& request = found->second;
   request.is_closed = true;
-  if (++request.response_count > 1)
-    report("answers", "request " + id + " was answered twice", at);
+  ++request.response_count;
+  if (request.response_count > 1)
+    report("responses", "request " + id + " got two responses", at);
   const Gateway& gateway = gateways_[request.gateway];
   const Millis paused = paused_between(gateway, request.sent_at, at);
-  if (at > request.deadline + kAnswerSlack + kRecordSlack + paused)
+  if (at > request.deadline + kResponseSlack + kRecordSlack + paused)
     report("lost",
-           "request " + id + " was answered " + std::to_string(at - request.deadline) +
-               " ms after its time",
+           "request " + id + " got its response " + std::to_string(at - request.deadline) +
+               " ms after its deadline",
            at);
 }
 
@@ -97,56 +98,64 @@
   request.is_closed = true;
 }
 
-bool Oracle::connection_ended(const std::string& id, Millis at) {
+bool Oracle::is_past_termination(const Gateway& gateway, const Request& request) {
+  return gateway.terminated_at > 0 && request.sent_at > gateway.terminated_at + kTerminationGrace;
+}
+
+ConnectionClose Oracle::connection_ended(const std::string& id, Millis at) {
   Request& request = requests_[id];
   if (request.is_closed)
-    return false;
+    return ConnectionClose::Other;
   request.is_closed = true;
   const Gateway& gateway = gateways_[request.gateway];
-  const bool is_past_termination =
-      gateway.terminated_at > 0 && request.sent_at > gateway.terminated_at + kTerminationGrace;
   const Millis open_for = at - request.sent_at - paused_between(gateway, request.sent_at, at);
-  const bool has_crossed = open_for < kCrossingTime + kRecordSlack && request.last_attempt_at == 0;
-  if (!is_past_termination && !has_crossed)
+  if (open_for < kCrossingTime + kRecordSlack && request.last_attempt_at == 0)
+    return ConnectionClose::CrossedRequest;
+  if (!is_past_termination(gateway, request))
     report("lost",
-           "the connection ended under request " + id + " after " +
+           "the connection of request " + id + " was closed after " +
                std::to_string(at - request.sent_at) + " ms",
            at);
-  return has_crossed;
+  return ConnectionClose::Other;
 }
 
-void Oracle::attempt_arrived(int endpoint, const std::string& id, Millis time_left, Millis at) {
+void Oracle::attempt_arrived(int endpoint, const std::string& id, Millis timeout, Millis at) {
   ++attempt_count_;
   const auto found = requests_.find(id);
   if (found == requests_.end())
     return report("unknown", "an attempt of no request: " + id, at);
   Request& request = found->second;
-  const Gateway& gateway = gateways_[request.gateway];
-  check_endpoint(gateway, request.gateway, endpoint, "request " + id, at);
+  check_endpoint(request.gateway, endpoint, "request " + id, at);
   if (!request.in_flight.empty())
     report("duplicate", "two attempts of request " + id + " are in flight", at);
   check_retry(request, id, at);
   if (request.disconnected_at > 0 && at > request.disconnected_at + kDisconnectGrace + kRecordSlack)
     report("lost",
            "an attempt of request " + id + ", " + std::to_string(at - request.disconnected_at) +
-               " ms after its client left",
-           at);
-  if (time_left > request.deadline - at + kDeadlineSlack + kRecordSlack)
-    report("deadline",
-           "request " + id + " was forwarded with " + std::to_string(time_left) + " ms of " +
-               std::to_string(request.deadline - at),
+               " ms after its client disconnected",
            at);
+  check_forwarded_time(request, id, timeout, at);
   request.in_flight.insert(endpoint);
   request.last_attempt_at = at;
 }
 
+void Oracle::check_forwarded_time(const Request& request, const std::string& id, Millis timeout,
+                                  Millis at) {
+  const Millis time_left = request.deadline - at;
+  if (timeout > time_left + kDeadlineSlack + kRecordSlack)
+    report("deadline",
+           "request " + id + " was forwarded with " + std::to_string(timeout) + " ms of " +
+               std::to_string(time_left),
+           at);
+}
+
 void Oracle::check_retry(const Request& request, const std::string& id, Millis at) {
   if (request.may_have_run_since == 0 || request.service_class == ServiceClass::Idempotent)
     return;
   if (request.service_class == ServiceClass::SingleShot)
-    return report("duplicate", "single-shot request " + id + " was repeated", at);
+    return report("duplicate", "single-shot request " + id + " was retried", at);
   if (at - request.may_have_run_since > deduplication_window_ + kDeadlineSlack + kRecordSlack)
-    report("duplicate", "keyed request " + id + " was repeated after its window", at);
+    report("duplicate", "keyed request " + id + " was retried after its window", at);
 }
 
 void Oracle::attempt_ended(int endpoint, const std::string& id, Effect effect) {
@@ -160,7 +169,7 @@
 }
 
 void Oracle::health_check_arrived(int gateway, int endpoint, Millis at) {
-  check_endpoint(gateways_[gateway], gateway, endpoint, "a health check", at);
+  check_endpoint(gateway, endpoint, "a health check", at);
 }
 
 void Oracle::check_overdue(Millis at) {
@@ -169,13 +178,11 @@
       continue;
     const Gateway& gateway = gateways_[request.gateway];
     const Millis paused = paused_between(gateway, request.sent_at, at);
-    if (at < request.deadline + kAnswerSlack + kRecordSlack + paused)
+    if (at < request.deadline + kResponseSlack + kRecordSlack + paused)
       continue;
     request.is_closed = true;
-    const bool is_owed =
-        gateway.terminated_at == 0 || request.sent_at <= gateway.terminated_at + kTerminationGrace;
-    if (is_owed)
-      report("lost", "request " + id + " has no answer", at);
+    if (!is_past_termination(gateway, request))
+      report("lost", "request " + id + " has no response", at);
   }
 }
 
--- /dev/null
+++ b/tests/fault_soak/service_classes.h
@@ -0,0 +1,26 @@
+/// The service classes that the soak's gateways are configured with.
+#pragma once
+
+#include "soak_clock.h"
+
+namespace fault_soak {
+
+enum class ServiceClass { Idempotent, Keyed, SingleShot };
+
+/// The class's name in the configuration and in requests.
+[[nodiscard]] constexpr const char* class_name(ServiceClass service_class) {
+  switch (service_class) {
+  case ServiceClass::Keyed:
+    return "save";
+  case ServiceClass::SingleShot:
+    return "once";
+  case ServiceClass::Idempotent:
+    break;
+  }
+  return "any";
+}
+
+/// How long endpoints drop duplicates of a keyed write.
+constexpr Millis kDeduplicationWindow = 1000;
+
+}  // namespace fault_soak
--- /dev/null
+++ b/tests/fault_soak_oracle_test.cpp
@@ -0,0 +1,199 @@
+#include "fault_soak/oracle.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+namespace fault_soak {
+namespace {
+
+constexpr int kGateway = 3;
+constexpr int kEndpoint = 1;
+constexpr int kOtherEndpoint = 2;
+constexpr Millis kStart = 1'000'000;
+constexpr Millis kTimeout = 2000;
+constexpr Millis kDeadline = kStart + kTimeout;
+
+class OracleTest : public testing::Test {
+protected:
+  OracleTest() { oracle_.gateway_started(kGateway, kStart - 5000); }
+
+  void send_request(ServiceClass service_class = ServiceClass::Idempotent) {
+    oracle_.request_sent(kGateway, "r", service_class, kDeadline, kStart);
+  }
+
+  // An attempt at `endpoint` that is `delay` after the request and ends a millisecond later.
+  void attempt(int endpoint, Millis delay, Effect effect) {
+    oracle_.attempt_arrived(endpoint, "r", kTimeout - delay, kStart + delay);
+    oracle_.attempt_ended(endpoint, "r", effect);
+  }
+
+  [[nodiscard]] std::vector<std::string> violated_rules() const {
+    std::vector<std::string> rules;
+    for (const Violation& violation : oracle_.violations())
+      rules.push_back(violation.rule);
+    return rules;
+  }
+
+  Oracle oracle_{kDeduplicationWindow};
+};
+
+using Rules = std::vector<std::string>;
+
+TEST_F(OracleTest, AcceptsRequestWithOneAttemptAndOneResponse) {
+  send_request();
+  attempt(kEndpoint, 5, Effect::MayHaveRun);
+  oracle_.response_received("r", kStart + 20);
+  oracle_.check_overdue(kDeadline + 10'000);
+  EXPECT_EQ(violated_rules(), Rules{});
+  EXPECT_EQ(oracle_.request_count(), 1U);
+  EXPECT_EQ(oracle_.attempt_count(), 1U);
+}
+
+TEST_F(OracleTest, ReportsSecondResponse) {
+  send_request();
+  oracle_.response_received("r", kStart + 20);
+  oracle_.response_received("r", kStart + 21);
+  EXPECT_EQ(violated_rules(), Rules{"responses"});
+}
+
+TEST_F(OracleTest, ReportsResponsesAndAttemptsOfUnknownRequests) {
+  oracle_.response_received("nobody's", kStart);
+  oracle_.attempt_arrived(kEndpoint, "nobody's", kTimeout, kStart);
+  EXPECT_EQ(violated_rules(), (Rules{"unknown", "unknown"}));
+}
+
+TEST_F(OracleTest, ReportsMissingResponseOnceAfterDeadlineAndSlack) {
+  send_request();
+  const Millis limit = kDeadline + kResponseSlack + kRecordSlack;
+  oracle_.check_overdue(limit - 1);
+  EXPECT_EQ(violated_rules(), Rules{});
+  oracle_.check_overdue(limit);
+  oracle_.check_overdue(limit + 1);
+  EXPECT_EQ(violated_rules(), Rules{"lost"});
+}
+
+TEST_F(OracleTest, ExcusesLateResponseByPauseOfProcess) {
+  send_request();
+  oracle_.gateway_paused(kGateway, kStart + 100);
+  oracle_.gateway_resumed(kGateway, kStart + 3100);
+  oracle_.response_received("r", kDeadline + kResponseSlack + kRecordSlack + 3000);
+  EXPECT_EQ(violated_rules(), Rules{});
+}
+
+TEST_F(OracleTest, ReportsResponseBeyondDeadlineAndPause) {
+  send_request();
+  oracle_.gateway_paused(kGateway, kStart + 100);
+  oracle_.gateway_resumed(kGateway, kStart + 3100);
+  oracle_.response_received("r", kDeadline + kResponseSlack + kRecordSlack + 3001);
+  EXPECT_EQ(violated_rules(), Rules{"lost"});
+}
+
+TEST_F(OracleTest, ExpectsNoResponseFromKilledOrTerminatedProcess) {
+  send_request();
+  oracle_.gateway_killed(kGateway);
+  oracle_.gateway_started(kGateway, kStart + 50);
+  oracle_.gateway_terminated(kGateway, kStart + 100);
+  oracle_.request_sent(kGateway, "late", ServiceClass::Idempotent, kDeadline,
+                       kStart + 100 + kTerminationGrace + 1);
+  oracle_.check_overdue(kDeadline + 10'000);
+  EXPECT_EQ(violated_rules(), Rules{});
+}
+
+TEST_F(OracleTest, ReportsTrafficToDrainingEndpointAfterGrace) {
+  oracle_.endpoint_listed_as_draining(kGateway, kEndpoint, kStart);
+  const Millis limit = kStart + kDrainGrace + kRecordSlack;
+  oracle_.health_check_arrived(kGateway, kEndpoint, limit);
+  oracle_.health_check_arrived(kGateway, kOtherEndpoint, limit + 1);
+  EXPECT_EQ(violated_rules(), Rules{});
+  oracle_.health_check_arrived(kGateway, kEndpoint, limit + 1);
+  EXPECT_EQ(violated_rules(), Rules{"drain"});
+}
+
+// A later list does not extend the grace, and a pause does not excuse traffic.
+TEST_F(OracleTest, CountsDrainGraceFromFirstListThroughPause) {
+  oracle_.endpoint_listed_as_draining(kGateway, kEndpoint, kStart);
+  oracle_.gateway_paused(kGateway, kStart);
+  oracle_.endpoint_listed_as_draining(kGateway, kEndpoint, kStart + 300);
+  oracle_.gateway_resumed(kGateway, kStart + 400);
+  oracle_.health_check_arrived(kGateway, kEndpoint, kStart + 401);
+  EXPECT_EQ(violated_rules(), Rules{"drain"});
+}
+
+TEST_F(OracleTest, AllowsTrafficToEndpointThatIsListedAsUpAgain) {
+  oracle_.endpoint_listed_as_draining(kGateway, kEndpoint, kStart);
+  oracle_.endpoint_listed_as_up(kGateway, kEndpoint);
+  oracle_.health_check_arrived(kGateway, kEndpoint, kStart + 5000);
+  EXPECT_EQ(violated_rules(), Rules{});
+}
+
+TEST_F(OracleTest, ReportsTwoAttemptsInFlight) {
+  send_request();
+  oracle_.attempt_arrived(kEndpoint, "r", kTimeout, kStart + 1);
+  oracle_.attempt_arrived(kOtherEndpoint, "r", kTimeout, kStart + 2);
+  EXPECT_EQ(violated_rules(), Rules{"duplicate"});
+}
+
+struct RetryCase {
+  ServiceClass service_class;
+  Effect first_effect;
+  Millis retry_delay;
+  Rules rules;
+};
+
+TEST_F(OracleTest, JudgesRetriesByClassEffectAndWindow) {
+  constexpr Millis kWindowEnd = 5 + kDeduplicationWindow + kDeadlineSlack + kRecordSlack;
+  const std::vector<RetryCase> cases{
+      {ServiceClass::Idempotent, Effect::MayHaveRun, kWindowEnd + 1, {}},
+      {ServiceClass::Keyed, Effect::MayHaveRun, kWindowEnd, {}},
+      {ServiceClass::Keyed, Effect::MayHaveRun, kWindowEnd + 1, {"duplicate"}},
+      {ServiceClass::SingleShot, Effect::None, 20, {}},
+      {ServiceClass::SingleShot, Effect::MayHaveRun, 20, {"duplicate"}},
+  };
+  for (const RetryCase& retry : cases) {
+    oracle_ = Oracle(kDeduplicationWindow);
+    send_request(retry.service_class);
+    attempt(kEndpoint, 5, retry.first_effect);
+    attempt(kOtherEndpoint, retry.retry_delay, Effect::MayHaveRun);
+    EXPECT_EQ(violated_rules(), retry.rules)
+        << class_name(retry.service_class) << " after " << retry.retry_delay << " ms";
+  }
+}
+
+TEST_F(OracleTest, ReportsAttemptAfterClientDisconnected) {
+  send_request();
+  oracle_.client_disconnected("r", kStart + 10);
+  const Millis limit = 10 + kDisconnectGrace + kRecordSlack;
+  attempt(kEndpoint, limit, Effect::None);
+  EXPECT_EQ(violated_rules(), Rules{});
+  attempt(kEndpoint, limit + 1, Effect::None);
+  EXPECT_EQ(violated_rules(), Rules{"lost"});
+}
+
+TEST_F(OracleTest, ReportsForwardedTimeBeyondClientsDeadline) {
+  send_request();
+  const Millis allowed = kTimeout - 500 + kDeadlineSlack + kRecordSlack;
+  oracle_.attempt_arrived(kEndpoint, "r", allowed, kStart + 500);
+  oracle_.attempt_ended(kEndpoint, "r", Effect::None);
+  EXPECT_EQ(violated_rules(), Rules{});
+  oracle_.attempt_arrived(kEndpoint, "r", allowed + 1, kStart + 500);
+  EXPECT_EQ(violated_rules(), Rules{"deadline"});
+}
+
+TEST_F(OracleTest, ExcusesConnectionCloseThatCrossesRequest) {
+  send_request();
+  const Millis just_before = kStart + kCrossingTime + kRecordSlack - 1;
+  EXPECT_EQ(oracle_.connection_ended("r", just_before), ConnectionClose::CrossedRequest);
+  EXPECT_EQ(violated_rules(), Rules{});
+}
+
+TEST_F(OracleTest, ReportsConnectionCloseAfterAttempt) {
+  send_request();
+  attempt(kEndpoint, 5, Effect::None);
+  EXPECT_EQ(oracle_.connection_ended("r", kStart + 10), ConnectionClose::Other);
+  EXPECT_EQ(violated_rules(), Rules{"lost"});
+}
+
+}  // namespace
+}  // namespace fault_soak
