--- a/bench/config.cpp
+++ b/bench/config.cpp
@@ -21,8 +21,6 @@
 
 namespace {
 
-constexpr int kTimeoutMs = 2000;
-
 /// Iterates the event loop without pauses; the harness's own waits check only every 5 ms.
 void run_loop_until(const std::function<bool()>& condition) {
   while (!condition())
@@ -126,8 +124,7 @@
     const std::string error = service_.received_requests().back().error;
     if (!error.empty())
       throw std::runtime_error("the gateway rejects the members: " + error);
-    client_->send_request(
-        {"p" + std::to_string(generation_), "any", "", kTimeoutMs, /*is_write=*/false});
+    client_->send_request(read_request("p" + std::to_string(generation_)));
     run_loop_until([this] {
       return !client_->responses.empty();
     });
@@ -197,8 +194,7 @@
       TestClient* const client = idle_clients_.back();
       idle_clients_.pop_back();
       in_flight_.push_back({client, due_at});
-      client->send_request(
-          {"t" + std::to_string(next_id_), "any", "", kTimeoutMs, /*is_write=*/false});
+      client->send_request(read_request("t" + std::to_string(next_id_)));
       ++next_id_;
       ++sent_count_;
     }
--- a/tests/integration/client_admission_test.cpp
+++ b/tests/integration/client_admission_test.cpp
@@ -100,8 +100,10 @@
   // An unknown class, and a write under a class for reads, fail with an error; the connection stays
   // open.
   const auto client = harness.connect_client();
-  ASSERT_EQ(client->send_and_await({"u", "unheard-of", "", 2000, false, ""}), ClientResult::Failed);
-  ASSERT_EQ(client->send_and_await({"v", "any", "k", 2000, true, ""}), ClientResult::Failed);
+  ASSERT_EQ(client->send_and_await(unknown_class_request("unknown-class")), ClientResult::Failed);
+  Request write_in_read_class = keyed_write("read-class");
+  write_in_read_class.service_class = "any";
+  ASSERT_EQ(client->send_and_await(write_in_read_class), ClientResult::Failed);
   ASSERT_EQ(client->send_and_await(read_request("same-connection")), ClientResult::Served);
   ASSERT_EQ(good->send_and_await(read_request("last")), ClientResult::Served);
   ASSERT_TRUE(harness.gateway.is_running());
@@ -131,7 +133,7 @@
   harness.await_first_attempt("open");
   ASSERT_EQ(flooding->send_and_await(read_request("open")), ClientResult::Failed);
   for (int i = 0; i < 300; ++i)
-    flooding->send_request({"b" + std::to_string(i), "unheard-of", "", 2000, false, ""});
+    flooding->send_request(unknown_class_request("b" + std::to_string(i)));
   flooding->send_request(read_request("last"));
   for (int i = 0; i < 300; ++i)
     ASSERT_EQ(flooding->await_response(), ClientResult::Failed) << "request b" << i;
--- a/tests/integration/control_versions_test.cpp
+++ b/tests/integration/control_versions_test.cpp
@@ -25,6 +25,14 @@
     return service_.await_ack(nonce);
   }
 
+  // Adds a replica with a new address.
+  StubEndpoint& add_replica(const std::string& name) {
+    auto& endpoints = gateway_.harness.endpoints;
+    endpoints.push_back(std::make_unique<StubEndpoint>(
+        gateway_.harness, name, EndpointRole::Replica, EndpointRole::Replica));
+    return *endpoints.back();
+  }
+
   void expect_bad_resources_rejected();
   void expect_unknown_resources_rejected();
   void expect_older_generation_rejected_unless_rolled_back();
@@ -49,27 +57,26 @@
   pb::Members nobody;
   nobody.set_generation(2);
   expect_contains(push_under_load(nobody, "nobody"), "set may_be_empty if that is meant");
-  pb::Contracts below_range = test_harness::ControlledGateway::contracts(2);
+  pb::Contracts below_range = ControlledGateway::contracts(2);
   below_range.mutable_team(0)->mutable_budget()->set_per_second(-1);
   expect_contains(push_under_load(below_range, "below"),
                   "team[0].budget.per_second: is out of range");
-  const pb::Contracts good = test_harness::ControlledGateway::contracts(2);
-  pb::Contracts bad = test_harness::ControlledGateway::contracts(2, {"nothing"});
+  const pb::Contracts good = ControlledGateway::contracts(2);
+  pb::Contracts bad = ControlledGateway::contracts(2, {"nothing"});
   bad.mutable_team(0)->set_name("other");
   expect_contains(service_.await_ack(service_.push({&good, &bad}, "one-bad")),
                   "'nothing' is no class of the settings");
-  expect_contains(push_under_load(test_harness::ControlledGateway::contracts(0), "old"),
-                  "no generation");
+  expect_contains(push_under_load(ControlledGateway::contracts(0), "old"), "no generation");
 }
 
 void ControlPlaneVersions::expect_unknown_resources_rejected() {
-  pb::Contracts unknown_field = test_harness::ControlledGateway::contracts(2);
+  pb::Contracts unknown_field = ControlledGateway::contracts(2);
   pb::Contracts::GetReflection()
       ->MutableUnknownFields(unknown_field.mutable_team(0))
       ->AddVarint(99, 1);
   expect_contains(push_under_load(unknown_field, "unknown"),
                   "team[0]: field number 99 of Team is not known to this version");
-  const pb::Contracts good = test_harness::ControlledGateway::contracts(2);
+  const pb::Contracts good = ControlledGateway::contracts(2);
   expect_contains(
       service_.await_ack(service_.push({&good}, "strange", "type.googleapis.com/other")),
       "is not known here");
@@ -80,9 +87,9 @@
 
 void ControlPlaneVersions::expect_older_generation_rejected_unless_rolled_back() {
   ASSERT_EQ(push_under_load(gateway_.contracts(5), "c5"), "");
-  expect_contains(push_under_load(test_harness::ControlledGateway::contracts(4, {"any"}), "c4"),
+  expect_contains(push_under_load(ControlledGateway::contracts(4, {"any"}), "c4"),
                   "generation 4 is older than 5");
-  pb::Contracts rollback = test_harness::ControlledGateway::contracts(4);
+  pb::Contracts rollback = ControlledGateway::contracts(4);
   rollback.set_rolls_back(5);
   ASSERT_EQ(push_under_load(rollback, "back"), "");
   load_->await_responses(40);
@@ -119,13 +126,12 @@
 
 void ControlPlaneVersions::expect_readded_endpoint_used_at_new_address(
     const StubEndpoint& removed) {
-  GatewayHarness& harness = gateway_.harness;
   const int request_count = removed.request_count;
-  harness.endpoints.push_back(std::make_unique<StubEndpoint>(harness, removed.name, false, false));
+  StubEndpoint& replacement = add_replica(removed.name);
   ASSERT_EQ(push_under_load(gateway_.members(7), "m7"), "");
   load_->wait_until(
       [&] {
-        return harness.endpoints.back()->request_count > 0;
+        return replacement.request_count > 0;
       },
       "requests to the new address of an endpoint that was removed");
   load_->await_responses(50);
@@ -134,13 +140,12 @@
 
 // The endpoint's address changes from one version to the next.
 void ControlPlaneVersions::expect_moved_endpoint_used_at_new_address(StubEndpoint& moved) {
-  GatewayHarness& harness = gateway_.harness;
   moved.listed_status = ListedStatus::Removed;
-  harness.endpoints.push_back(std::make_unique<StubEndpoint>(harness, moved.name, false, false));
+  StubEndpoint& replacement = add_replica(moved.name);
   ASSERT_EQ(push_under_load(gateway_.members(8), "m8"), "");
   load_->wait_until(
       [&] {
-        return harness.endpoints.back()->request_count > 0;
+        return replacement.request_count > 0;
       },
       "requests to the new address of an endpoint");
   wait_until(
@@ -158,7 +163,7 @@
 void ControlPlaneVersions::expect_requests_follow_removed_class_team_and_group() {
   ASSERT_EQ(push_under_load(gateway_.contracts(6, {"save"}), "c6"), "");
   load_->await_result(ClientResult::Failed);
-  pb::Contracts other_team = test_harness::ControlledGateway::contracts(7);
+  pb::Contracts other_team = ControlledGateway::contracts(7);
   other_team.mutable_team(0)->set_name("others");
   ASSERT_EQ(push_under_load(other_team, "c7"), "");
   load_->await_responses(20);
@@ -177,7 +182,7 @@
 void ControlPlaneVersions::expect_burst_of_versions_answered() {
   std::vector<std::string> nonces;
   for (unsigned i = 0; i < 200; ++i)
-    nonces.push_back(service_.push(test_harness::ControlledGateway::contracts(100 + i), "b"));
+    nonces.push_back(service_.push(ControlledGateway::contracts(100 + i), "b"));
   load_->await_responses(50);
   for (const std::string& nonce : nonces)
     ASSERT_EQ(service_.await_ack(nonce), "");
@@ -261,7 +266,7 @@
   ControlService service;
   gateway.start({service.address()});
   await_subscriptions(service);
-  pb::Contracts contracts = test_harness::ControlledGateway::contracts(1);
+  pb::Contracts contracts = ControlledGateway::contracts(1);
   contracts.mutable_team(0)->add_group(0);
   contracts.mutable_team(0)->add_group(7);
   pb::Members members = gateway.members(1);
--- a/tests/integration/request_outcomes_test.cpp
+++ b/tests/integration/request_outcomes_test.cpp
@@ -74,7 +74,26 @@
 
 class RequestOutcomes : public GatewayIntegrationTest {};
 
-class SessionConsistency : public GatewayIntegrationTest {};
+class SessionConsistency : public GatewayIntegrationTest {
+protected:
+  // Enough valid responses that a missing one does not count as overload.
+  static void establish_session(TestClient& client) {
+    for (int i = 0; i < 12; ++i) {
+      ASSERT_EQ(client.send_and_await(keyed_write("w" + std::to_string(i))), ClientResult::Served);
+      ASSERT_EQ(client.send_and_await(session_read("s" + std::to_string(i))), ClientResult::Served);
+    }
+  }
+
+  // Sends reads until a replica serves one: the gateway knows then that it has all writes so far.
+  static void await_current_replica(TestClient& client, const std::string& primary_value) {
+    int read_count = 0;
+    do {
+      const std::string id = "t" + std::to_string(read_count);
+      ASSERT_EQ(client.send_and_await(session_read(id)), ClientResult::Served);
+      ++read_count;
+    } while (client.last_value == primary_value);
+  }
+};
 
 TEST_P(RequestOutcomes, DoNotDependOnProtocol) {
   for (const OutcomeCase& outcome : outcome_cases()) {
@@ -143,30 +162,20 @@
   harness.start();
   const auto client = harness.connect_client();
   const auto writer = harness.connect_client();
-  const auto session_read = [](const std::string& id) {
-    return Request{id, "session", "", 2000, false, ""};
-  };
-  // So many good responses that a missing one does not count as overload.
-  for (int i = 0; i < 12; ++i) {
-    ASSERT_EQ(client->send_and_await(keyed_write("w" + std::to_string(i))), ClientResult::Served);
-    ASSERT_EQ(client->send_and_await(session_read("s" + std::to_string(i))), ClientResult::Served);
-  }
-  // Until a replica is known to hold all writes so far; the replicas get no more of them.
-  do {
-    const std::string id = "t" + std::to_string(harness.attempts.size());
-    ASSERT_EQ(client->send_and_await(session_read(id)), ClientResult::Served);
-  } while (client->last_value == "by m0");
+  establish_session(*client);
+  await_current_replica(*client, "by m0");
+  // The replicas get no further writes.
   harness.endpoints[1]->replication.lag_ms = 60'000;
   harness.endpoints[2]->replication.lag_ms = 60'000;
   harness.script = {ScriptedResponse::NoResponse};
-  Request write = single_shot_write("out", 700);
-  write.idempotency_key = "key-out";
+  Request write = single_shot_write("in-flight", 700);
+  write.idempotency_key = "key-in-flight";
   writer->send_request(write);
-  harness.await_first_attempt("out");
-  // A response to the write would be known to the gateway after this time.
+  harness.await_first_attempt("in-flight");
+  // The gateway would know a response to the write after this time.
   run_main_loop_for(std::chrono::milliseconds(120));
 
-  ASSERT_EQ(client->send_and_await(session_read("while-out")), ClientResult::Served);
+  ASSERT_EQ(client->send_and_await(session_read("meanwhile")), ClientResult::Served);
   ASSERT_EQ(client->last_value, "by m0");
   ASSERT_EQ(writer->await_response(), ClientResult::Failed);
   ASSERT_EQ(client->send_and_await(session_read("after")), ClientResult::Served);
--- a/tests/integration/shutdown_test.cpp
+++ b/tests/integration/shutdown_test.cpp
@@ -64,9 +64,20 @@
   harness.expect_invariants();
 }
 
-// Plays one round of the race between the closing listener and bytes that are with the kernel
-// already; false if the listener was faster, as it may be on a busy machine.
-bool plays_race_with_closing_listener(const Protocol& protocol) {
+void expect_served_or_not_attempted(const GatewayHarness& harness, TestClient& client,
+                                    const std::string& id) {
+  const ClientResult result = client.await_response();
+  ASSERT_NE(result, ClientResult::Failed) << id;
+  if (result == ClientResult::Rejected) {
+    ASSERT_EQ(harness.attempt_count(id), 0) << id;
+  }
+}
+
+enum class RaceOutcome { RequestsArrivedFirst, ListenerClosedFirst };
+
+// Runs one round of the race between the closing listener and requests that the kernel has accepted
+// already. On a busy machine the listener may close first.
+RaceOutcome race_requests_with_closing_listener(const Protocol& protocol) {
   GatewayHarness harness(protocol, 2, 0);
   harness.start();
   const auto idle = harness.connect_client();
@@ -82,34 +93,29 @@
   fresh->send_request(read_request("fresh"));
   idle->await_flushed();
   fresh->await_flushed();
-  const bool raced = !idle->closed_by_gateway && !fresh->closed_by_gateway;
+  const bool arrived_first = !idle->closed_by_gateway && !fresh->closed_by_gateway;
 
   harness.gateway.resume();
-  const auto expect_served_or_unsent = [&](TestClient& client, const std::string& id) {
-    const ClientResult result = client.await_response();
-    ASSERT_NE(result, ClientResult::Failed) << id;
-    if (result == ClientResult::Rejected) {
-      ASSERT_EQ(harness.attempt_count(id), 0) << id;
-    }
-  };
-  if (raced) {
-    expect_served_or_unsent(*idle, "idle");
-    expect_served_or_unsent(*fresh, "fresh");
+
+  if (arrived_first) {
+    expect_served_or_not_attempted(harness, *idle, "idle");
+    expect_served_or_not_attempted(harness, *fresh, "fresh");
   }
   require(harness.gateway.await_exit_code() == 0, "the program exits with an error");
   require(silent->close_reason == "closed by the peer",
-          "the silent client's connection ended so: " + silent->close_reason);
-  if (raced)
-    harness.expect_invariants();
-  return raced;
+          "the silent client's connection ended with: " + silent->close_reason);
+  if (!arrived_first)
+    return RaceOutcome::ListenerClosedFirst;
+  harness.expect_invariants();
+  return RaceOutcome::RequestsArrivedFirst;
 }
 
 TEST_P(Shutdown, AnswersRequestsThatArriveAsListenerCloses) {
   constexpr int kMaxRounds = 20;
   int round = 0;
-  while (!plays_race_with_closing_listener(protocol())) {
+  while (race_requests_with_closing_listener(protocol()) == RaceOutcome::ListenerClosedFirst) {
     ++round;
-    ASSERT_LT(round, kMaxRounds) << "the listener was faster in each round";
+    ASSERT_LT(round, kMaxRounds) << "the listener closed first in each round";
   }
 }
 
--- a/tests/integration/stub_endpoint.cpp
+++ b/tests/integration/stub_endpoint.cpp
@@ -107,10 +107,11 @@
 };
 
 StubEndpoint::StubEndpoint(GatewayHarness& harness, std::string endpoint_name,
-                           bool is_listed_as_primary, bool is_primary)
+                           EndpointRole listed_role, EndpointRole actual_role)
     : name(std::move(endpoint_name)),
-      listed_as_primary(is_listed_as_primary), replication{is_primary}, harness_(harness),
-      listener_([this](SocketHandle socket) {
+      listed_as_primary(listed_role == EndpointRole::Primary), replication{actual_role ==
+                                                                           EndpointRole::Primary},
+      harness_(harness), listener_([this](SocketHandle socket) {
         accept(std::move(socket));
       }) {
   const auto error = listener_.listen("127.0.0.1:0");
--- a/tests/integration/stub_endpoint.h
+++ b/tests/integration/stub_endpoint.h
@@ -14,10 +14,13 @@
 
 class GatewayHarness;
 
+enum class EndpointRole { Replica, Primary };
+
 /// Listens on an ephemeral port. The harness that it refers to must outlive it.
 class StubEndpoint {
 public:
-  StubEndpoint(GatewayHarness& harness, std::string name, bool listed_as_primary, bool is_primary);
+  StubEndpoint(GatewayHarness& harness, std::string name, EndpointRole listed_role,
+               EndpointRole actual_role);
   StubEndpoint(const StubEndpoint&) = delete;
   StubEndpoint& operator=(const StubEndpoint&) = delete;
 
--- a/tests/integration/test_harness.cpp
+++ b/tests/integration/test_harness.cpp
@@ -62,9 +62,12 @@
 GatewayHarness::GatewayHarness(const Protocol& wire_protocol, std::size_t endpoint_count,
                                std::size_t primary_index, const std::string& operator_text)
     : protocol(wire_protocol), folder_(make_temporary_folder()) {
+  const auto role = [](bool is_primary) {
+    return is_primary ? EndpointRole::Primary : EndpointRole::Replica;
+  };
   for (std::size_t i = 0; i < endpoint_count; ++i)
-    endpoints.push_back(
-        std::make_unique<StubEndpoint>(*this, "m" + std::to_string(i), i == 0, i == primary_index));
+    endpoints.push_back(std::make_unique<StubEndpoint>(*this, "m" + std::to_string(i), role(i == 0),
+                                                       role(i == primary_index)));
   write_operator_file(operator_text);
   write_platform_config(folder_, kUnusedDiscoveryAddress);
   publish_inventory();
@@ -229,6 +232,14 @@
   return {id, "any", "", timeout_ms, false, ""};
 }
 
+Request session_read(const std::string& id) {
+  return {id, "session", "", 2000, false, ""};
+}
+
+Request unknown_class_request(const std::string& id) {
+  return {id, "unheard-of", "", 2000, false, ""};
+}
+
 Request keyed_write(const std::string& id) {
   return {id, "save", "key-" + id, 2500, true, ""};
 }
@@ -247,7 +258,7 @@
 void await_gateway_loop_iterations(TestClient& client, const std::string& id_prefix) {
   for (int i = 0; i < 40; ++i) {
     const std::string id = id_prefix + std::to_string(i);
-    ASSERT_EQ(client.send_and_await({id, "unheard-of", "", 2000, false, ""}), ClientResult::Failed);
+    ASSERT_EQ(client.send_and_await(unknown_class_request(id)), ClientResult::Failed);
   }
 }
 
--- a/tests/integration/test_harness.h
+++ b/tests/integration/test_harness.h
@@ -110,6 +110,10 @@
 
 /// A read of class `any`.
 Request read_request(const std::string& id, int timeout_ms = 2000);
+/// A read of class `session`, which sees the earlier writes of its session.
+Request session_read(const std::string& id);
+/// A read of a class that the configuration does not have; it fails without an attempt.
+Request unknown_class_request(const std::string& id);
 /// A write of class `save`, which may be retried under its idempotency key.
 Request keyed_write(const std::string& id);
 /// A write of class `once`, which must not be retried once it may have run.
