--- a/fuzz/control.cpp
+++ b/fuzz/control.cpp
@@ -1,6 +1,6 @@
-// Feeds bytes of a hostile control service to everything in the gateway that reads them, up to the
-// version tracker. The first byte selects where the rest enters: as an xDS message, as gRPC frames
-// or as HTTP/2.
+// Feeds the bytes of a hostile control service to all parts of the gateway that parse them, up to
+// the version tracker. The first byte selects the layer that receives the others: as an xDS
+// message, as gRPC frames or as HTTP/2.
 #include "config/conversion.h"
 #include "config_versions/version_tracker.h"
 #include "grpc/session.h"
@@ -36,7 +36,8 @@
   return settings;
 }
 
-// A tracker on an open stream. It aborts if the tracker applies what is not valid together.
+// A tracker on an open stream. It aborts if the tracker applies resources that are not valid
+// together.
 class CheckedTracker {
 public:
   CheckedTracker()
@@ -65,25 +66,27 @@
   void check(const config_versions::Action& action) const {
     if (const auto* request = std::get_if<config_versions::DiscoveryRequest>(&action))
       static_cast<void>(xds::encode_request(*request, {"node", "cluster"}));
-    const auto* applied = std::get_if<config_versions::ApplyConfiguration>(&action);
-    if (!applied)
+    const auto* configuration = std::get_if<config_versions::ApplyConfiguration>(&action);
+    if (!configuration)
       return;
-    if (validate(applied->bodies))
+    if (validate(configuration->bodies))
       std::abort();
-    config::to_contract_set(xds::contracts_of(applied->bodies[0]), site_.classes);
-    config::to_endpoints(xds::members_of(applied->bodies[1]).postgres());
+    const config::pb::Contracts& contracts = xds::contracts_of(configuration->bodies[0]);
+    const config::pb::Members& members = xds::members_of(configuration->bodies[1]);
+    static_cast<void>(config::to_contract_set(contracts, site_.classes));
+    static_cast<void>(config::to_endpoints(members.postgres()));
   }
 
   [[nodiscard]] std::optional<config_versions::ValidationError>
   validate(const config_versions::Bodies& bodies) const {
     using Code = config_versions::ValidationError::Code;
-    const auto fault = config::validate_group_references(xds::contracts_of(bodies[0]),
+    const auto error = config::validate_group_references(xds::contracts_of(bodies[0]),
                                                          xds::members_of(bodies[1]), site_);
-    if (!fault)
+    if (!error)
       return std::nullopt;
-    return config_versions::ValidationError{fault->is_missing_reference ? Code::UnresolvedReference
+    return config_versions::ValidationError{error->is_missing_reference ? Code::UnresolvedReference
                                                                         : Code::InvalidContent,
-                                            fault->to_string()};
+                                            error->to_string()};
   }
 
   config::ValidationContext site_ = make_site();
@@ -95,8 +98,8 @@
 void feed_frames(std::string_view bytes, CheckedTracker& tracker) {
   grpc::MessageReader reader;
   std::string message;
-  for (std::size_t at = 0; at < bytes.size(); at += kFramingPieceBytes) {
-    reader.feed(bytes.substr(at, kFramingPieceBytes));
+  for (std::size_t offset = 0; offset < bytes.size(); offset += kFramingPieceBytes) {
+    reader.feed(bytes.substr(offset, kFramingPieceBytes));
     while (reader.next(message) == grpc::MessageReader::Status::Complete)
       tracker.receive_message(message);
   }
@@ -112,9 +115,10 @@
   discard_output(session);
   std::string message;
   std::int64_t now = 0;
-  for (std::size_t at = 0; at < bytes.size() && !session.error(); at += kHttp2PieceBytes) {
+  for (std::size_t offset = 0; offset < bytes.size() && !session.error();
+       offset += kHttp2PieceBytes) {
     now += kTimePerPiece;
-    session.receive(bytes.substr(at, kHttp2PieceBytes), now);
+    session.receive(bytes.substr(offset, kHttp2PieceBytes), now);
     while (session.next_message(message))
       tracker.receive_message(message);
     discard_output(session);
--- a/fuzz/seeds.sh
+++ b/fuzz/seeds.sh
@@ -1,16 +1,16 @@
 #!/bin/sh
-# Writes seeds for control_fuzz into the folder $1: responses as a service sends them, bare, in gRPC's framing and in HTTP/2.
+# Writes seeds for control_fuzz into the folder $1: responses of a control service, as messages, in gRPC frames and in HTTP/2.
 set -eu
 cd "$(dirname "$0")/.."
 out=$1
 mkdir -p "$out"
 octal() { printf '\\%03o' "$@"; }
-length() { # of $1 in $2 bytes
+length() { # $1 in $2 big-endian bytes
   n=$1 bytes=''
   for _ in $(seq "$2"); do bytes="$(octal $((n % 256)))$bytes" n=$((n / 256)); done
   printf "$bytes"
 }
-seed() { # $1: name; text of a response on standard input
+seed() { # $1: name; standard input: a response as text
   protoc -I schema --encode=gorsebeam.xds.v3.DiscoveryResponse gorsebeam/xds/v3/discovery.proto \
     gorsebeam/config/v1/config.proto > "$out/m"
   size=$(wc -c < "$out/m")
--- a/tests/shim/fault_shim.cpp
+++ b/tests/shim/fault_shim.cpp
@@ -1,7 +1,9 @@
-/// A library to be preloaded into a gateway under test. It lets calls on sockets fail as Linux
-/// documents them, drawn from the seed in FAULT_SHIM_SEED: errors of accept, connect and socket,
-/// interrupted and premature waits, short reads and writes.
+/// A library that is preloaded into a gateway under test. It injects faults into system calls on
+/// sockets that Linux documents, drawn from the seed in FAULT_SHIM_SEED: errors of accept, connect,
+/// poll, recv, send and sendmsg, and short reads and writes.
+#include <algorithm>
 #include <cerrno>
+#include <cstddef>
 #include <cstdint>
 #include <cstdlib>
 #include <initializer_list>
@@ -13,7 +15,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxShort = 24;  // bytes of a short read or write
+constexpr std::size_t kMaxShortTransferBytes = 24;
+constexpr unsigned kShortTransfersPerThousand = 60;
 
 std::uint64_t initial_state() {
   const char* seed = std::getenv("FAULT_SHIM_SEED");
@@ -29,13 +32,13 @@
   return state * 0x2545f4914f6cdd1dULL;
 }
 
-bool is_drawn(unsigned per_thousand) {
+bool draw_bool(unsigned per_thousand) {
   return next_random() % 1000 < per_thousand;
 }
 
-/// Sets errno to one of `errors`; true if one was drawn.
-bool fails(unsigned per_thousand, std::initializer_list<int> errors) {
-  if (!is_drawn(per_thousand))
+/// Draws whether a call fails; if so, sets errno to one of `errors`.
+bool draw_error(unsigned per_thousand, std::initializer_list<int> errors) {
+  if (!draw_bool(per_thousand))
     return false;
   errno = errors.begin()[next_random() % errors.size()];
   return true;
@@ -46,17 +49,18 @@
   return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
 }
 
-bool is_socket_of_ip(int descriptor) {
+bool is_ipv4_socket(int descriptor) {
   sockaddr_storage address{};
   socklen_t length = sizeof address;
   return getsockname(descriptor, reinterpret_cast<sockaddr*>(&address), &length) == 0 &&
          address.ss_family == AF_INET;
 }
 
-std::size_t shortened(std::size_t size) {
-  if (size < 2 || !is_drawn(60))
+/// `size`, or the smaller size of a short read or write.
+std::size_t draw_transfer_size(std::size_t size) {
+  if (size < 2 || !draw_bool(kShortTransfersPerThousand))
     return size;
-  const std::size_t limit = size < kMaxShort ? size : kMaxShort;
+  const std::size_t limit = std::min(size, kMaxShortTransferBytes);
   return 1 + next_random() % (limit - 1);
 }
 
@@ -67,17 +71,16 @@
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 int accept(int descriptor, sockaddr* address, socklen_t* length) {
   static auto* const kNext = next_symbol<int(int, sockaddr*, socklen_t*)>("accept");
-  if (fails(20, {EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM}))
+  if (draw_error(20, {EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM}))
     return -1;
-  const int accepted = kNext(descriptor, address, length);
-  return accepted;
+  return kNext(descriptor, address, length);
 }
 
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 int connect(int descriptor, const sockaddr* address, socklen_t length) {
   static auto* const kNext = next_symbol<int(int, const sockaddr*, socklen_t)>("connect");
-  if (is_socket_of_ip(descriptor) &&
-      fails(15, {EADDRNOTAVAIL, ENETUNREACH, ETIMEDOUT, EHOSTUNREACH}))
+  if (is_ipv4_socket(descriptor) &&
+      draw_error(15, {EADDRNOTAVAIL, ENETUNREACH, ETIMEDOUT, EHOSTUNREACH}))
     return -1;
   return kNext(descriptor, address, length);
 }
@@ -85,7 +88,7 @@
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 int poll(pollfd* descriptors, nfds_t count, int timeout_ms) {
   static auto* const kNext = next_symbol<int(pollfd*, nfds_t, int)>("poll");
-  if (fails(20, {EINTR}))
+  if (draw_error(20, {EINTR}))
     return -1;
   return kNext(descriptors, count, timeout_ms);
 }
@@ -93,33 +96,32 @@
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 ssize_t recv(int descriptor, void* buffer, size_t size, int flags) {
   static auto* const kNext = next_symbol<ssize_t(int, void*, size_t, int)>("recv");
-  if (fails(30, {EINTR, ENOMEM}))
+  if (draw_error(30, {EINTR, ENOMEM}))
     return -1;
-  return kNext(descriptor, buffer, shortened(size), flags);
+  return kNext(descriptor, buffer, draw_transfer_size(size), flags);
 }
 
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 ssize_t send(int descriptor, const void* buffer, size_t size, int flags) {
   static auto* const kNext = next_symbol<ssize_t(int, const void*, size_t, int)>("send");
-  if (fails(30, {EINTR, EAGAIN, ENOBUFS, ENOMEM}))
+  if (draw_error(30, {EINTR, EAGAIN, ENOBUFS, ENOMEM}))
     return -1;
-  return kNext(descriptor, buffer, shortened(size), flags);
+  return kNext(descriptor, buffer, draw_transfer_size(size), flags);
 }
 
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
   static auto* const kNext = next_symbol<ssize_t(int, const msghdr*, int)>("sendmsg");
-  if (fails(30, {EINTR, EAGAIN}))
+  if (draw_error(30, {EINTR, EAGAIN}))
     return -1;
-  msghdr first_part = *message;
-  iovec part{};
-  if (message->msg_iovlen == 0 || !is_drawn(60))
+  if (message->msg_iovlen == 0 || !draw_bool(kShortTransfersPerThousand))
     return kNext(descriptor, message, flags);
-  part = message->msg_iov[0];
-  part.iov_len = shortened(part.iov_len);
-  first_part.msg_iov = &part;
-  first_part.msg_iovlen = 1;
-  return kNext(descriptor, &first_part, flags);
+  iovec first_buffer = message->msg_iov[0];
+  first_buffer.iov_len = draw_transfer_size(first_buffer.iov_len);
+  msghdr short_message = *message;
+  short_message.msg_iov = &first_buffer;
+  short_message.msg_iovlen = 1;
+  return kNext(descriptor, &short_message, flags);
 }
 
 }  // extern "C"
