--- a/tests/fleet/event_digest.cpp
+++ b/tests/fleet/event_digest.cpp
@@ -102,7 +102,7 @@
   add(body.snapshot);
 }
 
-// Pre-candidates and candidates enter the digest alike, as both only wait for votes.
+// Pre-candidates and candidates have the same value, because both only wait for votes.
 void EventDigest::add(raft::Role role) {
   switch (role) {
   case raft::Role::Recovering:
--- a/tests/fleet/event_digest.h
+++ b/tests/fleet/event_digest.h
@@ -1,5 +1,5 @@
-/// A digest over everything that the nodes of a simulated run send, persist, apply and do, in
-/// order. Two builds whose digests agree over the same seeds decide alike.
+/// A digest over all messages, writes, log entries and actions of the nodes of a simulated run, in
+/// order. Two builds with equal digests over the same seeds make equal decisions.
 #pragma once
 
 #include "leases/lease_client.h"
@@ -12,7 +12,8 @@
 
 namespace gorsebeam::simulation {
 
-/// FNV-1a (64 bit) over typed fields; names of types do not enter it, so renaming keeps the value.
+/// FNV-1a (64 bit) over typed fields; names of types are not part of it, so that renaming keeps the
+/// value.
 class EventDigest {
 public:
   [[nodiscard]] std::uint64_t value() const { return value_; }
@@ -23,7 +24,7 @@
   }
 
   void add(const std::string& text);
-  /// The start of an event: when it happens and at which node.
+  /// Begins an event: its time and its node.
   void add_event(raft::Nanos now, int node);
   void add(const raft::Action& action);
   void add(const leases::ManagerAction& action);
--- a/tests/fleet/fault_script.cpp
+++ b/tests/fleet/fault_script.cpp
@@ -46,7 +46,7 @@
     const int count = 1 + draw_below(12);
     for (int i = 0; i < count; ++i)
       add_random_fault();
-    // Faults that overlap may leave a gateway down: all run in the end.
+    // Overlapping faults may leave a gateway stopped, so all are started at the end.
     for (int gateway = 0; gateway < script_.gateways; ++gateway) {
       add(kFaultsEnd, FaultKind::Wake, gateway);
       add(kFaultsEnd, FaultKind::Start, gateway);
@@ -92,7 +92,8 @@
     }
   }
 
-  // Odd seeds cut the gateway from one peer, even seeds from all; each return path by chance.
+  // Odd seeds cut the gateway from one peer, even seeds from all; the reverse direction with
+  // probability one half.
   void add_cuts(Nanos at, Nanos end, int gateway, int peer) {
     for (int other = 0; other < script_.gateways; ++other) {
       if (other == gateway || (other != peer && script_.seed % 2 == 1))
@@ -106,7 +107,7 @@
     }
   }
 
-  // At most one state is lost: what a majority has lost cannot be recovered.
+  // At most one voter loses its state, because the loss of a majority cannot be recovered.
   void add_wipe(Nanos at, int gateway) {
     if (gateway >= script_.voters || has_wipe_)
       return;
--- a/tests/fleet/fault_script.h
+++ b/tests/fleet/fault_script.h
@@ -17,7 +17,7 @@
 
 enum class FaultKind {
   Kill,
-  Wipe,  ///< Kill, and lose the disk's content.
+  Wipe,  ///< Kills the process and erases its disk.
   Start,
   Stall,
   Wake,
@@ -45,7 +45,7 @@
 [[nodiscard]] FaultScript draw_fault_script(std::uint64_t seed);
 /// "seed SEED VOTERS GATEWAYS", then a line "MILLISECONDS KIND GATEWAY PEER" for each fault.
 void print_fault_script(const FaultScript& script, std::ostream& out);
-/// None: a line is not one that `print_fault_script` writes.
+/// Returns none if a line does not have the form that print_fault_script() writes.
 [[nodiscard]] std::optional<FaultScript> read_fault_script(std::istream& in);
 
 }  // namespace gorsebeam::simulation
--- a/tests/fleet/history_checker.cpp
+++ b/tests/fleet/history_checker.cpp
@@ -32,7 +32,7 @@
   ++actions_;
   LastAction& last = last_actions_[role];
   if (token < last.token)
-    throw RuleViolation("fencing: " + role + " done under a token lower than one before");
+    throw RuleViolation("fencing: " + role + " acted under a token lower than an earlier one");
   if (token > last.token && last.token > 0)
     handover_times_.push_back(now - last.at);
   last = {token, now};
@@ -41,7 +41,7 @@
 void HistoryChecker::check_progress(const std::string& role, Nanos since) const {
   const auto last = last_actions_.find(role);
   if (last == last_actions_.end() || last->second.at < since)
-    throw RuleViolation("progress: nobody does " + role);
+    throw RuleViolation("progress: no action under " + role);
 }
 
 }  // namespace gorsebeam::simulation
--- a/tests/fleet/history_checker.h
+++ b/tests/fleet/history_checker.h
@@ -1,5 +1,5 @@
-/// Checks the rules of Raft and of the lease service from the history of what was applied and done.
-/// It shares no code with the modules under test and knows nothing of how they decide.
+/// Checks the rules of Raft and of the lease service against the history of applied entries and
+/// actions. It shares no code with the modules under test and does not depend on their decisions.
 #pragma once
 
 #include "raft/persistent_state.h"
@@ -14,7 +14,7 @@
 
 namespace gorsebeam::simulation {
 
-/// Ends the run; the text names the rule and what broke it.
+/// Ends the run; the text names the rule and the violation.
 class RuleViolation : public std::runtime_error {
 public:
   using std::runtime_error::runtime_error;
@@ -33,7 +33,7 @@
   static void check_exclusive(const std::string& role, const std::vector<std::string>& holders);
   /// Fencing: an action was accepted under a token no lower than any before it.
   void record_action(Nanos now, const std::string& role, leases::FencingToken token);
-  /// Liveness: the role was acted under since that time.
+  /// Liveness: an action was accepted under the role since that time.
   void check_progress(const std::string& role, Nanos since) const;
 
   [[nodiscard]] std::uint64_t actions() const { return actions_; }
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -1,15 +1,16 @@
-/// Plays simulated fleets and checks their histories (deterministic simulation testing, as in
+/// Runs simulated fleets and checks their histories (deterministic simulation testing, as in
 /// FoundationDB).
 ///
-///   simulation SEEDS [FIRST]      plays so many seeds; prints the script of the first that breaks
-///   a
-///                                 rule
-///   simulation --script FILE      plays a printed script again
-///   simulation --cost GATEWAYS    messages a second without faults, of the leader and of the
-///   others simulation --mutants SEEDS    each mutant must be detected within so many seeds
-///   simulation --digest SEEDS     a hash over all that is sent and done, of seeds 0 to SEEDS - 1
+///   simulation SEEDS [FIRST]      runs SEEDS seeds from FIRST on; prints the fault script of the
+///                                 first seed that violates a rule
+///   simulation --script FILE      runs a printed script
+///   simulation --cost GATEWAYS    prints the messages per second without faults, of the leader
+///                                 and of the other gateways
+///   simulation --mutants SEEDS    requires that each mutant is detected within SEEDS seeds
+///   simulation --digest SEEDS     prints a hash over all messages and actions of the seeds 0 to
+///                                 SEEDS - 1
 ///
-/// The exit status is 0 if every rule held, or every mutant was detected, and 1 otherwise.
+/// The exit status is 0 if every rule was kept, or every mutant was detected, and 1 otherwise.
 #include "simulated_fleet.h"
 
 #include <algorithm>
@@ -31,7 +32,7 @@
 namespace gorsebeam::simulation {
 namespace {
 
-/// Of several runs.
+/// Sums over several runs.
 struct Totals {
   std::uint64_t actions = 0;
   std::uint64_t rejected_actions = 0;
@@ -45,8 +46,9 @@
   }
 };
 
-/// Returns the rule that was broken; none: every rule held, and the run is added to `totals`.
-std::optional<std::string> play(const FaultScript& script, Mutant mutant, Totals& totals) {
+/// Runs one script. Returns the rule that was violated; none: every rule was kept, and the run is
+/// added to `totals`.
+std::optional<std::string> run_script(const FaultScript& script, Mutant mutant, Totals& totals) {
   try {
     SimulatedFleet fleet(script, mutant);
     fleet.run();
@@ -70,7 +72,7 @@
   return to_milliseconds(sorted_times[static_cast<std::size_t>(share * last)]);
 }
 
-int play_script(const std::string& path) {
+int run_script_file(const std::string& path) {
   std::ifstream file(path);
   const std::optional<FaultScript> script = read_fault_script(file);
   if (!script) {
@@ -78,12 +80,12 @@
     return 1;
   }
   Totals totals;
-  const std::optional<std::string> violation = play(*script, Mutant::None, totals);
+  const std::optional<std::string> violation = run_script(*script, Mutant::None, totals);
   std::cout << violation.value_or("every rule held") << '\n';
   return violation ? 1 : 0;
 }
 
-int play_mutants(std::uint64_t seeds) {
+int run_mutants(std::uint64_t seeds) {
   bool all_detected = true;
   Totals totals;
   for (const auto& [mutant, name] : kMutants) {
@@ -91,7 +93,7 @@
     std::uint64_t seed = 0;
     while (!violation && seed < seeds) {
       ++seed;
-      violation = play(draw_fault_script(seed), mutant, totals);
+      violation = run_script(draw_fault_script(seed), mutant, totals);
     }
     std::cout << name << ": ";
     if (violation)
@@ -143,7 +145,7 @@
             << percentile(times, 1) << ", lease " << to_milliseconds(kLeaseDuration) << '\n';
 }
 
-/// Plays seeds on several threads; they are independent.
+/// Runs seeds, which are independent, on several threads.
 class SeedRunner {
 public:
   SeedRunner(std::uint64_t first, std::uint64_t seeds) : first_(first), seeds_(seeds) {}
@@ -153,7 +155,7 @@
     std::vector<std::thread> threads;
     for (unsigned worker = 0; worker < workers; ++worker)
       threads.emplace_back([this, worker, workers] {
-        play_share(worker, workers);
+        run_share(worker, workers);
       });
     for (std::thread& thread : threads)
       thread.join();
@@ -168,14 +170,14 @@
   }
 
 private:
-  // Each worker plays every `workers`th seed and stops at its first violation, so the lowest seed
-  // that breaks a rule is among those found.
-  void play_share(unsigned worker, unsigned workers) {
+  // Each worker runs every `workers`th seed and stops at its first violation, so the lowest seed
+  // that violates a rule is among those found.
+  void run_share(unsigned worker, unsigned workers) {
     Totals totals;
     std::optional<std::string> violation;
     std::uint64_t seed = first_ + worker;
     while (seed < first_ + seeds_) {
-      violation = play(draw_fault_script(seed), Mutant::None, totals);
+      violation = run_script(draw_fault_script(seed), Mutant::None, totals);
       if (violation)
         break;
       seed += workers;
@@ -210,12 +212,12 @@
 
 int run_option(const std::string& option, const std::string& argument) {
   if (option == "--script")
-    return play_script(argument);
+    return run_script_file(argument);
   const std::optional<std::uint64_t> number = parse_number(argument);
   if (!number)
     return print_usage();
   if (option == "--mutants")
-    return play_mutants(*number);
+    return run_mutants(*number);
   if (option == "--digest")
     return print_digest(*number);
   if (option == "--cost")
@@ -239,9 +241,9 @@
 }  // namespace
 }  // namespace gorsebeam::simulation
 
-int main(int count, char** arguments) {
+int main(int argument_count, char** arguments) {
   try {
-    return gorsebeam::simulation::run({arguments + 1, arguments + count});
+    return gorsebeam::simulation::run({arguments + 1, arguments + argument_count});
   } catch (const std::exception& error) {
     std::cerr << error.what() << '\n';
     return 1;
--- a/tests/fleet/mutants.h
+++ b/tests/fleet/mutants.h
@@ -1,5 +1,5 @@
-/// Deliberately broken embeddings of the modules. The checker must detect each of them; else it
-/// would also miss such a fault in the real ones.
+/// Deliberately broken embeddings of the modules. The checker must detect each of them; otherwise
+/// it would also miss the same fault in the real embedding.
 #pragma once
 
 #include <array>
--- a/tests/fleet/process.h
+++ b/tests/fleet/process.h
@@ -1,5 +1,4 @@
-/// A simulated process that can be killed, started again, stalled (SIGSTOP, a long pause) and
-/// woken.
+/// A simulated process that can be killed, restarted, stalled (as by SIGSTOP) and woken.
 #pragma once
 
 #include "virtual_time.h"
@@ -15,7 +14,7 @@
 
   [[nodiscard]] bool is_alive() const { return is_alive_; }
 
-  /// Counts starts, from 1.
+  /// The number of starts so far.
   [[nodiscard]] std::uint64_t incarnation() const { return incarnation_; }
 
   void start();
@@ -23,8 +22,8 @@
   void stall();
   void wake();
 
-  /// Runs the callback at that time, or as soon as the process wakes. What belongs to an earlier
-  /// incarnation, or to a dead process, is dropped.
+  /// Runs the callback at that time, or as soon as the process wakes. Callbacks of an earlier
+  /// incarnation or of a dead process are dropped.
   void schedule(Nanos at, Callback callback);
 
 private:
--- a/tests/fleet/simulated_disk.h
+++ b/tests/fleet/simulated_disk.h
@@ -1,5 +1,5 @@
-/// A disk that writes states as a whole, in order, each after a random time; a crash leaves the
-/// newest state whose write finished.
+/// A disk that writes states atomically and in order, each after a random time; a crash leaves the
+/// newest state whose write has finished.
 #pragma once
 
 #include "process.h"
@@ -19,8 +19,8 @@
 
   [[nodiscard]] const std::optional<raft::PersistentState>& content() const { return content_; }
 
-  /// Writes for the process's current incarnation and reports to it. A stalled process's write
-  /// finishes all the same.
+  /// Writes for the process's current incarnation and reports to it. The write of a stalled process
+  /// also finishes.
   void write(Process& process, const raft::PersistentState& state,
              const std::function<void(WriteResult)>& on_done);
 
--- a/tests/fleet/simulated_fleet.cpp
+++ b/tests/fleet/simulated_fleet.cpp
@@ -1,4 +1,4 @@
-// The fleet's gateways, faults and rules at the end of a run.
+// The fleet's gateways, its faults and the rules that are checked at the end of a run.
 #include "simulated_fleet.h"
 
 #include <algorithm>
@@ -57,7 +57,8 @@
   check_progress();
 }
 
-// Faults ended long ago, so each role must be acted under, unless too many voters lost their state.
+// The faults have ended long before, so actions must be accepted under each role, unless too many
+// voters have lost their state.
 void SimulatedFleet::check_progress() const {
   const auto is_sound_voter = [](const auto& gateway) {
     return gateway->is_voter && !gateway->was_wiped;
--- a/tests/fleet/simulated_fleet.h
+++ b/tests/fleet/simulated_fleet.h
@@ -28,14 +28,14 @@
 public:
   SimulatedFleet(const FaultScript& script, Mutant mutant);
 
-  /// Plays the script up to kRunEnd. Throws RuleViolation.
+  /// Runs the script up to kRunEnd. Throws RuleViolation.
   void run();
 
   [[nodiscard]] const EventDigest& digest() const { return digest_; }
 
   [[nodiscard]] const HistoryChecker& checker() const { return checker_; }
 
-  /// Actions that the receiver rejected for their token.
+  /// Actions that the receiver rejected because of their token.
   [[nodiscard]] std::uint64_t rejected_actions() const { return rejected_actions_; }
 
   /// Messages between gateways.
@@ -60,12 +60,13 @@
     leases::LeaseTable table;
     std::unique_ptr<leases::LeaseManager> manager;
     std::unique_ptr<leases::LeaseClient> client;
-    // The deadlines that are scheduled.
+    // The deadlines for which a timer is scheduled.
     Nanos node_deadline = 0;
     Nanos manager_deadline = 0;
     Nanos client_deadline = 0;
 
-    std::string last_responder;  ///< The lease manager that is asked while it responds.
+    /// The lease manager that gets the requests while it responds.
+    std::string last_responder;
     bool awaits_response = true;
   };
 
--- a/tests/fleet/simulated_fleet_leases.cpp
+++ b/tests/fleet/simulated_fleet_leases.cpp
@@ -73,7 +73,7 @@
   }
 }
 
-// The last responder is asked alone while it responds; else all voters are.
+// Only the last responder gets the request while it responds; otherwise all voters do.
 void SimulatedFleet::deliver(Gateway& sender, const leases::LeaseRequest& request) {
   const bool to_all = std::exchange(sender.awaits_response, true);
   for (const auto& voter : gateways_) {
@@ -106,8 +106,7 @@
   });
 }
 
-// The token is checked, a moment passes in which the process may be stalled, and the action is
-// sent.
+// The gateway checks its token and sends the action a moment later; the process may stall between.
 void SimulatedFleet::start_action(Gateway& gateway, const std::string& role) {
   const auto token = gateway.client->valid_token(local_now(gateway), role);
   check_exclusive(role);
--- a/tests/fleet/simulated_fleet_raft.cpp
+++ b/tests/fleet/simulated_fleet_raft.cpp
@@ -84,7 +84,7 @@
   checker_.record_state(entry.index, gateway.table.serialize());
   if (role)
     gateway.manager->handle_grant_applied(local_now(gateway), *role);
-  // The no-op entry of its own term shows a leader that it has applied all that was committed.
+  // Once a leader applies the no-op entry of its own term, it has applied all committed entries.
   const bool leads = gateway.node->role() == raft::Role::Leader;
   if (!leads || entry.term != gateway.node->current_term() || !entry.command.empty())
     return;
--- a/tests/fleet/simulated_network.h
+++ b/tests/fleet/simulated_network.h
@@ -1,5 +1,5 @@
-/// A network that loses, delays, reorders and duplicates messages, and that can be cut in each
-/// direction between two gateways.
+/// A network that loses, delays, reorders and duplicates messages; each direction between two
+/// gateways can be cut.
 #pragma once
 
 #include "process.h"
@@ -12,14 +12,14 @@
 
 class SimulatedNetwork {
 public:
-  /// From `faults_end` on, messages are neither lost, duplicated nor much delayed.
+  /// From `faults_end` on, messages are not lost or duplicated, and delays are short.
   SimulatedNetwork(EventQueue& queue, Random& random, Nanos faults_end)
       : queue_(queue), random_(random), faults_end_(faults_end) {}
 
-  /// Between two gateways; delivered to whichever incarnation then runs.
+  /// Sends between two gateways; the incarnation that runs at the arrival gets the message.
   void send(int from, int to, Process& receiver, const Callback& deliver);
-  /// To a receiver outside the fleet, or to the sender itself: not subject to cuts, duplication or
-  /// the state of a process.
+  /// Sends to a receiver outside the fleet or to the sender itself: not subject to cuts,
+  /// duplication or the state of a process.
   void send_outside(const Callback& deliver);
   void cut(int from, int to);
   void heal(int from, int to);
@@ -27,7 +27,7 @@
 private:
   [[nodiscard]] bool has_faults() const { return queue_.now() < faults_end_; }
 
-  bool draw_fault(double probability) { return has_faults() && random_.chance(probability); }
+  bool draw_fault(double probability) { return has_faults() && random_.draw_bool(probability); }
 
   Nanos draw_arrival();
   void deliver_at(Nanos at, Process& receiver, const Callback& deliver);
--- a/tests/fleet/virtual_time.h
+++ b/tests/fleet/virtual_time.h
@@ -1,5 +1,5 @@
-/// Virtual time: a queue of events in order of true time, a seeded source of chance, and clocks
-/// that deviate from true time.
+/// Virtual time: a queue of events in order of true time, a seeded random source, and clocks that
+/// deviate from true time.
 #pragma once
 
 #include "leases/messages.h"
@@ -29,7 +29,7 @@
     return std::uniform_int_distribution<Nanos>(least, most)(generator_);
   }
 
-  bool chance(double probability) {
+  bool draw_bool(double probability) {
     return std::uniform_real_distribution<>(0, 1)(generator_) < probability;
   }
 
@@ -42,7 +42,7 @@
 public:
   [[nodiscard]] Nanos now() const { return now_; }
 
-  /// A time in the past means now.
+  /// A time in the past counts as now.
   void schedule(Nanos at, Callback callback);
   void run_until(Nanos end);
 
@@ -68,7 +68,7 @@
   Nanos offset = 0;
 
   [[nodiscard]] Nanos local_time(Nanos true_time) const;
-  /// When an event loop that waits for `local` wakes: late by a little, never early.
+  /// The true time at which an event loop that waits for `local` wakes: slightly late, never early.
   [[nodiscard]] Nanos wake_time(Nanos local) const;
 };
 
