--- a/tests/fault_soak/fake_endpoint.cpp
+++ b/tests/fault_soak/fake_endpoint.cpp
@@ -35,7 +35,7 @@
 
   void ended(const std::string&) override { end_attempt(Effect::MayHaveRun); }
 
-  // Returns whether `input` held a complete message.
+  // Returns whether `input` contained a complete message.
   bool handle_message() {
     const auto message = postgres().decode_endpoint_message(input, replication());
     if (!message)
--- a/tests/fault_soak/fault_injector.cpp
+++ b/tests/fault_soak/fault_injector.cpp
@@ -129,7 +129,7 @@
   });
 }
 
-// Enough endpoints stay up that a request always has one to go to.
+// Leaves enough endpoints up to serve each request.
 void FaultInjector::drain_endpoint() {
   FakeEndpoint& endpoint = draw_endpoint();
   if (endpoints_.up_count() <= kMinUpEndpoints || endpoint.listed_status != ListedStatus::Up)
--- a/tests/fault_soak/gateway_under_test.h
+++ b/tests/fault_soak/gateway_under_test.h
@@ -26,7 +26,7 @@
 
   [[nodiscard]] int index() const { return index_; }
 
-  /// Whether a process listens that has not been told to end.
+  /// Whether a process listens and was not terminated or killed.
   [[nodiscard]] bool is_serving() const { return process_.is_ready() && !is_ending_; }
 
   [[nodiscard]] bool is_paused() const { return is_paused_; }
--- a/tests/fault_soak/oracle.h
+++ b/tests/fault_soak/oracle.h
@@ -22,7 +22,7 @@
 constexpr Millis kDrainGrace = 250 + 50;
 /// After it a request whose client has disconnected must not be attempted.
 constexpr Millis kDisconnectGrace = 100;
-/// How much more time a gateway may forward than the client has left.
+/// How much a forwarded timeout may exceed the time until the client's deadline.
 constexpr Millis kDeadlineSlack = 150;
 /// How long after its deadline a request may get its response.
 constexpr Millis kResponseSlack = 500;
@@ -97,7 +97,7 @@
     Millis sent_at = 0;
     Millis deadline = 0;
     Millis disconnected_at = 0;  ///< 0: the client is connected.
-    /// Answered, excused, or its gateway was killed.
+    /// Has a response, is excused, or its gateway was killed.
     bool is_closed = false;
     int response_count = 0;
     std::set<int> in_flight;  ///< Endpoints.
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -10,7 +10,7 @@
 ///   simulation --digest SEEDS     prints a hash over all messages and actions of the seeds 0 to
 ///                                 SEEDS - 1
 ///
-/// The exit status is 0 if every rule was kept, or every mutant was detected, and 1 otherwise.
+/// The exit status is 0 if no rule was violated, or every mutant was detected, and 1 otherwise.
 #include "simulated_fleet.h"
 
 #include <algorithm>
@@ -46,8 +46,7 @@
   }
 };
 
-/// Runs one script. Returns the rule that was violated; none: every rule was kept, and the run is
-/// added to `totals`.
+/// Runs one script. Returns the rule that was violated; none: the run is added to `totals`.
 std::optional<std::string> run_script(const FaultScript& script, Mutant mutant, Totals& totals) {
   try {
     SimulatedFleet fleet(script, mutant);
--- a/tests/integration/client_admission_test.cpp
+++ b/tests/integration/client_admission_test.cpp
@@ -77,7 +77,7 @@
                    return !client->closed_by_gateway;
                  }) <= 45;
         },
-        "clients that stay to be closed");
+        "surplus clients to be closed");
   }
 };
 
--- a/tests/integration/control_versions_test.cpp
+++ b/tests/integration/control_versions_test.cpp
@@ -33,6 +33,14 @@
     return *endpoints.back();
   }
 
+  void await_requests(const StubEndpoint& replacement) {
+    load_->wait_until(
+        [&] {
+          return replacement.request_count > 0;
+        },
+        "requests to the new address of endpoint " + replacement.name);
+  }
+
   void expect_bad_resources_rejected();
   void expect_unknown_resources_rejected();
   void expect_older_generation_rejected_unless_rolled_back();
@@ -129,11 +137,7 @@
   const int request_count = removed.request_count;
   StubEndpoint& replacement = add_replica(removed.name);
   ASSERT_EQ(push_under_load(gateway_.members(7), "m7"), "");
-  load_->wait_until(
-      [&] {
-        return replacement.request_count > 0;
-      },
-      "requests to the new address of an endpoint that was removed");
+  await_requests(replacement);
   load_->await_responses(50);
   ASSERT_EQ(removed.request_count, request_count);
 }
@@ -143,16 +147,8 @@
   moved.listed_status = ListedStatus::Removed;
   StubEndpoint& replacement = add_replica(moved.name);
   ASSERT_EQ(push_under_load(gateway_.members(8), "m8"), "");
-  load_->wait_until(
-      [&] {
-        return replacement.request_count > 0;
-      },
-      "requests to the new address of an endpoint");
-  wait_until(
-      [&] {
-        return moved.open_connection_count() == 0;
-      },
-      "the connections to the old address to be closed");
+  await_requests(replacement);
+  moved.await_connections_closed();
   const int request_count = moved.request_count;
   load_->await_responses(50);
   ASSERT_EQ(moved.request_count, request_count);
--- a/tests/integration/discovery_watch_test.cpp
+++ b/tests/integration/discovery_watch_test.cpp
@@ -30,16 +30,6 @@
     expect_contains(agent().received_request, "from=" + expected_revision + " ");
   }
 
-  // The gateway has applied a list without `endpoint` once it has closed the connections to it, a
-  // change that is visible from outside.
-  static void await_removal_applied(const StubEndpoint& endpoint) {
-    wait_until(
-        [&] {
-          return endpoint.open_connection_count() == 0;
-        },
-        "the connections to the removed endpoint " + endpoint.name + " to be closed");
-  }
-
   static void expect_gets_no_requests(TestClient& client, const StubEndpoint& endpoint,
                                       const std::string& id_prefix) {
     const int request_count = endpoint.request_count;
@@ -168,7 +158,7 @@
   list_with_both_up_ = DiscoveryAgent::encode_list(harness(), 42);
   list_both_as(ListedStatus::Draining, ListedStatus::Removed);
   agent().stream->write({"\n", DiscoveryAgent::encode_list(harness(), 43), list_with_both_up_});
-  await_removal_applied(removed());
+  removed().await_connections_closed();
   expect_gets_no_traffic(*client_, draining(), "r0-");
   expect_gets_no_traffic(*client_, removed(), "r1-");
 }
@@ -213,7 +203,7 @@
   agent().await_reconnection(connection_count);
   agent().accept_watch();
   agent().send_list(harness(), 45);
-  await_removal_applied(removed());
+  removed().await_connections_closed();
   expect_gets_no_traffic(*client_, draining(), "r3-");
 }
 
--- a/tests/integration/event_loop_stall_test.cpp
+++ b/tests/integration/event_loop_stall_test.cpp
@@ -171,7 +171,7 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// The log's pipe is full because nobody reads it; the gateway keeps serving requests.
+// The log's pipe is full because the test does not read it; the gateway keeps serving requests.
 TEST_P(EventLoopStall, IsNotCausedByFullLogPipe) {
   constexpr int kFailures = 40;             // each logs a line of about 190 bytes
   constexpr int kReadsBetweenFailures = 9;  // so that no endpoint is ejected for its errors
--- a/tests/integration/request_outcomes_test.cpp
+++ b/tests/integration/request_outcomes_test.cpp
@@ -142,7 +142,7 @@
 }
 
 // Requests are written right after the handshake, several at once.
-TEST_P(RequestOutcomes, AnswerEachPipelinedRequestOnce) {
+TEST_P(RequestOutcomes, AreOnePerPipelinedRequest) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
   const auto client = harness.connect_client();
--- a/tests/integration/shutdown_test.cpp
+++ b/tests/integration/shutdown_test.cpp
@@ -110,7 +110,7 @@
   return RaceOutcome::RequestsArrivedFirst;
 }
 
-TEST_P(Shutdown, AnswersRequestsThatArriveAsListenerCloses) {
+TEST_P(Shutdown, RespondsToRequestsThatArriveAsListenerCloses) {
   constexpr int kMaxRounds = 20;
   int round = 0;
   while (race_requests_with_closing_listener(protocol()) == RaceOutcome::ListenerClosedFirst) {
--- a/tests/integration/stub_endpoint.cpp
+++ b/tests/integration/stub_endpoint.cpp
@@ -130,6 +130,14 @@
       }));
 }
 
+void StubEndpoint::await_connections_closed() const {
+  wait_until(
+      [this] {
+        return open_connection_count() == 0;
+      },
+      "the connections to endpoint " + name + " to be closed");
+}
+
 std::size_t StubEndpoint::paused_handshake_count() const {
   return static_cast<std::size_t>(
       std::count_if(connections_.begin(), connections_.end(), [](const auto& connection) {
--- a/tests/integration/stub_endpoint.h
+++ b/tests/integration/stub_endpoint.h
@@ -28,6 +28,9 @@
   /// Sends the paused handshake replies; no handshake is paused from then on.
   void resume_handshakes();
   [[nodiscard]] int open_connection_count() const;
+  /// Waits until the gateway has closed all connections, as it does once it has applied a list
+  /// without the endpoint. This is visible from outside.
+  void await_connections_closed() const;
   /// Sends `response` to each request that has no response yet.
   void respond_to_open_attempts(ScriptedResponse response = ScriptedResponse::Succeed);
   /// Sends `bytes` on each open connection without a request.
