--- a/tests/fleet/virtual_time.h
+++ b/tests/fleet/virtual_time.h
@@ -1,5 +1,5 @@
-/// Virtual time: a queue of events in order of true time, a seeded source of chance, and clocks
-/// that deviate from true time.
+/// Virtual time: a queue of events in order of true time, a seeded random source, and clocks that
+/// deviate from true time.
 #pragma once
 
 #include "leases/messages.h"
@@ -25,7 +25,7 @@
     return std::uniform_int_distribution<std::int64_t>(least, most)(generator_);
   }
 
-  bool chance(double probability) {
+  bool draw_bool(double probability) {
     return std::uniform_real_distribution<>(0, 1)(generator_) < probability;
   }
 
@@ -38,7 +38,7 @@
 public:
   [[nodiscard]] TimePoint now() const { return now_; }
 
-  /// A time in the past means now.
+  /// A time in the past counts as now.
   void schedule(TimePoint at, Callback callback);
   void run_until(TimePoint end);
 
@@ -64,7 +64,7 @@
   Duration offset{};
 
   [[nodiscard]] TimePoint local_time(TimePoint true_time) const;
-  /// When an event loop that waits for `local` wakes: late by a little, never early.
+  /// The true time at which an event loop that waits for `local` wakes: slightly late, never early.
   [[nodiscard]] TimePoint wake_time(TimePoint local) const;
 };
 
--- a/tests/integration/stub_endpoint.cpp
+++ b/tests/integration/stub_endpoint.cpp
@@ -107,10 +107,11 @@
 };
 
 StubEndpoint::StubEndpoint(GatewayHarness& harness, std::string endpoint_name,
-                           bool is_listed_as_primary, bool is_primary)
+                           EndpointRole listed_role, EndpointRole actual_role)
     : name(std::move(endpoint_name)),
-      listed_as_primary(is_listed_as_primary), replication{is_primary}, harness_(harness),
-      listener_([this](SocketHandle socket) {
+      listed_as_primary(listed_role == EndpointRole::Primary), replication{actual_role ==
+                                                                           EndpointRole::Primary},
+      harness_(harness), listener_([this](SocketHandle socket) {
         accept(std::move(socket));
       }) {
   const auto error = listener_.listen("127.0.0.1:0");
@@ -129,6 +130,14 @@
       }));
 }
 
+void StubEndpoint::await_connections_closed() const {
+  wait_until(
+      [this] {
+        return open_connection_count() == 0;
+      },
+      "the connections to endpoint " + name + " to be closed");
+}
+
 std::size_t StubEndpoint::paused_handshake_count() const {
   return static_cast<std::size_t>(
       std::count_if(connections_.begin(), connections_.end(), [](const auto& connection) {
