--- /dev/null
+++ b/src/frontend/parsed_request.h
@@ -0,0 +1,47 @@
+/// What a protocol's parser makes of a client's message before the request is admitted. Pure.
+#pragma once
+
+#include "gorsebeam/router.h"
+
+#include <cstddef>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace gorsebeam::frontend {
+
+/// A request class that was found by its name.
+struct NamedClass {
+  std::size_t index;  ///< Into `Settings::classes`.
+  const RequestClass& settings;
+};
+
+/// The request classes that requests may name. Borrows both containers.
+class RequestClasses {
+public:
+  RequestClasses(const std::map<std::string, std::size_t>& indexes,
+                 const std::vector<RequestClass>& classes)
+      : indexes_(indexes), classes_(classes) {}
+
+  [[nodiscard]] std::optional<NamedClass> find(const std::string& name) const;
+
+private:
+  const std::map<std::string, std::size_t>& indexes_;
+  const std::vector<RequestClass>& classes_;
+};
+
+[[nodiscard]] bool is_write(const RequestClass& request_class);
+
+/// Whether requests of the class belong to a session: writes, and reads that must see them.
+[[nodiscard]] bool belongs_to_session(const RequestClass& request_class);
+
+/// A well-formed request of a client.
+struct ParsedRequest {
+  Request request;       ///< Without its deadline and the limits of a contract.
+  Nanos time_limit = 0;  ///< How long the client waits from the arrival of the request.
+  /// It is attempted once, whatever the contract permits, as its effect is not known.
+  bool is_single_attempt = false;
+};
+
+}  // namespace gorsebeam::frontend
--- /dev/null
+++ b/src/frontend/request_admission.h
@@ -0,0 +1,44 @@
+/// Admits the requests of one client connection: applies the client's time limit and the contract
+/// of its team to each of them. All functions run on the main loop's thread.
+#pragma once
+
+#include "parsed_request.h"
+
+#include "common/result.h"
+#include "proxy/contract_enforcer.h"
+
+#include <optional>
+#include <string>
+
+namespace gorsebeam::frontend {
+
+/// The error text for a request whose id the broker does not accept.
+constexpr const char* kUnacceptedIdText = "a request with this id is open, or it is no fit id";
+
+class RequestAdmission {
+public:
+  /// Borrows both.
+  RequestAdmission(proxy::ContractEnforcer& contracts, const Settings& settings)
+      : contracts_(contracts), settings_(settings) {}
+
+  /// Sets the team by the name under which the client presents itself; empty until then.
+  void set_team(std::string team);
+
+  /// The request classes in force, valid until the contracts are replaced.
+  [[nodiscard]] RequestClasses classes() const;
+
+  /// The error text for a team that has no contract; nothing if it has one.
+  [[nodiscard]] std::optional<std::string> missing_contract() const;
+
+  /// Returns the request with its deadline and the limits of the contract, or why it is outside of
+  /// the contract. `arrival` is when the request arrived; its time limit counts from there.
+  [[nodiscard]] common::Result<Request, proxy::ContractEnforcer::Decision>
+  admit(ParsedRequest parsed, Nanos arrival, Nanos now);
+
+private:
+  proxy::ContractEnforcer& contracts_;
+  const Settings& settings_;
+  std::string team_;
+};
+
+}  // namespace gorsebeam::frontend
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,7 +1,7 @@
 #include "gateway.h"
 
 #include "config/conversion.h"
-#include "mongo/frontend.h"
+#include "mongo/client_connection.h"
 #include "mongo/upstream_protocol.h"
 #include "net/log.h"
 #include "net/loop_monitor.h"
@@ -73,7 +73,7 @@
                                              postgres::make_connection(contracts_, classifier_));
   if (serves_mongo)
     mongo_ = std::make_unique<ProtocolPath>(profile, ~seed, mongo::make_upstream_protocol, share,
-                                            mongo::make_connection(contracts_));
+                                            mongo::make_connection_factory(contracts_));
 }
 
 Gateway::~Gateway() {
--- a/src/mongo/bson.cpp
+++ b/src/mongo/bson.cpp
@@ -187,6 +187,13 @@
   return std::nullopt;
 }
 
+std::string to_text(const Element& element) {
+  if (element.type == ElementType::String)
+    return std::string(element.value);
+  const std::optional<std::int64_t> number = to_integer(element);
+  return number ? std::to_string(*number) : "";
+}
+
 std::optional<std::int64_t> to_date(const Element& element) {
   if (element.type != ElementType::Date)
     return std::nullopt;
--- a/src/mongo/bson.h
+++ b/src/mongo/bson.h
@@ -95,6 +95,10 @@
 /// The value of a boolean, or whether a number is not zero.
 std::optional<bool> to_bool(const Element& element);
 
+/// The text of a string, or the decimal digits of a number without a fraction; empty for any other
+/// element.
+std::string to_text(const Element& element);
+
 /// The value of a date, in milliseconds of Unix time.
 std::optional<std::int64_t> to_date(const Element& element);
 
--- /dev/null
+++ b/src/mongo/client_connection.cpp
@@ -0,0 +1,196 @@
+#include "client_connection.h"
+
+#include "codec.h"
+#include "command_parser.h"
+#include "command_rewriter.h"
+#include "hello.h"
+#include "replies.h"
+
+#include "frontend/request_admission.h"
+#include "net/timer.h"
+
+#include <optional>
+#include <utility>
+
+namespace gorsebeam::mongo {
+namespace {
+
+using wire::FramingError;
+
+CommandError too_many_connections() {
+  return {ErrorCode::IngressRequestRateLimitExceeded, "too many connections"};
+}
+
+/// Connects a client's stream with the pure modules that parse its commands and encode replies.
+class MongoClientConnection : public frontend::ClientConnection {
+public:
+  MongoClientConnection(frontend::Frontend& frontend, net::SocketHandle socket,
+                        proxy::ContractEnforcer& contracts)
+      : ClientConnection(frontend, std::move(socket)),
+        admission_(contracts, frontend.broker().settings()) {}
+
+  // The message stays in the input until its request is answered.
+  proxy::Parts body(Nanos left) override {
+    const wire::Framed<Message> message = read_pending_message();
+    const OpMsg op_msg = message ? read_op_msg(message.value().payload).value_or(OpMsg{}) : OpMsg{};
+    return rewriter_.rewrite(op_msg, request_kind_, left);
+  }
+
+  void respond(const proxy::Parts& value) override {
+    const std::string flags = encode_u32(0);
+    std::size_t payload_size = flags.size();
+    for (const std::string_view part : value)
+      payload_size += part.size();
+    const std::string head =
+        encode_header(payload_size, ++last_sent_id_, message_id_, Opcode::Msg) + flags;
+    proxy::Parts parts{head};
+    parts.insert(parts.end(), value.begin(), value.end());
+    stream_->write(parts);
+    finish_message();
+  }
+
+  void reject(Nanos retry_after) override {
+    send_reply(encode_rejection_reply(retry_after));
+    finish_message();
+  }
+
+  void fail() override {
+    send_reply(encode_error_reply({ErrorCode::NetworkTimeout, "failed: the effect is not known"}));
+    finish_message();
+  }
+
+private:
+  void parse() override {
+    const wire::Framed<Message> message = read_pending_message();
+    if (message)
+      handle_message(message.value());
+    else if (message.error() == FramingError::Malformed)
+      end_with_error(ProtocolError::MalformedFrame);
+  }
+
+  [[nodiscard]] wire::Framed<Message> read_pending_message() const {
+    return read_message(stream_->input().view(), frontend_.limits().message_bytes);
+  }
+
+  void handle_message(const Message& message) {
+    message_id_ = message.request_id;
+    message_size_ = message.size;
+    const common::Result<Command, ProtocolError> command = parse_command(message);
+    if (!command)
+      end_with_error(command.error());
+    else if (message.opcode == Opcode::Query)
+      handle_query(command.value());
+    else
+      handle_command(command.value());
+  }
+
+  // Drivers send their first hello as OP_QUERY, and change to OP_MSG when its reply says that
+  // OP_MSG is served.
+  void handle_query(const Command& command) {
+    const std::string reply = command.kind == CommandKind::Hello
+                                  ? answer_hello(command.document)
+                                  : encode_error_reply({ErrorCode::UnsupportedOpQueryCommand,
+                                                        "only a greeting may be an OP_QUERY"});
+    stream_->write({encode_op_reply(reply, ++last_sent_id_, message_id_)});
+    consume_message();
+    if (is_over_limit())
+      close_when_written(frontend::CloseReason::ErrorSent);
+  }
+
+  void handle_command(const Command& command) {
+    if (command.kind == CommandKind::Empty)
+      return answer(encode_error_reply({ErrorCode::FailedToParse, "the command is empty"}));
+    if (is_over_limit())
+      return reject_over_limit(command);
+    switch (command.kind) {
+    case CommandKind::Hello:
+      return answer(answer_hello(command.document));
+    case CommandKind::BuildInfo:
+      return answer(encode_build_info_reply());
+    case CommandKind::Acknowledged:
+      return answer(encode_ok_reply());
+    default:
+      if (const std::optional<CommandError> error = begin_command(command))
+        answer(encode_error_reply(*error));
+    }
+  }
+
+  void reject_over_limit(const Command& command) {
+    send_reply(encode_error_reply(too_many_connections()));
+    if (command.kind == CommandKind::Hello)
+      consume_message();
+    close_when_written(frontend::CloseReason::ErrorSent);
+  }
+
+  std::string answer_hello(std::string_view hello) {
+    if (is_over_limit())
+      return encode_error_reply(too_many_connections());
+    if (auto name = application_name(hello))
+      admission_.set_team(std::move(*name));
+    return encode_hello_reply(frontend_.limits().message_bytes, net::now());
+  }
+
+  /// Begins the request of `command`, or returns why it is rejected.
+  std::optional<CommandError> begin_command(const Command& command) {
+    auto parsed = parse_request(command, admission_.classes());
+    if (!parsed)
+      return parsed.error();
+    if (const auto text = admission_.missing_contract())
+      return CommandError{ErrorCode::Unauthorized, *text};
+    const Nanos now = net::now();
+    auto request = admission_.admit(std::move(parsed.value()), earliest_arrival(), now);
+    if (!request)
+      return CommandError{ErrorCode::Unauthorized, proxy::describe(request.error())};
+    request_kind_ = command.kind;
+    if (!begin_request(std::move(request.value()), message_size_))
+      return CommandError{ErrorCode::FailedToParse, frontend::kUnacceptedIdText};
+    return std::nullopt;
+  }
+
+  void send_reply(const std::string& document) {
+    stream_->write({encode_op_msg(document, ++last_sent_id_, message_id_)});
+  }
+
+  void consume_message() { stream_->input().consume(message_size_); }
+
+  /// Replies to a message that began no request.
+  void answer(const std::string& document) {
+    send_reply(document);
+    consume_message();
+  }
+
+  /// Ends the request whose answer was written.
+  void finish_message() {
+    consume_message();
+    finish_request();
+  }
+
+  void end_with_error(ProtocolError error) {
+    if (error == ProtocolError::ReplyForbidden)
+      close_when_written(frontend::CloseReason::ErrorSent);
+    else
+      send_closing_error(describe(error));
+  }
+
+  void send_closing_error(const char* reason) override {
+    send_reply(encode_error_reply({ErrorCode::InvalidBson, reason}));
+    close_when_written(frontend::CloseReason::ErrorSent);
+  }
+
+  frontend::RequestAdmission admission_;
+  CommandRewriter rewriter_;
+  std::uint32_t last_sent_id_ = 0;
+  std::uint32_t message_id_ = 0;  ///< Of the client's message that is being handled.
+  std::size_t message_size_ = 0;  ///< Of the same message.
+  CommandKind request_kind_ = CommandKind::Read;  ///< Of the pending request.
+};
+
+}  // namespace
+
+frontend::Frontend::ConnectionFactory make_connection_factory(proxy::ContractEnforcer& contracts) {
+  return [&contracts](frontend::Frontend& frontend, net::SocketHandle socket) {
+    return std::make_unique<MongoClientConnection>(frontend, std::move(socket), contracts);
+  };
+}
+
+}  // namespace gorsebeam::mongo
--- a/src/mongo/frontend.h
+++ b/src/mongo/client_connection.h
@@ -1,4 +1,4 @@
-/// Serves MongoDB clients: the server's side of the wire protocol, as a router would.
+/// Serves MongoDB clients: the server's side of the wire protocol, as a router (mongos) has it.
 /// Source: MongoDB wire protocol specification.
 #pragma once
 
@@ -9,6 +9,6 @@
 namespace gorsebeam::mongo {
 
 /// `contracts` outlives the frontend.
-frontend::Frontend::ConnectionFactory make_connection(proxy::ContractEnforcer& contracts);
+frontend::Frontend::ConnectionFactory make_connection_factory(proxy::ContractEnforcer& contracts);
 
 }  // namespace gorsebeam::mongo
--- a/src/mongo/command_comment.h
+++ b/src/mongo/command_comment.h
@@ -1,4 +1,4 @@
-/// Reads the terms of a request from a command's comment. Pure.
+/// Reads the terms of a request from the comment of a command. Pure.
 #pragma once
 
 #include "bson.h"
@@ -8,17 +8,16 @@
 
 namespace gorsebeam::mongo {
 
-/// The text of a string or the decimal digits of a number; empty for any other type.
-std::string scalar_text(const Element& element);
-
-/// The comment is a document, or a text "id=...,c=...,k=...,cluster=...".
+/// The terms of a request. The comment is a document with these fields, or a text
+/// "id=...,c=...,k=...,cluster=...". A term that is absent is empty.
 struct CommandComment {
-  std::string id;             ///< "id"
-  std::string service_class;  ///< "c"
-  std::string idempotency;    ///< "k"
-  std::string group;          ///< "cluster"
+  std::string id;               ///< "id"
+  std::string service_class;    ///< "c"
+  std::string idempotency_key;  ///< "k"
+  std::string group;            ///< "cluster"
 };
 
+/// Reads the comment of the command in the document `command`.
 CommandComment read_comment(std::string_view command);
 
 }  // namespace gorsebeam::mongo
--- /dev/null
+++ b/src/mongo/command_rewriter.cpp
@@ -0,0 +1,72 @@
+#include "command_rewriter.h"
+
+#include <algorithm>
+
+namespace gorsebeam::mongo {
+namespace {
+
+constexpr Nanos kMillisecond = 1'000'000;
+constexpr std::size_t kFlagsSize = 4;
+constexpr std::size_t kBodyHeaderSize = 5;  // the section's kind and the document's length field
+
+std::size_t total_size(const proxy::Parts& parts) {
+  std::size_t size = 0;
+  for (const std::string_view part : parts)
+    size += part.size();
+  return size;
+}
+
+bool is_adjacent(std::string_view first, std::string_view second) {
+  return first.data() + first.size() == second.data();
+}
+
+bool is_replaced(std::string_view name, CommandKind kind) {
+  return name == "maxTimeMS" || (kind == CommandKind::Read && name == "$readPreference");
+}
+
+/// The elements of a command that are forwarded unchanged; adjacent ones are joined to one part.
+proxy::Parts unchanged_elements(std::string_view command, CommandKind kind) {
+  proxy::Parts parts;
+  Reader reader(command);
+  while (const std::optional<Element> element = reader.next()) {
+    if (is_replaced(element->name, kind))
+      continue;
+    if (!parts.empty() && is_adjacent(parts.back(), element->encoded))
+      parts.back() = {parts.back().data(), parts.back().size() + element->encoded.size()};
+    else
+      parts.push_back(element->encoded);
+  }
+  return parts;
+}
+
+/// The elements that are added behind the unchanged ones.
+Writer replacement_elements(CommandKind kind, Nanos time_left) {
+  Writer added;
+  added.append_int64("maxTimeMS", std::max<Nanos>(time_left / kMillisecond, 1));
+  if (kind == CommandKind::Read) {
+    const std::string preference = Writer().append_string("mode", "primaryPreferred").finish();
+    added.append_document("$readPreference", preference);
+  }
+  return added;
+}
+
+}  // namespace
+
+proxy::Parts CommandRewriter::rewrite(const OpMsg& message, CommandKind kind, Nanos time_left) {
+  const proxy::Parts unchanged = unchanged_elements(message.body, kind);
+  const Writer added = replacement_elements(kind, time_left);
+  const std::size_t document_size =
+      kMinDocumentSize + total_size(unchanged) + added.elements().size();
+  const std::string flags = encode_u32(0);
+  const std::string body_header = '\0' + encode_u32(static_cast<std::uint32_t>(document_size));
+  written_ = flags + body_header + added.elements() + '\0';
+  const std::string_view written = written_;
+  proxy::Parts parts{written.substr(0, kFlagsSize), message.sections_before,
+                     written.substr(kFlagsSize, kBodyHeaderSize)};
+  parts.insert(parts.end(), unchanged.begin(), unchanged.end());
+  parts.push_back(written.substr(kFlagsSize + kBodyHeaderSize));
+  parts.push_back(message.sections_after);
+  return parts;
+}
+
+}  // namespace gorsebeam::mongo
