--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -6,7 +6,7 @@
 #include "net/log.h"
 #include "net/loop_monitor.h"
 #include "net/signals.h"
-#include "postgres/frontend.h"
+#include "postgres/client_connection.h"
 #include "postgres/upstream_protocol.h"
 
 #include <algorithm>
@@ -69,8 +69,9 @@
     share.pool.connect_timeout = profile.settings.connect_timeout;
   share.pool.keepalive = profile.keepalive;
   const std::uint64_t seed = plan_.config.seed;
-  postgres_ = std::make_unique<ProtocolPath>(profile, seed, postgres::make_upstream_protocol, share,
-                                             postgres::make_connection(contracts_, classifier_));
+  postgres_ =
+      std::make_unique<ProtocolPath>(profile, seed, postgres::make_upstream_protocol, share,
+                                     postgres::make_connection_factory(contracts_, classifier_));
   if (serves_mongo)
     mongo_ = std::make_unique<ProtocolPath>(profile, ~seed, mongo::make_upstream_protocol, share,
                                             mongo::make_connection_factory(contracts_));
--- /dev/null
+++ b/src/postgres/client_connection.cpp
@@ -0,0 +1,223 @@
+#include "client_connection.h"
+
+#include "client_message.h"
+#include "codec.h"
+#include "startup.h"
+#include "statement.h"
+#include "statement_request.h"
+#include "statement_rewriter.h"
+
+#include "frontend/request_admission.h"
+#include "net/timer.h"
+
+#include <algorithm>
+#include <optional>
+#include <utility>
+
+namespace gorsebeam::postgres {
+namespace {
+
+using wire::FramingError;
+
+constexpr Nanos kMillisecond = 1'000'000;
+constexpr std::size_t kMaxStartupSize = 10'000;
+constexpr std::size_t kQueryHeaderSize = 5;                      // type and length
+constexpr std::size_t kQueryFramingSize = kQueryHeaderSize + 1;  // and the zero byte at the end
+constexpr std::string_view kReadyForQuery("Z\0\0\0\5I", 6);
+
+/// Connects a client's stream with the pure modules that parse its messages and encode replies.
+class PostgresClientConnection : public frontend::ClientConnection {
+public:
+  PostgresClientConnection(frontend::Frontend& frontend, net::SocketHandle socket,
+                           proxy::ContractEnforcer& contracts,
+                           const std::shared_ptr<const sql_classifier::SqlClassifier>& classifier)
+      : ClientConnection(frontend, std::move(socket)),
+        admission_(contracts, frontend.broker().settings()), classifier_(classifier) {}
+
+  // The statement stays in the input until its request is answered.
+  proxy::Parts body(Nanos left) override {
+    const std::string_view text = stream_->input().view().substr(kQueryHeaderSize, text_size_);
+    return rewriter_.rewrite(text, deadline_, left);
+  }
+
+  void respond(const proxy::Parts& value) override {
+    proxy::Parts parts = value;
+    parts.emplace_back(kReadyForQuery);
+    answer_request(parts);
+  }
+
+  void reject(Nanos retry_after) override {
+    const std::string wait_ms = retry_after > 0 ? std::to_string(retry_after / kMillisecond) : "";
+    const SqlError error{kTooManyConnections, "refused: try again"};
+    answer_request({encode_error(Severity::Error, error, wait_ms), kReadyForQuery});
+  }
+
+  void fail() override {
+    const SqlError error{kTransactionResolutionUnknown, "failed: the effect is not known"};
+    answer_request({encode_error(Severity::Error, error), kReadyForQuery});
+  }
+
+private:
+  enum class Phase {
+    AwaitingStartup,
+    Serving,
+    SkippingToSync,  ///< After an error in the extended query protocol.
+  };
+
+  void parse() override {
+    if (phase_ == Phase::AwaitingStartup)
+      return parse_startup_message();
+    const wire::Framed<Message> message =
+        read_message(stream_->input().view(), frontend_.limits().message_bytes);
+    if (message)
+      handle_message(message.value());
+    else if (message.error() == FramingError::Malformed)
+      end_with_error({kProtocolViolation, "a message is malformed or too long"});
+  }
+
+  void parse_startup_message() {
+    const wire::Framed<StartupMessage> message =
+        read_startup(stream_->input().view(), kMaxStartupSize);
+    if (message)
+      handle_startup(message.value());
+    else if (message.error() == FramingError::Malformed)
+      end_with_error({kProtocolViolation, "the startup message is malformed"});
+  }
+
+  void handle_startup(const StartupMessage& message) {
+    const Startup startup = parse_startup(message);
+    switch (startup.kind) {
+    case StartupKind::Cancel:
+      return close_when_written(frontend::CloseReason::ClientEnded);
+    case StartupKind::Encryption:
+      stream_->write({"N"});
+      return stream_->input().consume(message.size);
+    case StartupKind::UnsupportedVersion:
+      return end_with_error({kFeatureNotSupported, "only version 3 of the protocol is served"});
+    case StartupKind::Session:
+      if (const std::optional<SqlError> error = begin_session(startup.user))
+        return end_with_error(*error);
+      stream_->write({encode_startup_reply(), kReadyForQuery});
+      return stream_->input().consume(message.size);
+    }
+  }
+
+  /// Begins the session of a client that presents itself as `user`, or returns why it is rejected.
+  std::optional<SqlError> begin_session(std::string_view user) {
+    if (is_over_limit())
+      return SqlError{kTooManyConnections, "too many connections"};
+    if (user.empty())
+      return SqlError{kInvalidAuthorization, "the startup message names no user"};
+    admission_.set_team(std::string(user));
+    if (const auto text = admission_.missing_contract())
+      return SqlError{kInvalidAuthorization, *text};
+    phase_ = Phase::Serving;
+    return std::nullopt;
+  }
+
+  void handle_message(const Message& message) {
+    const MessageKind kind = kind_of(message);
+    const bool ends_skipping = kind == MessageKind::Sync || kind == MessageKind::Terminate;
+    if (phase_ == Phase::SkippingToSync && !ends_skipping)
+      return consume(message);
+    switch (kind) {
+    case MessageKind::Query:
+      return handle_query(message);
+    case MessageKind::Terminate:  // an answer may still be on its way to the client
+      return close_when_written(frontend::CloseReason::ClientEnded);
+    case MessageKind::Sync:
+      phase_ = Phase::Serving;
+      return answer(message, {kReadyForQuery});
+    case MessageKind::ExtendedQuery:
+      // The error is sent once; then all messages are skipped until the client sends Sync.
+      phase_ = Phase::SkippingToSync;
+      return answer(message, {encode_error(Severity::Error, simple_queries_only())});
+    case MessageKind::FunctionCall:
+      return reject_message(message, simple_queries_only());
+    case MessageKind::Unknown:
+      return end_with_error({kProtocolViolation, "unknown message type"});
+    }
+  }
+
+  static SqlError simple_queries_only() {
+    return {kFeatureNotSupported, "only simple queries are served"};
+  }
+
+  void handle_query(const Message& message) {
+    const common::Result<std::string_view, SqlError> text = read_query(message);
+    if (!text)
+      return end_with_error(text.error());
+    if (is_blank(text.value()))
+      return answer(message, {encode_message('I', ""), kReadyForQuery});
+    if (const auto error = begin_statement(text.value(), message.encoded.size()))
+      reject_message(message, *error);
+  }
+
+  /// Begins the request of the statement in `text`, or returns why it is rejected.
+  std::optional<SqlError> begin_statement(std::string_view text, std::size_t message_size) {
+    auto parsed = parse_request(text, admission_.classes(), classifier_.get());
+    if (!parsed)
+      return parsed.error();
+    StatementRequest& statement = parsed.value();
+    const Nanos now = net::now();
+    if (statement.last_write_at)
+      statement.parsed.request.session_token_age =
+          std::max<Nanos>(0, now - *statement.last_write_at);
+    auto request = admission_.admit(std::move(statement.parsed), earliest_arrival(), now);
+    if (!request)
+      return SqlError{kInsufficientPrivilege, proxy::describe(request.error())};
+    text_size_ = text.size();
+    deadline_ = statement.deadline;
+    if (!begin_request(std::move(request.value()), message_size))
+      return SqlError{kDuplicateObject, frontend::kUnacceptedIdText};
+    return std::nullopt;
+  }
+
+  void consume(const Message& message) { stream_->input().consume(message.encoded.size()); }
+
+  /// Replies to a message that began no request.
+  void answer(const Message& message, const proxy::Parts& parts) {
+    stream_->write(parts);
+    consume(message);
+  }
+
+  void reject_message(const Message& message, const SqlError& error) {
+    answer(message, {encode_error(Severity::Error, error), kReadyForQuery});
+  }
+
+  /// Sends the final answer of the pending request.
+  void answer_request(const proxy::Parts& parts) {
+    stream_->write(parts);
+    stream_->input().consume(text_size_ + kQueryFramingSize);
+    finish_request();
+  }
+
+  void end_with_error(const SqlError& error) {
+    stream_->write({encode_error(Severity::Fatal, error)});
+    close_when_written(frontend::CloseReason::ErrorSent);
+  }
+
+  void send_closing_error(const char* reason) override {
+    end_with_error({is_over_limit() ? kTooManyConnections : kQueryCanceled, reason});
+  }
+
+  frontend::RequestAdmission admission_;
+  const std::shared_ptr<const sql_classifier::SqlClassifier>& classifier_;  ///< May change.
+  StatementRewriter rewriter_;
+  Phase phase_ = Phase::AwaitingStartup;
+  std::size_t text_size_ = 0;  ///< Of the pending statement.
+  DeadlineField deadline_;     ///< In the text of the pending statement.
+};
+
+}  // namespace
+
+frontend::Frontend::ConnectionFactory
+make_connection_factory(proxy::ContractEnforcer& contracts,
+                        const std::shared_ptr<const sql_classifier::SqlClassifier>& classifier) {
+  return [&contracts, &classifier](frontend::Frontend& frontend, net::SocketHandle socket) {
+    return std::make_unique<PostgresClientConnection>(frontend, std::move(socket), contracts,
+                                                      classifier);
+  };
+}
+
+}  // namespace gorsebeam::postgres
--- a/src/postgres/frontend.h
+++ b/src/postgres/client_connection.h
@@ -1,4 +1,4 @@
-/// Serves PostgreSQL clients: the frontend's side of the protocol, simple queries only.
+/// Serves PostgreSQL clients: the backend's side of the protocol, simple queries only.
 /// Source: PostgreSQL 15 documentation, chapter "Frontend/Backend Protocol" (version 3.0).
 #pragma once
 
@@ -14,7 +14,7 @@
 /// `contracts` and `classifier` outlive the frontend. While `classifier` is not null, statements
 /// are parsed: one that is not known to read only is forwarded under a writing class alone.
 frontend::Frontend::ConnectionFactory
-make_connection(proxy::ContractEnforcer& contracts,
-                const std::shared_ptr<const sql_classifier::SqlClassifier>& classifier);
+make_connection_factory(proxy::ContractEnforcer& contracts,
+                        const std::shared_ptr<const sql_classifier::SqlClassifier>& classifier);
 
 }  // namespace gorsebeam::postgres
--- a/src/postgres/statement.cpp
+++ b/src/postgres/statement.cpp
@@ -25,36 +25,37 @@
   return text;
 }
 
-void set_field(std::string_view name, std::string_view value, Statement& statement) {
+void set_term(Statement& statement, std::string_view name, std::string_view value) {
   if (name == "id")
     statement.id = value;
-  if (name == "c")
+  else if (name == "c")
     statement.service_class = value;
-  if (name == "d")
+  else if (name == "d")
     statement.deadline = value;
-  if (name == "k")
-    statement.idempotency = value;
-  if (name == "cluster")
+  else if (name == "k")
+    statement.idempotency_key = value;
+  else if (name == "cluster")
     statement.group = value;
-  if (name == "after")
-    statement.after = value;
-  if (name == "r")
+  else if (name == "after")
+    statement.last_write = value;
+  else if (name == "r")
     statement.retry = value;
 }
 
-void read_comment(std::string_view text, Statement& statement) {
-  while (!text.empty()) {
-    const std::size_t comma = text.find(',');
-    const std::string_view pair = trim(text.substr(0, comma));
-    text = comma == std::string_view::npos ? std::string_view() : text.substr(comma + 1);
+/// Sets the terms that the text of a comment holds; a later one replaces an earlier one.
+void read_terms(std::string_view comment, Statement& statement) {
+  while (!comment.empty()) {
+    const std::size_t comma = comment.find(',');
+    const std::string_view pair = trim(comment.substr(0, comma));
+    comment = comma == std::string_view::npos ? std::string_view() : comment.substr(comma + 1);
     const std::size_t equals = pair.find('=');
     if (equals != std::string_view::npos)
-      set_field(pair.substr(0, equals), pair.substr(equals + 1), statement);
+      set_term(statement, pair.substr(0, equals), pair.substr(equals + 1));
   }
 }
 
-/// The position of the quote that ends a literal whose content begins at `begin`. A quote within
-/// the literal is doubled.
+/// The position of the quote that ends a literal whose content begins at `begin`; npos if it does
+/// not end. A quote within the literal is doubled.
 std::size_t find_closing_quote(std::string_view text, std::size_t begin) {
   std::size_t quote = text.find('\'', begin);
   while (quote != std::string_view::npos && text.compare(quote, 2, "''") == 0)
@@ -62,63 +63,66 @@
   return quote;
 }
 
-/// Walks over a statement's text once.
-class StatementReader {
+bool is_select(std::string_view word) {
+  constexpr std::string_view kSelect = "select";
+  return word.size() == kSelect.size() &&
+         g_ascii_strncasecmp(word.data(), kSelect.data(), kSelect.size()) == 0;
+}
+
+/// Scans the text of a statement once.
+class StatementScanner {
 public:
-  explicit StatementReader(std::string_view text) : text_(text) {}
+  explicit StatementScanner(std::string_view text) : text_(text) {}
 
-  Statement read() {
+  Statement scan() {
     while (position_ < text_.size())
-      if (!read_next())
+      if (!scan_next())
         break;
-    constexpr std::string_view kSelect = "select";
-    statement_.is_select =
-        first_word_.size() == kSelect.size() &&
-        g_ascii_strncasecmp(first_word_.data(), kSelect.data(), kSelect.size()) == 0;
+    statement_.is_select = is_select(first_word_);
     return statement_;
   }
 
 private:
-  /// Returns false where a comment or a literal does not end.
-  bool read_next() {
+  /// Returns false if a comment or a literal does not end.
+  bool scan_next() {
     if (text_.compare(position_, 2, "/*") == 0)
-      return read_comment_block();
+      return scan_comment();
     const char c = text_[position_];
     if (!is_space(c) && c != ';' && has_ended_)
-      statement_.has_several = true;
+      statement_.has_multiple = true;
     if (c == '\'')
-      return read_literal();
+      return scan_literal();
     if (c == ';')
       has_ended_ = true;
     if (first_word_.empty() && is_letter(c))
-      read_word();
+      scan_first_word();
     else
       ++position_;
     return true;
   }
 
-  bool read_comment_block() {
+  bool scan_comment() {
     const std::size_t begin = position_ + 2;
     const std::size_t end = text_.find("*/", begin);
     if (end == std::string_view::npos)
       return false;
-    read_comment(text_.substr(begin, end - begin), statement_);
+    read_terms(text_.substr(begin, end - begin), statement_);
     position_ = end + 2;
     return true;
   }
 
-  bool read_literal() {
+  bool scan_literal() {
     const std::size_t begin = position_ + 1;
     const std::size_t end = find_closing_quote(text_, begin);
     if (end == std::string_view::npos)
       return false;
-    if (statement_.key.data() == nullptr)
-      statement_.key = text_.substr(begin, end - begin);
+    if (statement_.first_literal.data() == nullptr)
+      statement_.first_literal = text_.substr(begin, end - begin);
     position_ = end + 1;
     return true;
   }
 
-  void read_word() {
+  void scan_first_word() {
     const std::size_t begin = position_;
     while (position_ < text_.size() && is_letter(text_[position_]))
       ++position_;
@@ -128,14 +132,14 @@
   std::string_view text_;
   std::size_t position_ = 0;
   std::string_view first_word_;
-  bool has_ended_ = false;  ///< A semicolon was read.
+  bool has_ended_ = false;  ///< A semicolon was scanned.
   Statement statement_;
 };
 
 }  // namespace
 
-Statement read_statement(std::string_view text) {
-  return StatementReader(text).read();
+Statement parse_statement(std::string_view text) {
+  return StatementScanner(text).scan();
 }
 
 bool is_blank(std::string_view text) {
--- a/src/postgres/statement.h
+++ b/src/postgres/statement.h
@@ -1,4 +1,4 @@
-/// What the gateway reads of a statement's text without parsing SQL. Pure.
+/// Reads from the text of a statement what the gateway needs of it, without parsing SQL. Pure.
 #pragma once
 
 #include <cstdint>
@@ -7,24 +7,25 @@
 
 namespace gorsebeam::postgres {
 
-/// The views lead into the statement's text. The fields from `id` on come from its comment, which
-/// holds "name=value" pairs with commas between them.
+/// The views borrow from the text of the statement. The fields from `id` on are the terms of the
+/// request; they come from comments in the statement, which hold "name=value" pairs with commas
+/// between them. A term that is absent is empty.
 struct Statement {
-  bool is_select = false;          ///< Every other statement counts as a write.
-  bool has_several = false;        ///< More than one statement.
-  std::string_view key;            ///< The first quoted literal.
-  std::string_view id;             ///< "id"
-  std::string_view service_class;  ///< "c"
-  std::string_view deadline;       ///< "d", in milliseconds
-  std::string_view idempotency;    ///< "k"
-  std::string_view group;          ///< "cluster"
-  std::string_view after;          ///< "after", Unix time in milliseconds
-  std::string_view retry;          ///< "r"
+  bool is_select = false;            ///< Any other statement counts as a write.
+  bool has_multiple = false;         ///< The text holds more than one statement.
+  std::string_view first_literal;    ///< The content of the first quoted literal.
+  std::string_view id;               ///< "id"
+  std::string_view service_class;    ///< "c"
+  std::string_view deadline;         ///< "d", in milliseconds from the arrival
+  std::string_view idempotency_key;  ///< "k"
+  std::string_view group;            ///< "cluster"
+  std::string_view last_write;       ///< "after": the session's last commit, in Unix milliseconds
+  std::string_view retry;            ///< "r": "1" for a retry by the client
 };
 
-Statement read_statement(std::string_view text);
+Statement parse_statement(std::string_view text);
 
-/// Whether a query holds nothing but blanks and semicolons.
+/// Whether a query holds only white space and semicolons.
 bool is_blank(std::string_view text);
 
 /// A decimal number of at most `max`; nothing for any other text.
--- /dev/null
+++ b/src/postgres/statement_request.cpp
@@ -0,0 +1,107 @@
+#include "statement_request.h"
+
+#include "statement.h"
+
+#include "frontend/session_hash.h"
+
+#include <glib.h>
+
+#include <algorithm>
+#include <string>
+
+namespace gorsebeam::postgres {
+namespace {
+
+using sql_classifier::Effect;
+using sql_classifier::SqlClassifier;
+
+constexpr Nanos kMillisecond = 1'000'000;
+constexpr std::uint64_t kMaxDeadlineMs = 3'600'000;
+constexpr std::uint64_t kMaxLastWriteMs = 9'000'000'000'000ULL;
+constexpr std::uint64_t kMaxGroup = 0xffffffffU;
+constexpr std::size_t kMaxSessionDigits = 16;
+
+/// A key of up to 16 hexadecimal digits is the number of the session; any other is hashed.
+std::uint64_t session_number(std::string_view key) {
+  std::uint64_t number = 0;
+  bool is_hexadecimal = !key.empty() && key.size() <= kMaxSessionDigits;
+  for (const char c : key) {
+    is_hexadecimal = is_hexadecimal && g_ascii_isxdigit(c) != 0;
+    number = number << 4 | static_cast<std::uint64_t>(std::max(0, g_ascii_xdigit_value(c)));
+  }
+  return is_hexadecimal ? number : frontend::hash_session_name(key);
+}
+
+sql_classifier::Verdict classify(const Statement& statement, std::string_view text,
+                                 const SqlClassifier* classifier) {
+  if (classifier)
+    return classifier->classify(text);
+  return {statement.is_select ? Effect::Read : Effect::Write, ""};
+}
+
+/// Checks that a statement fits its request class, which the client names: a write under a class
+/// that reads would go to a replica, and would be retried as if it changed nothing.
+std::optional<SqlError> check_class(const Statement& statement,
+                                    const sql_classifier::Verdict& verdict,
+                                    const SqlClassifier* classifier, const RequestClass& settings) {
+  const bool is_write = frontend::is_write(settings);
+  if (classifier && verdict.effect != Effect::Read && !is_write)
+    return SqlError{kReadOnlyTransaction,
+                    "the statement may write, and its class reads: " + verdict.reason};
+  if (!classifier && statement.is_select == is_write)
+    return SqlError{kSyntaxError, "the statement does not fit its class"};
+  if (settings.idempotency == Idempotency::IdempotencyKey && statement.idempotency_key.empty())
+    return SqlError{kSyntaxError, "the class needs an idempotency key"};
+  return std::nullopt;
+}
+
+DeadlineField deadline_field(const Statement& statement, std::string_view text) {
+  const auto offset = static_cast<std::size_t>(statement.deadline.data() - text.data());
+  return {offset, statement.deadline.size()};
+}
+
+std::optional<Nanos> last_write_at(const Statement& statement) {
+  const auto unix_ms = parse_whole_number(statement.last_write, kMaxLastWriteMs);
+  if (!unix_ms)
+    return std::nullopt;
+  return static_cast<Nanos>(*unix_ms) * kMillisecond;
+}
+
+}  // namespace
+
+common::Result<StatementRequest, SqlError> parse_request(std::string_view text,
+                                                         const frontend::RequestClasses& classes,
+                                                         const SqlClassifier* classifier) {
+  const Statement statement = parse_statement(text);
+  if (statement.has_multiple)
+    return SqlError{kSyntaxError, "a query holds one statement"};
+  if (statement.id.empty())
+    return SqlError{kSyntaxError, "the statement's comment holds no id"};
+  const auto request_class = classes.find(std::string(statement.service_class));
+  if (!request_class)
+    return SqlError{kSyntaxError, "the statement's comment names no known class"};
+  const auto deadline_ms = parse_whole_number(statement.deadline, kMaxDeadlineMs);
+  if (!deadline_ms || *deadline_ms == 0)
+    return SqlError{kSyntaxError, "the statement's comment holds no time to wait"};
+  const auto group = parse_whole_number(statement.group, kMaxGroup);
+  if (!group)
+    return SqlError{kSyntaxError, "the statement's comment names no cluster"};
+  const RequestClass& settings = request_class->settings;
+  const sql_classifier::Verdict verdict = classify(statement, text, classifier);
+  if (const auto error = check_class(statement, verdict, classifier, settings))
+    return *error;
+  StatementRequest request;
+  request.parsed.request.id = std::string(statement.id);
+  request.parsed.request.class_index = request_class->index;
+  request.parsed.request.group = static_cast<GroupId>(*group);
+  request.parsed.request.is_client_retry = statement.retry == "1";
+  if (frontend::belongs_to_session(settings))
+    request.parsed.request.session = session_number(statement.first_literal);
+  request.parsed.time_limit = static_cast<Nanos>(*deadline_ms) * kMillisecond;
+  request.parsed.is_single_attempt = classifier && verdict.effect == Effect::Unknown;
+  request.deadline = deadline_field(statement, text);
+  request.last_write_at = last_write_at(statement);
+  return request;
+}
+
+}  // namespace gorsebeam::postgres
--- /dev/null
+++ b/src/postgres/statement_rewriter.h
@@ -0,0 +1,23 @@
+/// Rewrites a client's statement for an endpoint. Pure.
+#pragma once
+
+#include "statement_request.h"
+
+#include "proxy/interfaces.h"
+
+#include <string>
+#include <string_view>
+
+namespace gorsebeam::postgres {
+
+class StatementRewriter {
+public:
+  /// The statement in `text` for an endpoint that is to finish within `time_left`: only its
+  /// deadline is replaced. The parts borrow from `text` and, until the next call, from this object.
+  proxy::Parts rewrite(std::string_view text, const DeadlineField& deadline, Nanos time_left);
+
+private:
+  std::string remaining_ms_;
+};
+
+}  // namespace gorsebeam::postgres
--- /dev/null
+++ b/tests/postgres_statement_request_test.cpp
@@ -0,0 +1,113 @@
+// Statements of PostgreSQL clients: the request that they make, and how they are forwarded.
+#include "postgres/statement_request.h"
+#include "postgres/statement_rewriter.h"
+
+#include "frontend/session_hash.h"
+
+#include <gtest/gtest.h>
+
+namespace gorsebeam::postgres {
+namespace {
+
+constexpr Nanos kMillisecond = 1'000'000;
+
+class PostgresStatementRequest : public testing::Test {
+protected:
+  static std::vector<RequestClass> make_classes() {
+    std::vector<RequestClass> classes(3);
+    classes[0].consistency = ConsistencyLevel::Eventual;
+    classes[1].consistency = ConsistencyLevel::Session;
+    classes[2].consistency = ConsistencyLevel::Write;
+    classes[2].idempotency = Idempotency::IdempotencyKey;
+    return classes;
+  }
+
+  [[nodiscard]] common::Result<StatementRequest, SqlError>
+  parse(const std::string& text, const sql_classifier::SqlClassifier* classifier = nullptr) const {
+    return parse_request(text, {indexes_, classes_}, classifier);
+  }
+
+  const std::vector<RequestClass> classes_ = make_classes();
+  const std::map<std::string, std::size_t> indexes_{{"any", 0}, {"session", 1}, {"save", 2}};
+  const sql_classifier::SqlClassifier classifier_;
+};
+
+TEST_F(PostgresStatementRequest, ReadsTermsOfRequest) {
+  const auto parsed = parse("SELECT data FROM facts WHERE code = 'beef' "
+                            "/* id=r1, c=session,d=1500,cluster=7,after=1700000000123,r=1 */");
+  ASSERT_TRUE(parsed);
+  const frontend::ParsedRequest& request = parsed.value().parsed;
+  EXPECT_EQ(request.request.id, "r1");
+  EXPECT_EQ(request.request.class_index, 1U);
+  EXPECT_EQ(request.request.group, 7U);
+  EXPECT_EQ(request.request.session, 0xbeefU);
+  EXPECT_TRUE(request.request.is_client_retry);
+  EXPECT_EQ(request.time_limit, 1500 * kMillisecond);
+  EXPECT_FALSE(request.is_single_attempt);
+  EXPECT_EQ(parsed.value().last_write_at, 1700000000123 * kMillisecond);
+}
+
+TEST_F(PostgresStatementRequest, HashesSessionKeysThatAreNoNumbers) {
+  for (const std::string key : {"not hexadecimal", "12345678901234567", ""}) {
+    const auto parsed = parse("SELECT '" + key + "' /* id=a,c=session,d=5,cluster=0 */");
+    ASSERT_TRUE(parsed) << key;
+    EXPECT_EQ(parsed.value().parsed.request.session, frontend::hash_session_name(key)) << key;
+  }
+  EXPECT_FALSE(
+      parse("SELECT 'beef' /* id=a,c=any,d=5,cluster=0 */").value().parsed.request.session);
+}
+
+TEST_F(PostgresStatementRequest, RejectsStatementsThatMakeNoRequest) {
+  const struct {
+    std::string text;
+    std::string sqlstate;
+    std::string error;
+  } cases[] = {
+      {"SELECT 1; SELECT 2 /* id=a,c=any,d=5,cluster=0 */", "42601", "a query holds one statement"},
+      {"SELECT 1", "42601", "the statement's comment holds no id"},
+      {"SELECT 1 /* id=a,c=zz */", "42601", "the statement's comment names no known class"},
+      {"SELECT 1 /* id=a,c=any,d=0,cluster=0 */", "42601",
+       "the statement's comment holds no time to wait"},
+      {"SELECT 1 /* id=a,c=any,d=3600001,cluster=0 */", "42601",
+       "the statement's comment holds no time to wait"},
+      {"SELECT 1 /* id=a,c=any,d=5,cluster=4294967296 */", "42601",
+       "the statement's comment names no cluster"},
+      {"DELETE FROM t /* id=a,c=any,d=5,cluster=0 */", "42601",
+       "the statement does not fit its class"},
+      {"SELECT 1 /* id=a,c=save,d=5,cluster=0,k=1 */", "42601",
+       "the statement does not fit its class"},
+      {"DELETE FROM t /* id=a,c=save,d=5,cluster=0 */", "42601",
+       "the class needs an idempotency key"},
+  };
+
+  for (const auto& each : cases) {
+    const auto parsed = parse(each.text);
+    ASSERT_FALSE(parsed) << each.text;
+    EXPECT_EQ(parsed.error().sqlstate, each.sqlstate) << each.text;
+    EXPECT_EQ(parsed.error().text, each.error) << each.text;
+  }
+}
+
+TEST_F(PostgresStatementRequest, ClassifiesStatementsWhileThereIsAClassifier) {
+  const auto write = parse("SELECT nextval('s') /* id=a,c=any,d=5,cluster=0 */", &classifier_);
+  ASSERT_FALSE(write);
+  EXPECT_STREQ(write.error().sqlstate, kReadOnlyTransaction);
+  EXPECT_EQ(write.error().text, "the statement may write, and its class reads: function nextval is "
+                                "not known to read only");
+  const std::string terms = " /* id=a,c=save,d=5,cluster=0,k=1 */";
+  EXPECT_TRUE(parse("SELECT mystery()" + terms, &classifier_).value().parsed.is_single_attempt);
+  EXPECT_FALSE(parse("DELETE FROM t" + terms, &classifier_).value().parsed.is_single_attempt);
+}
+
+TEST_F(PostgresStatementRequest, IsForwardedWithItsDeadlineReplaced) {
+  const std::string text = "SELECT 1 /* id=a,c=any,d=1500,cluster=0 */";
+  const DeadlineField deadline = parse(text).value().deadline;
+  StatementRewriter rewriter;
+  EXPECT_EQ(rewriter.rewrite(text, deadline, 123 * kMillisecond + 456),
+            (proxy::Parts{"SELECT 1 /* id=a,c=any,d=", "123", ",cluster=0 */"}));
+  EXPECT_EQ(rewriter.rewrite(text, deadline, 5),
+            (proxy::Parts{"SELECT 1 /* id=a,c=any,d=", "1", ",cluster=0 */"}));
+}
+
+}  // namespace
+}  // namespace gorsebeam::postgres
