--- a/src/postgres/statement_request.cpp
+++ b/src/postgres/statement_request.cpp
@@ -12,6 +12,7 @@
 namespace gorsebeam::postgres {
 namespace {
 
+using sql_classifier::Classification;
 using sql_classifier::Effect;
 using sql_classifier::SqlClassifier;
 
@@ -32,8 +33,8 @@
   return is_hexadecimal ? number : frontend::hash_session_name(key);
 }
 
-sql_classifier::Verdict classify(const Statement& statement, std::string_view text,
-                                 const SqlClassifier* classifier) {
+Classification classify(const Statement& statement, std::string_view text,
+                        const SqlClassifier* classifier) {
   if (classifier)
     return classifier->classify(text);
   return {statement.is_select ? Effect::Read : Effect::Write, ""};
@@ -42,12 +43,12 @@
 /// Checks that a statement fits its request class, which the client names: a write under a class
 /// that reads would go to a replica, and would be retried as if it changed nothing.
 std::optional<SqlError> check_class(const Statement& statement,
-                                    const sql_classifier::Verdict& verdict,
+                                    const Classification& classification,
                                     const SqlClassifier* classifier, const RequestClass& settings) {
   const bool is_write = frontend::is_write(settings);
-  if (classifier && verdict.effect != Effect::Read && !is_write)
+  if (classifier && classification.effect != Effect::Read && !is_write)
     return SqlError{kReadOnlyTransaction,
-                    "the statement may write, and its class reads: " + verdict.reason};
+                    "the statement may write, and its class reads: " + classification.reason};
   if (!classifier && statement.is_select == is_write)
     return SqlError{kSyntaxError, "the statement does not fit its class"};
   if (settings.idempotency == Idempotency::IdempotencyKey && statement.idempotency_key.empty())
@@ -87,8 +88,8 @@
   if (!group)
     return SqlError{kSyntaxError, "the statement's comment names no cluster"};
   const RequestClass& settings = request_class->settings;
-  const sql_classifier::Verdict verdict = classify(statement, text, classifier);
-  if (const auto error = check_class(statement, verdict, classifier, settings))
+  const Classification classification = classify(statement, text, classifier);
+  if (const auto error = check_class(statement, classification, classifier, settings))
     return *error;
   StatementRequest request;
   request.parsed.request.id = std::string(statement.id);
@@ -98,7 +99,7 @@
   if (frontend::belongs_to_session(settings))
     request.parsed.request.session = session_number(statement.first_literal);
   request.parsed.time_limit = static_cast<Nanos>(*deadline_ms) * kMillisecond;
-  request.parsed.is_single_attempt = classifier && verdict.effect == Effect::Unknown;
+  request.parsed.is_single_attempt = classifier && classification.effect == Effect::Unknown;
   request.deadline = deadline_field(statement, text);
   request.last_write_at = last_write_at(statement);
   return request;
--- a/src/sql_classifier/known_names.cpp
+++ b/src/sql_classifier/known_names.cpp
@@ -2,8 +2,8 @@
 
 namespace gorsebeam::sql_classifier {
 
-// Sets of string views of literals: their construction allocates, and the start of the process ends
-// where that fails.
+// The sets hold views of literals. Their construction allocates; if that fails, the process ends at
+// its start.
 const NameSet kReadOnlyNodes = {"A_ArrayExpr",      "A_Const",        "A_Expr",
                                 "A_Indices",        "A_Indirection",  "A_Star",
                                 "BitString",        "BoolExpr",       "Boolean",
--- a/src/sql_classifier/known_names.h
+++ b/src/sql_classifier/known_names.h
@@ -1,4 +1,4 @@
-/// The names by which the classifier knows what a statement does.
+/// The names from which the classifier infers the effect of a statement.
 /// Source: PostgreSQL 15 documentation, chapters "Functions and Operators" and "Data Types"; node
 /// names of libpg_query's JSON output.
 #pragma once
@@ -10,10 +10,10 @@
 
 using NameSet = std::set<std::string_view>;
 
-/// Nodes of the syntax tree that only read; their children are visited.
+/// Nodes of the syntax tree that only read if their children do.
 extern const NameSet kReadOnlyNodes;
 
-/// Statements that write, or that leave something behind in the session or the cluster.
+/// Statements that write, or that change the state of the session or the server.
 extern const NameSet kWritingStatements;
 
 /// Built-in functions that are immutable or stable and have no effect outside the query.
--- a/src/sql_classifier/sql_classifier.cpp
+++ b/src/sql_classifier/sql_classifier.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using Json = rapidjson::Value;
-using OwnFunctions = std::set<std::string>;
+using FunctionSet = std::set<std::string>;
 
 /// Owns the result of a parse.
 class ParseResult {
@@ -25,7 +25,7 @@
 
   ~ParseResult() { pg_query_free_parse_result(result_); }
 
-  /// Null where the statement could be parsed.
+  /// Null if the statement was parsed.
   [[nodiscard]] const char* error() const {
     return result_.error ? result_.error->message : nullptr;
   }
@@ -59,18 +59,51 @@
   return joined;
 }
 
-/// A bare name, or one in pg_catalog.
+/// Whether a name has no schema or the schema pg_catalog, as the built-in names have.
 bool can_be_built_in(const std::vector<std::string>& parts) {
   return parts.size() == 1 || (parts.size() == 2 && parts[0] == "pg_catalog");
 }
 
-/// Visits a syntax tree and keeps the worst effect found, with the first reason for it.
+/// The names of one kind that only read.
+struct KnownNames {
+  const char* kind;  ///< Begins the reason why a name is not accepted.
+  const NameSet& built_in;
+  const FunctionSet* additional = nullptr;  ///< Null: none.
+};
+
+bool is_known(const std::vector<std::string>& name, const KnownNames& known) {
+  if (can_be_built_in(name) && known.built_in.count(name.back()) != 0)
+    return true;
+  return known.additional && known.additional->count(join_with_dots(name)) != 0;
+}
+
+/// The array in `field` of `node`; null if there is none.
+const Json* find_array(const Json& node, const char* field) {
+  if (!node.IsObject())
+    return nullptr;
+  const auto found = node.FindMember(field);
+  return found != node.MemberEnd() && found->value.IsArray() ? &found->value : nullptr;
+}
+
+int severity(Effect effect) {
+  switch (effect) {
+  case Effect::Read:
+    return 0;
+  case Effect::Unknown:
+    return 1;
+  case Effect::Write:
+    return 2;
+  }
+  return 2;
+}
+
+/// Visits a syntax tree and keeps the most severe effect found, with the first reason for it.
 class TreeVisitor {
 public:
-  explicit TreeVisitor(const OwnFunctions& own_functions) : own_functions_(own_functions) {}
+  explicit TreeVisitor(const FunctionSet& read_functions) : read_functions_(read_functions) {}
 
   void visit(const Json& value, int depth) {
-    if (verdict_.effect == Effect::Write)
+    if (classification_.effect == Effect::Write)
       return;
     if (depth > kMaxTreeDepth)
       return record(Effect::Unknown, "it is nested too deep");
@@ -88,15 +121,12 @@
     }
   }
 
-  [[nodiscard]] const Verdict& verdict() const { return verdict_; }
+  [[nodiscard]] const Classification& classification() const { return classification_; }
 
 private:
   void record(Effect effect, std::string reason) {
-    const bool is_same_or_milder =
-        verdict_.effect == Effect::Write ||
-        (verdict_.effect == Effect::Unknown && effect == Effect::Unknown);
-    if (!is_same_or_milder)
-      verdict_ = {effect, std::move(reason)};
+    if (severity(effect) > severity(classification_.effect))
+      classification_ = {effect, std::move(reason)};
   }
 
   void check_member(std::string_view name, const Json& value) {
@@ -128,46 +158,38 @@
   }
 
   void check_function(const Json& node) {
-    check_name(node, "funcname", kReadOnlyFunctions, own_functions_, "function ");
+    check_name(node, "funcname", {"function ", kReadOnlyFunctions, &read_functions_});
   }
 
   void check_operator(const Json& node, const char* field) {
-    check_name(node, field, kReadOnlyOperators, {}, "operator ");
+    check_name(node, field, {"operator ", kReadOnlyOperators});
   }
 
-  void check_type(const Json& node) { check_name(node, "names", kReadOnlyTypes, {}, "type "); }
+  void check_type(const Json& node) { check_name(node, "names", {"type ", kReadOnlyTypes}); }
 
   /// Looks up the qualified name in `field` of `node`; a node without that field is accepted.
-  /// `kind` begins the reason.
-  void check_name(const Json& node, const char* field, const NameSet& built_in,
-                  const OwnFunctions& own, const char* kind) {
-    if (!node.IsObject())
+  void check_name(const Json& node, const char* field, const KnownNames& known) {
+    const Json* parts = find_array(node, field);
+    if (!parts)
       return;
-    const auto found = node.FindMember(field);
-    if (found == node.MemberEnd() || !found->value.IsArray())
-      return;
-    std::vector<std::string> parts;
-    for (const Json& part : found->value.GetArray()) {
+    std::vector<std::string> name;
+    for (const Json& part : parts->GetArray()) {
       std::optional<std::string> text = string_node_text(part);
       if (!text)
-        return record(Effect::Unknown, std::string(kind) + "of no plain name");
-      parts.push_back(std::move(*text));
+        return record(Effect::Unknown, std::string(known.kind) + "of no plain name");
+      name.push_back(std::move(*text));
     }
-    const std::string name = join_with_dots(parts);
-    if (can_be_built_in(parts) && built_in.count(parts.back()) != 0)
-      return;
-    if (own.count(name) != 0)
-      return;
-    record(Effect::Unknown, kind + name + " is not known to read only");
+    if (!is_known(name, known))
+      record(Effect::Unknown, known.kind + join_with_dots(name) + " is not known to read only");
   }
 
-  const OwnFunctions& own_functions_;
-  Verdict verdict_{Effect::Read, ""};
+  const FunctionSet& read_functions_;
+  Classification classification_{Effect::Read, ""};
 };
 
 }  // namespace
 
-Verdict SqlClassifier::classify(std::string_view statement) const {
+Classification SqlClassifier::classify(std::string_view statement) const {
   if (statement.size() > kMaxStatementBytes)
     return {Effect::Unknown, "it is longer than 64 KiB"};
   if (statement.find('\0') != std::string_view::npos)
@@ -184,7 +206,7 @@
     return {Effect::Unknown, "it holds no statement"};
   TreeVisitor visitor(read_functions_);
   visitor.visit(tree["stmts"], 0);
-  return visitor.verdict();
+  return visitor.classification();
 }
 
 }  // namespace gorsebeam::sql_classifier
