--- a/src/frontend/parsed_request.h
+++ b/src/frontend/parsed_request.h
@@ -40,7 +40,7 @@
 struct ParsedRequest {
   Request request;       ///< Without its deadline and the limits of a contract.
   Nanos time_limit = 0;  ///< How long the client waits from the arrival of the request.
-  /// It is attempted once, whatever the contract permits, as its effect is not known.
+  /// Its effect is not known, so that it gets one attempt even if the contract permits more.
   bool is_single_attempt = false;
 };
 
--- a/src/mongo/bson.h
+++ b/src/mongo/bson.h
@@ -68,7 +68,7 @@
   /// else is malformed and has no elements.
   explicit Reader(std::string_view document);
 
-  /// The next element; nothing at the end of the document and where it is malformed.
+  /// The next element; nothing at the end of the document and if the next element is malformed.
   std::optional<Element> next();
 
   /// Whether the document, as far as it was read, is malformed.
--- a/src/mongo/client_connection.cpp
+++ b/src/mongo/client_connection.cpp
@@ -8,6 +8,7 @@
 
 #include "frontend/request_admission.h"
 #include "net/timer.h"
+#include "wire/parts.h"
 
 #include <optional>
 #include <utility>
@@ -29,7 +30,7 @@
       : ClientConnection(frontend, std::move(socket)),
         admission_(contracts, frontend.broker().settings()) {}
 
-  // The message stays in the input until its request is answered.
+  // The message stays in the input until its request is complete.
   proxy::Parts body(Nanos left) override {
     const wire::Framed<Message> message = read_pending_message();
     const OpMsg op_msg = message ? read_op_msg(message.value().payload).value_or(OpMsg{}) : OpMsg{};
@@ -38,25 +39,23 @@
 
   void respond(const proxy::Parts& value) override {
     const std::string flags = encode_u32(0);
-    std::size_t payload_size = flags.size();
-    for (const std::string_view part : value)
-      payload_size += part.size();
-    const std::string head =
-        encode_header(payload_size, ++last_sent_id_, message_id_, Opcode::Msg) + flags;
-    proxy::Parts parts{head};
+    const std::size_t payload_size = flags.size() + wire::total_size(value);
+    const std::string header =
+        encode_header(payload_size, ++last_sent_id_, message_id_, Opcode::Msg);
+    proxy::Parts parts{header, flags};
     parts.insert(parts.end(), value.begin(), value.end());
     stream_->write(parts);
-    finish_message();
+    complete_request();
   }
 
   void reject(Nanos retry_after) override {
     send_reply(encode_rejection_reply(retry_after));
-    finish_message();
+    complete_request();
   }
 
   void fail() override {
     send_reply(encode_error_reply({ErrorCode::NetworkTimeout, "failed: the effect is not known"}));
-    finish_message();
+    complete_request();
   }
 
 private:
@@ -87,11 +86,11 @@
   // Drivers send their first hello as OP_QUERY, and change to OP_MSG when its reply says that
   // OP_MSG is served.
   void handle_query(const Command& command) {
-    const std::string reply = command.kind == CommandKind::Hello
-                                  ? answer_hello(command.document)
-                                  : encode_error_reply({ErrorCode::UnsupportedOpQueryCommand,
-                                                        "only a greeting may be an OP_QUERY"});
-    stream_->write({encode_op_reply(reply, ++last_sent_id_, message_id_)});
+    const std::string document = command.kind == CommandKind::Hello
+                                     ? hello_reply(command.document)
+                                     : encode_error_reply({ErrorCode::UnsupportedOpQueryCommand,
+                                                           "only a greeting may be an OP_QUERY"});
+    stream_->write({encode_op_reply(document, ++last_sent_id_, message_id_)});
     consume_message();
     if (is_over_limit())
       close_when_written(frontend::CloseReason::ErrorSent);
@@ -99,19 +98,19 @@
 
   void handle_command(const Command& command) {
     if (command.kind == CommandKind::Empty)
-      return answer(encode_error_reply({ErrorCode::FailedToParse, "the command is empty"}));
+      return reply(encode_error_reply({ErrorCode::FailedToParse, "the command is empty"}));
     if (is_over_limit())
       return reject_over_limit(command);
     switch (command.kind) {
     case CommandKind::Hello:
-      return answer(answer_hello(command.document));
+      return reply(hello_reply(command.document));
     case CommandKind::BuildInfo:
-      return answer(encode_build_info_reply());
+      return reply(encode_build_info_reply());
     case CommandKind::Acknowledged:
-      return answer(encode_ok_reply());
+      return reply(encode_ok_reply());
     default:
       if (const std::optional<CommandError> error = begin_command(command))
-        answer(encode_error_reply(*error));
+        reply(encode_error_reply(*error));
     }
   }
 
@@ -122,7 +121,7 @@
     close_when_written(frontend::CloseReason::ErrorSent);
   }
 
-  std::string answer_hello(std::string_view hello) {
+  std::string hello_reply(std::string_view hello) {
     if (is_over_limit())
       return encode_error_reply(too_many_connections());
     if (auto name = application_name(hello))
@@ -154,13 +153,13 @@
   void consume_message() { stream_->input().consume(message_size_); }
 
   /// Replies to a message that began no request.
-  void answer(const std::string& document) {
+  void reply(const std::string& document) {
     send_reply(document);
     consume_message();
   }
 
-  /// Ends the request whose answer was written.
-  void finish_message() {
+  /// Ends the pending request, whose response was written.
+  void complete_request() {
     consume_message();
     finish_request();
   }
--- a/src/mongo/command_parser.h
+++ b/src/mongo/command_parser.h
@@ -46,8 +46,8 @@
 /// Reads the command that a message carries.
 common::Result<Command, ProtocolError> parse_command(const Message& message);
 
-/// Reads the request that `command` makes: a command of any kind that the gateway neither answers
-/// by itself nor finds empty.
+/// Reads the request that a `Read` or `Write` command makes. A command of another kind is rejected
+/// as unsupported or unknown.
 common::Result<frontend::ParsedRequest, CommandError>
 parse_request(const Command& command, const frontend::RequestClasses& classes);
 
--- a/src/mongo/command_rewriter.cpp
+++ b/src/mongo/command_rewriter.cpp
@@ -1,5 +1,7 @@
 #include "command_rewriter.h"
 
+#include "wire/parts.h"
+
 #include <algorithm>
 
 namespace gorsebeam::mongo {
@@ -9,13 +11,6 @@
 constexpr std::size_t kFlagsSize = 4;
 constexpr std::size_t kBodyHeaderSize = 5;  // the section's kind and the document's length field
 
-std::size_t total_size(const proxy::Parts& parts) {
-  std::size_t size = 0;
-  for (const std::string_view part : parts)
-    size += part.size();
-  return size;
-}
-
 bool is_adjacent(std::string_view first, std::string_view second) {
   return first.data() + first.size() == second.data();
 }
@@ -56,7 +51,7 @@
   const proxy::Parts unchanged = unchanged_elements(message.body, kind);
   const Writer added = replacement_elements(kind, time_left);
   const std::size_t document_size =
-      kMinDocumentSize + total_size(unchanged) + added.elements().size();
+      kMinDocumentSize + wire::total_size(unchanged) + added.elements().size();
   const std::string flags = encode_u32(0);
   const std::string body_header = '\0' + encode_u32(static_cast<std::uint32_t>(document_size));
   written_ = flags + body_header + added.elements() + '\0';
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -3,6 +3,8 @@
 #include "codec.h"
 #include "error_code.h"
 
+#include "wire/parts.h"
+
 namespace gorsebeam::mongo {
 namespace {
 
@@ -144,10 +146,7 @@
   }
 
   proxy::Parts frame_request(const proxy::Parts& body) override {
-    std::size_t size = 0;
-    for (const std::string_view part : body)
-      size += part.size();
-    header_ = encode_header(size, ++last_sent_id_, 0, Opcode::Msg);
+    header_ = encode_header(wire::total_size(body), ++last_sent_id_, 0, Opcode::Msg);
     proxy::Parts parts{header_};
     parts.insert(parts.end(), body.begin(), body.end());
     return parts;
--- a/src/postgres/client_connection.cpp
+++ b/src/postgres/client_connection.cpp
@@ -34,7 +34,7 @@
       : ClientConnection(frontend, std::move(socket)),
         admission_(contracts, frontend.broker().settings()), classifier_(classifier) {}
 
-  // The statement stays in the input until its request is answered.
+  // The statement stays in the input until its request is complete.
   proxy::Parts body(Nanos left) override {
     const std::string_view text = stream_->input().view().substr(kQueryHeaderSize, text_size_);
     return rewriter_.rewrite(text, deadline_, left);
@@ -43,18 +43,18 @@
   void respond(const proxy::Parts& value) override {
     proxy::Parts parts = value;
     parts.emplace_back(kReadyForQuery);
-    answer_request(parts);
+    complete_request(parts);
   }
 
   void reject(Nanos retry_after) override {
     const std::string wait_ms = retry_after > 0 ? std::to_string(retry_after / kMillisecond) : "";
     const SqlError error{kTooManyConnections, "refused: try again"};
-    answer_request({encode_error(Severity::Error, error, wait_ms), kReadyForQuery});
+    complete_request({encode_error(Severity::Error, error, wait_ms), kReadyForQuery});
   }
 
   void fail() override {
     const SqlError error{kTransactionResolutionUnknown, "failed: the effect is not known"};
-    answer_request({encode_error(Severity::Error, error), kReadyForQuery});
+    complete_request({encode_error(Severity::Error, error), kReadyForQuery});
   }
 
 private:
@@ -123,15 +123,15 @@
     switch (kind) {
     case MessageKind::Query:
       return handle_query(message);
-    case MessageKind::Terminate:  // an answer may still be on its way to the client
+    case MessageKind::Terminate:  // a response may still be on its way to the client
       return close_when_written(frontend::CloseReason::ClientEnded);
     case MessageKind::Sync:
       phase_ = Phase::Serving;
-      return answer(message, {kReadyForQuery});
+      return reply(message, {kReadyForQuery});
     case MessageKind::ExtendedQuery:
       // The error is sent once; then all messages are skipped until the client sends Sync.
       phase_ = Phase::SkippingToSync;
-      return answer(message, {encode_error(Severity::Error, simple_queries_only())});
+      return reply(message, {encode_error(Severity::Error, simple_queries_only())});
     case MessageKind::FunctionCall:
       return reject_message(message, simple_queries_only());
     case MessageKind::Unknown:
@@ -148,7 +148,7 @@
     if (!text)
       return end_with_error(text.error());
     if (is_blank(text.value()))
-      return answer(message, {encode_message('I', ""), kReadyForQuery});
+      return reply(message, {encode_message('I', ""), kReadyForQuery});
     if (const auto error = begin_statement(text.value(), message.encoded.size()))
       reject_message(message, *error);
   }
@@ -176,17 +176,17 @@
   void consume(const Message& message) { stream_->input().consume(message.encoded.size()); }
 
   /// Replies to a message that began no request.
-  void answer(const Message& message, const proxy::Parts& parts) {
+  void reply(const Message& message, const proxy::Parts& parts) {
     stream_->write(parts);
     consume(message);
   }
 
   void reject_message(const Message& message, const SqlError& error) {
-    answer(message, {encode_error(Severity::Error, error), kReadyForQuery});
+    reply(message, {encode_error(Severity::Error, error), kReadyForQuery});
   }
 
-  /// Sends the final answer of the pending request.
-  void answer_request(const proxy::Parts& parts) {
+  /// Sends the response to the pending request, which ends it.
+  void complete_request(const proxy::Parts& parts) {
     stream_->write(parts);
     stream_->input().consume(text_size_ + kQueryFramingSize);
     finish_request();
@@ -202,7 +202,8 @@
   }
 
   frontend::RequestAdmission admission_;
-  const std::shared_ptr<const sql_classifier::SqlClassifier>& classifier_;  ///< May change.
+  const std::shared_ptr<const sql_classifier::SqlClassifier>&
+      classifier_;  ///< Null: none. A reload replaces it.
   StatementRewriter rewriter_;
   Phase phase_ = Phase::AwaitingStartup;
   std::size_t text_size_ = 0;  ///< Of the pending statement.
--- a/src/postgres/codec.h
+++ b/src/postgres/codec.h
@@ -64,6 +64,7 @@
   Fatal,  ///< The connection is closed after it.
 };
 
+/// An error, as clients get it in an ErrorResponse.
 struct SqlError {
   const char* sqlstate;
   std::string text;
--- a/src/postgres/statement_request.h
+++ b/src/postgres/statement_request.h
@@ -13,7 +13,7 @@
 
 namespace gorsebeam::postgres {
 
-/// Where the deadline stands in the text of a statement.
+/// The position of the deadline in the text of a statement.
 struct DeadlineField {
   std::size_t offset = 0;
   std::size_t size = 0;
--- a/src/postgres/upstream_protocol.cpp
+++ b/src/postgres/upstream_protocol.cpp
@@ -5,6 +5,7 @@
 
 #include "net/timer.h"
 #include "wire/integers.h"
+#include "wire/parts.h"
 
 namespace gorsebeam::postgres {
 namespace {
@@ -223,9 +224,8 @@
   }
 
   proxy::Parts frame_request(const proxy::Parts& body) override {
-    std::size_t length = kLengthSize + 1;  // and the zero byte at the end of the text
-    for (const std::string_view part : body)
-      length += part.size();
+    // The zero byte at the end of the text counts too.
+    const std::size_t length = kLengthSize + wire::total_size(body) + 1;
     header_ = 'Q' + wire::encode_u32_big_endian(static_cast<std::uint32_t>(length));
     proxy::Parts parts{header_};
     parts.insert(parts.end(), body.begin(), body.end());
