--- a/src/postgres/statement_request.cpp
+++ b/src/postgres/statement_request.cpp
@@ -99,7 +99,8 @@
   if (frontend::belongs_to_session(settings))
     request.parsed.request.session = session_number(statement.first_literal);
   request.parsed.time_limit = static_cast<Nanos>(*deadline_ms) * kMillisecond;
-  request.parsed.is_single_attempt = classifier && classification.effect == Effect::Unknown;
+  request.parsed.is_single_attempt =
+      classifier != nullptr && classification.effect == Effect::Unknown;
   request.deadline = deadline_field(statement, text);
   request.last_write_at = last_write_at(statement);
   return request;
--- a/src/sql_classifier/sql_classifier.cpp
+++ b/src/sql_classifier/sql_classifier.cpp
@@ -74,7 +74,7 @@
 bool is_known(const std::vector<std::string>& name, const KnownNames& known) {
   if (can_be_built_in(name) && known.built_in.count(name.back()) != 0)
     return true;
-  return known.additional && known.additional->count(join_with_dots(name)) != 0;
+  return known.additional != nullptr && known.additional->count(join_with_dots(name)) != 0;
 }
 
 /// The array in `field` of `node`; null if there is none.
--- a/tests/mongo_bson_test.cpp
+++ b/tests/mongo_bson_test.cpp
@@ -2,6 +2,9 @@
 
 #include <gtest/gtest.h>
 
+#include <string>
+#include <vector>
+
 namespace gorsebeam::mongo {
 namespace {
 
@@ -15,10 +18,12 @@
 TEST(BsonWriter, EncodesEachType) {
   const std::string nested = "\x06\0\0\0x\0"s;  // the writer does not look into it
 
-  const struct {
+  struct Case {
     Writer writer;
     std::string elements;
-  } cases[] = {
+  };
+
+  const std::vector<Case> cases = {
       {Writer().append_string("s", "xy"), "\2s\0\3\0\0\0xy\0"s},
       {Writer().append_document("n", nested), "\3n\0"s + nested},
       {Writer().append_array("n", nested), "\4n\0"s + nested},
@@ -53,7 +58,7 @@
 }
 
 TEST(BsonReader, RejectsMalformedDocuments) {
-  const std::string malformed[] = {
+  const std::vector<std::string> malformed = {
       "",
       "\4\0\0\0"s,
       "\6\0\0\0\0"s,                            // longer than its bytes
--- a/tests/mongo_command_parser_test.cpp
+++ b/tests/mongo_command_parser_test.cpp
@@ -5,6 +5,10 @@
 
 #include <gtest/gtest.h>
 
+#include <string>
+#include <utility>
+#include <vector>
+
 namespace gorsebeam::mongo {
 namespace {
 
@@ -50,7 +54,7 @@
 };
 
 TEST_F(MongoCommandParser, ClassifiesCommandsByName) {
-  const std::pair<const char*, CommandKind> cases[] = {
+  const std::vector<std::pair<const char*, CommandKind>> cases = {
       {"hello", CommandKind::Hello},
       {"isMaster", CommandKind::Hello},
       {"buildinfo", CommandKind::BuildInfo},
@@ -75,11 +79,13 @@
   const std::string ping = Writer().append_int32("ping", 1).finish();
   const std::string body = std::string(1, '\0') + ping;
 
-  const struct {
+  struct Case {
     Opcode opcode;
     std::string payload;
     ProtocolError error;
-  } cases[] = {
+  };
+
+  const std::vector<Case> cases = {
       {static_cast<Opcode>(2002), encode_u32(0) + body, ProtocolError::UnsupportedOpcode},
       {Opcode::Msg, encode_u32(0), ProtocolError::MalformedMessage},
       {Opcode::Msg, encode_u32(4) + body, ProtocolError::MalformedMessage},  // an unknown flag
@@ -136,11 +142,13 @@
 TEST_F(MongoCommandParser, RejectsWhatTheGatewayDoesNotServe) {
   const Writer any = comment("any");
 
-  const struct {
+  struct Case {
     Writer command;
     ErrorCode code;
     std::string text;
-  } cases[] = {
+  };
+
+  const std::vector<Case> cases = {
       {command("aggregate", any), ErrorCode::CommandNotSupported, "aggregate is not served"},
       {command("frob", any), ErrorCode::CommandNotFound, "no such command: 'frob'"},
       {command("find", any).append_bool("startTransaction", true), ErrorCode::CommandNotSupported,
--- a/tests/mongo_replies_test.cpp
+++ b/tests/mongo_replies_test.cpp
@@ -5,6 +5,9 @@
 
 #include <gtest/gtest.h>
 
+#include <string>
+#include <vector>
+
 namespace gorsebeam::mongo {
 namespace {
 
@@ -70,10 +73,12 @@
 }
 
 TEST(MongoErrorCode, HasNameOfTheServersList) {
-  const struct {
+  struct Case {
     std::int32_t code;
     const char* name;
-  } cases[] = {
+  };
+
+  const std::vector<Case> cases = {
       {9, "FailedToParse"},
       {13, "Unauthorized"},
       {22, "InvalidBSON"},
--- a/tests/mongo_upstream_protocol_test.cpp
+++ b/tests/mongo_upstream_protocol_test.cpp
@@ -3,6 +3,9 @@
 
 #include <gtest/gtest.h>
 
+#include <string>
+#include <vector>
+
 namespace gorsebeam::mongo {
 namespace {
 
@@ -37,10 +40,12 @@
   using Status = HandshakeResult::Status;
   const std::string ready = reply_with(Writer().append_double("ok", 1));
 
-  const struct {
+  struct Case {
     std::string in;
     Status status;
-  } cases[] = {
+  };
+
+  const std::vector<Case> cases = {
       {ready.substr(0, ready.size() - 1), Status::Incomplete},
       {ready, Status::Complete},
       {reply_with(error_with(462)), Status::Rejected},
@@ -58,11 +63,13 @@
 }
 
 TEST(MongoUpstreamProtocol, TranslatesErrorCodes) {
-  const struct {
+  struct Case {
     std::int32_t code;
     AttemptStatus status;
     Role role;
-  } cases[] = {
+  };
+
+  const std::vector<Case> cases = {
       {10107, AttemptStatus::Misdirected, Role::Replica},
       {13435, AttemptStatus::Misdirected, Role::Unknown},
       {13436, AttemptStatus::Misdirected, Role::Unknown},
--- a/tests/postgres_handshake_test.cpp
+++ b/tests/postgres_handshake_test.cpp
@@ -6,6 +6,10 @@
 
 #include <gtest/gtest.h>
 
+#include <string>
+#include <utility>
+#include <vector>
+
 namespace gorsebeam::postgres {
 namespace {
 
@@ -17,11 +21,13 @@
 }
 
 TEST(PostgresStartup, ClassifiesStartupMessages) {
-  const struct {
+  struct Case {
     std::string message;
     StartupKind kind;
     std::string user;
-  } cases[] = {
+  };
+
+  const std::vector<Case> cases = {
       {startup_message(196608, "database\0crm\0user\0portal\0\0"s), StartupKind::Session, "portal"},
       {startup_message(196610, "user\0portal\0\0"s), StartupKind::Session, "portal"},
       {startup_message(196608, "user\0\0\0"s), StartupKind::Session, ""},
@@ -73,7 +79,7 @@
 }
 
 TEST(PostgresClientMessage, ClassifiesMessagesByType) {
-  const std::pair<const char*, MessageKind> cases[] = {
+  const std::vector<std::pair<const char*, MessageKind>> cases = {
       {"Q", MessageKind::Query},        {"X", MessageKind::Terminate},
       {"S", MessageKind::Sync},         {"PBDECH", MessageKind::ExtendedQuery},
       {"F", MessageKind::FunctionCall}, {"yq", MessageKind::Unknown},
--- a/tests/postgres_statement_request_test.cpp
+++ b/tests/postgres_statement_request_test.cpp
@@ -6,6 +6,9 @@
 
 #include <gtest/gtest.h>
 
+#include <string>
+#include <vector>
+
 namespace gorsebeam::postgres {
 namespace {
 
@@ -58,11 +61,13 @@
 }
 
 TEST_F(PostgresStatementRequest, RejectsStatementsThatMakeNoRequest) {
-  const struct {
+  struct Case {
     std::string text;
     std::string sqlstate;
     std::string error;
-  } cases[] = {
+  };
+
+  const std::vector<Case> cases = {
       {"SELECT 1; SELECT 2 /* id=a,c=any,d=5,cluster=0 */", "42601", "a query holds one statement"},
       {"SELECT 1", "42601", "the statement's comment holds no id"},
       {"SELECT 1 /* id=a,c=zz */", "42601", "the statement's comment names no known class"},
--- a/tests/postgres_upstream_protocol_test.cpp
+++ b/tests/postgres_upstream_protocol_test.cpp
@@ -7,6 +7,10 @@
 
 #include <gtest/gtest.h>
 
+#include <string>
+#include <utility>
+#include <vector>
+
 namespace gorsebeam::postgres {
 namespace {
 
@@ -54,10 +58,12 @@
   using Status = connection_pool::HandshakeResult::Status;
   const std::string ready = encode_message('R', std::string(4, '\0')) + encode_message('Z', "I");
 
-  const struct {
+  struct Case {
     std::string in;
     Status status;
-  } cases[] = {
+  };
+
+  const std::vector<Case> cases = {
       {ready.substr(0, ready.size() - 1), Status::Incomplete},
       {ready, Status::Complete},
       {encode_error(Severity::Fatal, {kTooManyConnections, ""}), Status::Rejected},
@@ -72,7 +78,7 @@
 }
 
 TEST(PostgresUpstreamProtocol, TranslatesErrorsOnceTheResponseIsComplete) {
-  const std::pair<const char*, AttemptStatus> cases[] = {
+  const std::vector<std::pair<const char*, AttemptStatus>> cases = {
       {kReadOnlyTransaction, AttemptStatus::Misdirected},
       {kSnapshotTooOld, AttemptStatus::Misdirected},
       {kTooManyConnections, AttemptStatus::Rejected},
