--- a/src/mongo/codec.cpp
+++ b/src/mongo/codec.cpp
@@ -52,8 +52,7 @@
   std::string_view content;  ///< A document, or the length field, name and documents of a sequence.
 };
 
-/// Reads the section at the front of `sections`; nothing if its kind is unknown or its length is
-/// out of bounds.
+/// Reads the section at the front of `sections`; nothing if it is malformed.
 std::optional<Section> read_section(std::string_view sections) {
   const std::string_view rest = sections.substr(1);
   if (rest.size() < kMinDocumentSize)
@@ -62,34 +61,35 @@
   if (!is_document_size(rest, size))
     return std::nullopt;
   const Section section{sections.front(), rest.substr(0, size)};
-  if (section.kind != kBodySection && section.kind != kDocumentSequenceSection)
-    return std::nullopt;
-  return section;
+  const bool is_well_formed_section =
+      section.kind == kDocumentSequenceSection
+          ? is_document_sequence(section.content.substr(kLengthSize))
+          : section.kind == kBodySection && is_well_formed(section.content);
+  return is_well_formed_section ? std::optional(section) : std::nullopt;
 }
 
-/// Fills the fields of `message` from its sections; returns false if they are malformed.
-bool split_sections(OpMsg& message) {
-  const std::string_view sections = message.sections;
+/// Reads all sections of a message; nothing if one is malformed or there is not exactly one body.
+std::optional<OpMsg> read_sections(std::string_view sections) {
+  OpMsg message;
+  message.sections = sections;
   std::size_t offset = 0;
   while (offset < sections.size()) {
     const std::optional<Section> section = read_section(sections.substr(offset));
     if (!section)
-      return false;
+      return std::nullopt;
     const std::size_t end = offset + 1 + section->content.size();
-    if (section->kind == kDocumentSequenceSection) {
-      if (!is_document_sequence(section->content.substr(kLengthSize)))
-        return false;
-    } else {
-      const bool has_body = message.body.data() != nullptr;
-      if (has_body)
-        return false;
+    if (section->kind == kBodySection) {
+      if (!message.body.empty())
+        return std::nullopt;
       message.body = section->content;
       message.sections_before = sections.substr(0, offset);
       message.sections_after = sections.substr(end);
     }
     offset = end;
   }
-  return message.body.data() != nullptr && is_well_formed(message.body);
+  if (message.body.empty())
+    return std::nullopt;
+  return message;
 }
 
 }  // namespace
@@ -113,19 +113,18 @@
 std::optional<OpMsg> read_op_msg(std::string_view payload) {
   if (payload.size() < kFlagsSize)
     return std::nullopt;
-  OpMsg message;
-  message.flags = read_u32(payload.data());
-  if ((message.flags & kRequiredFlags & ~kKnownFlags) != 0)
+  const std::uint32_t flags = read_u32(payload.data());
+  if ((flags & kRequiredFlags & ~kKnownFlags) != 0)
     return std::nullopt;
   payload.remove_prefix(kFlagsSize);
-  if ((message.flags & kChecksumPresent) != 0) {
+  if ((flags & kChecksumPresent) != 0) {
     if (payload.size() < kChecksumSize)
       return std::nullopt;
     payload.remove_suffix(kChecksumSize);
   }
-  message.sections = payload;
-  if (!split_sections(message))
-    return std::nullopt;
+  std::optional<OpMsg> message = read_sections(payload);
+  if (message)
+    message->flags = flags;
   return message;
 }
 
--- a/src/postgres/upstream_protocol.cpp
+++ b/src/postgres/upstream_protocol.cpp
@@ -41,9 +41,10 @@
   return size == kRowHeaderSize + value_size;
 }
 
-/// Whether the incomplete message in `in` cannot become one of `types`. So bytes that belong to no
-/// protocol are rejected at once, without waiting for the length that they seem to announce.
-bool is_hopeless(std::string_view in, std::string_view types) {
+/// Whether the incomplete bytes in `in` cannot become a message of one of `types`. Bytes that
+/// belong to no protocol are rejected in this way at once, without waiting for the length that they
+/// seem to announce.
+bool cannot_become_message(std::string_view in, std::string_view types) {
   if (in.empty())
     return false;
   if (types.find(in[0]) == std::string_view::npos)
@@ -57,7 +58,7 @@
 /// Reads the first message of `in`, which is to be one of `types`.
 Framed<Message> read_message_of(std::string_view in, std::string_view types) {
   Framed<Message> message = read_message(in, kMaxMessageLength);
-  if (!message && message.error() == FramingError::Incomplete && is_hopeless(in, types))
+  if (!message && message.error() == FramingError::Incomplete && cannot_become_message(in, types))
     return FramingError::Malformed;
   return message;
 }
