--- a/src/mongo/client_connection.cpp
+++ b/src/mongo/client_connection.cpp
@@ -11,6 +11,7 @@
 #include "wire/parts.h"
 
 #include <optional>
+#include <string>
 #include <utility>
 
 namespace gorsebeam::mongo {
--- a/src/mongo/command_comment.cpp
+++ b/src/mongo/command_comment.cpp
@@ -1,6 +1,8 @@
 #include "command_comment.h"
 
 #include <algorithm>
+#include <optional>
+#include <utility>
 
 namespace gorsebeam::mongo {
 namespace {
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -5,6 +5,8 @@
 
 #include "wire/parts.h"
 
+#include <optional>
+
 namespace gorsebeam::mongo {
 namespace {
 
--- a/src/postgres/client_connection.cpp
+++ b/src/postgres/client_connection.cpp
@@ -12,6 +12,7 @@
 
 #include <algorithm>
 #include <optional>
+#include <string>
 #include <utility>
 
 namespace gorsebeam::postgres {
--- a/src/postgres/upstream_protocol.cpp
+++ b/src/postgres/upstream_protocol.cpp
@@ -7,6 +7,9 @@
 #include "wire/integers.h"
 #include "wire/parts.h"
 
+#include <optional>
+#include <utility>
+
 namespace gorsebeam::postgres {
 namespace {
 
