--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -1,6 +1,8 @@
 #include "endpoint_list.h"
 
-#include "net/stream.h"
+#include "net/address.h"
+
+#include <rapidjson/document.h>
 
 #include <utility>
 
@@ -42,4 +44,17 @@
   return list;
 }
 
+common::Result<EndpointListDocument, EndpointListError>
+parse_endpoint_list_text(std::string_view text) {
+  rapidjson::Document document;
+  document.Parse(text.data(), text.size());
+  if (document.HasParseError())
+    return EndpointListError{"not JSON"};
+  try {
+    return parse_endpoint_list(document, "discovery's list");
+  } catch (const settings::FormatError& error) {
+    return EndpointListError{error.what()};
+  }
+}
+
 }  // namespace gorsebeam::discovery
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -2,47 +2,10 @@
 
 #include "net/log.h"
 
-#include <rapidjson/document.h>
-
-#include <algorithm>
-#include <charconv>
 #include <string_view>
 #include <utility>
 
 namespace gorsebeam::discovery {
-namespace {
-
-constexpr std::size_t kMaxHeadSize = 16 * 1024;
-constexpr std::size_t kMaxChunkSizeLine = 64;
-constexpr std::size_t kMaxLoggedStatusLine = 80;
-constexpr std::string_view kLineEnd = "\r\n";
-constexpr std::string_view kHeadEnd = "\r\n\r\n";
-constexpr std::string_view kVersion = "HTTP/1.1 ";
-constexpr std::string_view kOk = "200";
-
-bool has_ok_status(std::string_view head) {
-  return head.substr(0, kVersion.size()) == kVersion &&
-         head.substr(kVersion.size(), kOk.size()) == kOk;
-}
-
-bool is_chunked(std::string_view head) {
-  std::string lower(head);
-  for (char& c : lower)
-    c = g_ascii_tolower(c);
-  return lower.find("transfer-encoding: chunked") != std::string::npos;
-}
-
-/// Throws settings::FormatError.
-EndpointListDocument parse_list(const JsonObjectSplitter::Output& output) {
-  rapidjson::Document document;
-  if (output.status == JsonObjectSplitter::Status::Object)
-    document.Parse(output.object.data(), output.object.size());
-  if (output.status == JsonObjectSplitter::Status::Malformed || document.HasParseError())
-    throw settings::FormatError("not JSON");
-  return parse_endpoint_list(document, "discovery's list");
-}
-
-}  // namespace
 
 EndpointWatch::EndpointWatch(proxy::RequestBroker& broker, std::string address,
                              EndpointListDocument known, ReconnectBackoff reconnect_backoff)
@@ -60,9 +23,8 @@
 
 void EndpointWatch::start() {
   reconnect_timer_.stop();
-  reconnect_at_ = kNotReconnecting;
   is_reading_ = false;
-  response_state_ = ResponseState::Head;
+  response_ = HttpResponseParser(JsonObjectSplitter::kMaxObjectSize);
   next_list_ = ListOrder::FirstOfWatch;
   body_.clear();
   last_progress_at_ = net::now();
@@ -75,16 +37,15 @@
 void EndpointWatch::stop() {
   silence_timer_.stop();
   reconnect_timer_.stop();
-  reconnect_at_ = kNotReconnecting;
   if (stream_)
     stream_->close();
 }
 
-// The lists that are read go to the broker, which may ask for more of them before it decides.
+// The broker, which gets the lists that are read, may call this again before it decides.
 void EndpointWatch::read_pending() {
   if (is_reading_)
     return;
-  if (net::now() >= reconnect_at_)
+  if (reconnect_timer_.is_due())
     start();
   if (stream_ && stream_->open())
     stream_->process_pending();
@@ -104,7 +65,7 @@
   read_pending();
   stop();
   address_ = address;
-  // The new address may count revisions differently, so the whole list is asked for.
+  // Revisions at the new address may be counted differently, so the whole list is requested.
   revision_ = 0;
   revision_filter_.start_new_epoch();
   reconnect_backoff_.reset();
@@ -118,8 +79,7 @@
              {"idle_ms", std::to_string((net::now() - last_progress_at_) / 1ms)},
              {"unread", has_unread ? "yes" : "no"}}});
   stop();
-  reconnect_at_ = net::now() + reconnect_backoff_.next_delay(end);
-  reconnect_timer_.at(reconnect_at_);
+  reconnect_timer_.after(reconnect_backoff_.next_delay(end));
 }
 
 void EndpointWatch::connected() {
@@ -131,8 +91,8 @@
       {"endpoint_watch_opened", {{"address", address_}, {"revision", std::to_string(revision_)}}});
 }
 
-void EndpointWatch::ended(const std::string& why) {
-  schedule_reconnect(why);
+void EndpointWatch::ended(const std::string& reason) {
+  schedule_reconnect(reason);
 }
 
 void EndpointWatch::received() {
@@ -146,67 +106,19 @@
 }
 
 void EndpointWatch::read_response() {
-  if (response_state_ == ResponseState::Head && !read_head())
-    return;
-  if (response_state_ == ResponseState::PlainBody) {
-    body_.add(stream_->input().view());
-    stream_->input().consume(stream_->input().size());
-  }
-  if (response_state_ == ResponseState::ChunkedBody) {
-    while (stream_->open() && read_chunk()) {
+  HttpResponseParser::Output output;
+  do {
+    output = response_.parse(stream_->input().view());
+    if (output.error) {
+      schedule_reconnect(to_string(*output.error));
+      return;
     }
-  }
-  if (stream_->open())
-    apply_lists();
-}
-
-bool EndpointWatch::read_head() {
-  const std::string_view input = stream_->input().view();
-  const std::size_t end = input.find(kHeadEnd);
-  if (end == std::string_view::npos) {
-    if (input.size() > kMaxHeadSize)
-      schedule_reconnect("the answer's head is too long");
-    return false;
-  }
-  if (!has_ok_status(input)) {
-    const std::size_t length = std::min(input.find('\r'), kMaxLoggedStatusLine);
-    schedule_reconnect("answered " + std::string(input.substr(0, length)));
-    return false;
-  }
-  response_state_ =
-      is_chunked(input.substr(0, end)) ? ResponseState::ChunkedBody : ResponseState::PlainBody;
-  stream_->input().consume(end + kHeadEnd.size());
-  return true;
-}
-
-bool EndpointWatch::read_chunk() {
-  const std::string_view input = stream_->input().view();
-  const std::size_t line = input.find(kLineEnd);
-  if (line == std::string_view::npos) {
-    if (input.size() > kMaxChunkSizeLine)
-      schedule_reconnect("a malformed chunk");
-    return false;
-  }
-  std::size_t size = 0;
-  const auto [end, error] = std::from_chars(input.data(), input.data() + line, size, 16);
-  const bool is_number = error == std::errc() && end != input.data();
-  if (!is_number || size > JsonObjectSplitter::kMaxObjectSize) {
-    schedule_reconnect("a malformed chunk");
-    return false;
-  }
-  const std::size_t begin = line + kLineEnd.size();
-  const std::size_t chunk_size = begin + size + kLineEnd.size();
-  if (input.size() < chunk_size)
-    return false;
-  if (size == 0) {
-    apply_lists();
-    if (stream_->open())
-      schedule_reconnect("the answer ended");
-    return false;
-  }
-  body_.add(input.substr(begin, size));
-  stream_->input().consume(chunk_size);
-  return true;
+    body_.add(output.body);
+    stream_->input().consume(output.consumed_bytes);
+  } while (output.status == HttpResponseParser::Status::Progress);
+  apply_lists();
+  if (output.status == HttpResponseParser::Status::Ended && stream_->open())
+    schedule_reconnect("the answer ended");
 }
 
 void EndpointWatch::apply_lists() {
@@ -214,14 +126,16 @@
     const JsonObjectSplitter::Output output = body_.next();
     if (output.status == JsonObjectSplitter::Status::NeedsInput)
       return;
-    try {
-      apply(parse_list(output));
-    } catch (const settings::FormatError& error) {
-      // What was missed cannot be known: the whole list is asked for again.
+    auto list = output.status == JsonObjectSplitter::Status::Object
+                    ? parse_endpoint_list_text(output.object)
+                    : EndpointListError{"not JSON"};
+    if (!list) {
+      // It is unknown which changes the rejected list contained, so the whole list is requested.
       revision_ = 0;
-      schedule_reconnect(error.what());
+      schedule_reconnect(list.error().message);
       return;
     }
+    apply(std::move(list.value()));
   }
 }
 
--- a/src/discovery/endpoint_watch.h
+++ b/src/discovery/endpoint_watch.h
@@ -1,8 +1,9 @@
-/// Follows discovery's endpoint list by an HTTP/1.1 watch, which it opens again whenever the watch
-/// ends or falls silent.
+/// Follows discovery's endpoint list by an HTTP/1.1 watch, which it reopens whenever the watch ends
+/// or is silent for too long.
 #pragma once
 
 #include "endpoint_list.h"
+#include "http_response_parser.h"
 #include "json_object_splitter.h"
 #include "reconnect_backoff.h"
 #include "revision_filter.h"
@@ -11,7 +12,6 @@
 #include "net/timer.h"
 
 #include <cstdint>
-#include <limits>
 #include <memory>
 #include <string>
 
@@ -32,32 +32,24 @@
   /// Closes the watch and opens none again.
   void stop();
 
-  /// Reads what discovery has written by now. A change counts as notified once it is written, and
-  /// not once the main loop comes to it.
+  /// Reads what discovery has written by now. The gateway counts as notified of a change once
+  /// discovery has written it, even if the main loop has not read it yet.
   void read_pending() override;
 
-  /// Watches discovery at another address; does nothing if it is the same. What the old one has
-  /// written is read before. The endpoints that the broker holds stay in use meanwhile.
+  /// Watches discovery at another address; does nothing if it is the same. What discovery has
+  /// written at the old address is read first. The endpoints that the broker holds stay in use
+  /// meanwhile.
   void change_address(const std::string& address);
 
 private:
-  static constexpr TimePoint kNotReconnecting = TimePoint::max();
-
-  /// What of the HTTP response is read next.
-  enum class ResponseState { Head, PlainBody, ChunkedBody };
-
   void connected() override;
   void received() override;
-  void ended(const std::string& why) override;
+  void ended(const std::string& reason) override;
 
   /// Ends a watch that was silent for too long.
   void check_silence();
   void read_response();
-  /// Returns whether the whole head was read; false also if it was refused.
-  [[nodiscard]] bool read_head();
-  /// Moves one chunk into the body. Returns whether there was a whole one, and it was not the last.
-  [[nodiscard]] bool read_chunk();
-  /// Applies all whole lists of the body.
+  /// Applies all complete lists of the body.
   void apply_lists();
   void apply(EndpointListDocument list);
   /// Closes the watch and opens it again after a backoff.
@@ -65,18 +57,17 @@
 
   proxy::RequestBroker& broker_;
   std::string address_;
-  std::int64_t revision_;  // the next watch asks for what is later; 0: for the whole list
+  std::int64_t revision_;  ///< The next watch requests later changes; 0: the whole list.
   std::shared_ptr<net::Stream> stream_;
   net::Timer silence_timer_;
   net::Timer reconnect_timer_;
-  TimePoint reconnect_at_ = kNotReconnecting;
   ReconnectBackoff reconnect_backoff_;
   RevisionFilter revision_filter_;
   JsonObjectSplitter body_;
-  ResponseState response_state_ = ResponseState::Head;
+  HttpResponseParser response_{JsonObjectSplitter::kMaxObjectSize};
   ListOrder next_list_ = ListOrder::FirstOfWatch;
-  TimePoint last_progress_at_{};  // when it was opened or last received something
-  bool is_reading_ = false;       // `received` is on the stack
+  TimePoint last_progress_at_{};  ///< When it was opened or last received bytes.
+  bool is_reading_ = false;       ///< `received` is on the stack.
 };
 
 }  // namespace gorsebeam::discovery
--- a/src/discovery/json_object_splitter.h
+++ b/src/discovery/json_object_splitter.h
@@ -1,4 +1,4 @@
-/// Splits a stream of bytes into JSON objects, wherever its lines and its reads end.
+/// Splits a stream of bytes into JSON objects, independently of where its lines and reads end.
 ///
 /// The module is pure and runs on one thread. Between two objects it accepts only spaces and line
 /// ends. Within an object it accepts no blank line: a blank line is discovery's heartbeat, and one
@@ -11,7 +11,7 @@
 
 namespace gorsebeam::discovery {
 
-/// Holds the bytes of one object at most, up to `kMaxObjectSize` and what was added last. Looks at
+/// Holds at most the bytes of one object, up to `kMaxObjectSize`, and what was added last. Scans
 /// each byte once.
 class JsonObjectSplitter {
 public:
@@ -19,8 +19,8 @@
   static constexpr std::size_t kMaxObjectSize = 8 << 20;
 
   enum class Status {
-    NeedsInput,  ///< No whole object is left; add bytes.
-    Object,      ///< A whole object was found.
+    NeedsInput,  ///< No complete object is left; add bytes.
+    Object,      ///< A complete object was found.
     Malformed,   ///< The stream is broken or an object too long; nothing more is read.
   };
 
@@ -35,7 +35,7 @@
   /// Returns the next object of what was added.
   [[nodiscard]] Output next();
 
-  /// Forgets all bytes and starts a new stream.
+  /// Discards all bytes and starts a new stream.
   void clear();
 
 private:
--- a/src/discovery/reconnect_backoff.h
+++ b/src/discovery/reconnect_backoff.h
@@ -1,20 +1,20 @@
-/// When a watch on the endpoint list counts as broken, and when a broken one is opened again.
+/// Decides when a watch on the endpoint list counts as broken, and when a broken one is reopened.
 ///
-/// The module is pure, but for its random numbers, which follow from a seed. Times are nanoseconds.
+/// The module is pure; its random numbers follow from a seed.
 ///
-/// A watch that falls silent delivers nothing more, and the site counts what it misses as notified
-/// 6 s after its last byte, whether it arrived or not: from then on an endpoint that drains must
-/// not be asked. So silence is noticed as soon as the heartbeat of empty lines allows, and the next
-/// call is made early enough to be answered in time.
+/// A watch that is silent delivers nothing more, but the gateway counts as notified of what it
+/// misses 6 s after its last byte: from then on a draining endpoint must get no request. Therefore
+/// silence is detected as soon as the heartbeat of empty lines permits, and the next call is made
+/// early enough to be answered in time.
 ///
-/// With an agent on the gateway's own machine a call costs nobody else anything, and what the agent
-/// has counts as notified whether a call is open or not. The watch is reopened at once, well within
-/// the grace time of a drain.
+/// A call to an agent on the gateway's own machine costs nothing, and the gateway counts as
+/// notified of what the agent holds whether a call is open or not. The watch is reopened at once,
+/// well within the grace time of a drain.
 ///
-/// Where all gateways call one discovery service, it handles a few calls a second and works on
-/// calls whose caller gave up as on any other. Gateways that lose their watch together and come
-/// back faster than it can answer keep it busy with abandoned calls. There the backoff grows with
-/// the number of gateways, except for the first one after a silence.
+/// A discovery service that all gateways share handles a few calls a second, and processes calls
+/// whose caller gave up like any other. Gateways that lose their watches together and reopen them
+/// faster than it can answer keep it busy with abandoned calls. There the backoff grows with the
+/// number of gateways, except for the first one after a silence.
 #pragma once
 
 #include "gorsebeam/router.h"
@@ -24,7 +24,7 @@
 
 namespace gorsebeam::discovery {
 
-/// Whom the watch calls.
+/// The service that the watch calls.
 enum class DiscoveryService {
   LocalAgent,  ///< Each gateway has an agent of its own.
   Shared,      ///< All gateways call one service.
@@ -32,7 +32,7 @@
 
 /// How a watch ended.
 enum class WatchEnd {
-  Closed,  ///< The connection failed or closed, or its content was refused.
+  Closed,  ///< The connection failed or closed, or its content was rejected.
   Silent,  ///< Nothing arrived for `silence_timeout()`.
 };
 
@@ -40,11 +40,11 @@
 /// bound doubles with each delay, up to eight times the first; a list that arrives resets it.
 class ReconnectBackoff {
 public:
-  /// After a watch's last byte: what it misses counts as notified.
+  /// How long after a watch's last byte the gateway counts as notified of what it misses.
   static constexpr Duration kNotifiedAfter = 6s;
-  /// Silence of an open watch that breaks it: an empty line is due every 2 s.
+  /// The silence after which an open watch is broken; an empty line is due every 2 s.
   static constexpr Duration kSilenceTimeout = 2500ms;
-  /// Silence of a call to a shared service that was not answered yet: it may be queued.
+  /// The silence after which a call to a shared service is broken; it may be queued there.
   static constexpr Duration kFirstAnswerTimeout = 5s;
   /// The part of kNotifiedAfter that is left for the call itself.
   static constexpr Duration kCallReserve = 1500ms;
@@ -64,10 +64,10 @@
   /// The delay from now, above 0, until the watch that ended is opened again.
   [[nodiscard]] Duration next_delay(WatchEnd end);
 
-  /// A list arrived.
+  /// Records that a list arrived.
   void record_list();
 
-  /// Discovery has another address: starts over.
+  /// Resets all state, as discovery has another address.
   void reset();
 
 private:
--- a/src/discovery/revision_filter.cpp
+++ b/src/discovery/revision_filter.cpp
@@ -11,8 +11,9 @@
   newest_revision_ = 0;
 }
 
-bool RevisionFilter::is_still_leaving(const LastWatchEvent& event, const Endpoint& endpoint) const {
-  if (event.epoch == epoch_ || event.status == EndpointStatus::Up || event.left_out)
+bool RevisionFilter::is_still_unavailable(const LastWatchEvent& event,
+                                          const Endpoint& endpoint) const {
+  if (event.epoch == epoch_ || event.status == EndpointStatus::Up || event.is_unlisted)
     return false;
   return endpoint.status == EndpointStatus::Up && endpoint.started_at <= event.started_at;
 }
@@ -23,13 +24,13 @@
   const bool is_newest = list.revision >= newest_revision_;
   newest_revision_ = std::max(newest_revision_, list.revision);
   std::set<std::string> listed_names;
-  std::vector<proxy::ListedEndpoint> news;
+  std::vector<proxy::ListedEndpoint> current;
   for (proxy::ListedEndpoint& entry : list.endpoints) {
     listed_names.insert(entry.name);
     if (record_entry(entry, list.revision, is_newest))
-      news.push_back(std::move(entry));
+      current.push_back(std::move(entry));
   }
-  list.endpoints = std::move(news);
+  list.endpoints = std::move(current);
   if (list.complete && is_newest)
     remove_unlisted(listed_names, list.revision);
   list.complete = list.complete && is_newest;
@@ -44,8 +45,8 @@
       is_known && last->second.epoch == epoch_ && revision < last->second.revision;
   if (is_older && !is_newest)
     return false;
-  if (is_older || (is_known && is_still_leaving(last->second, entry.endpoint))) {
-    // The status stays until a list with a higher revision.
+  if (is_older || (is_known && is_still_unavailable(last->second, entry.endpoint))) {
+    // The status holds until a list with a higher revision.
     entry.endpoint.status = last->second.status;
     last->second.epoch = epoch_;
     last->second.revision = revision + 1;
--- a/src/discovery/revision_filter.h
+++ b/src/discovery/revision_filter.h
@@ -2,12 +2,13 @@
 ///
 /// The module is pure and runs on one thread.
 ///
-/// An old list may arrive after a new one: on one watch, or from another agent that is behind.
-/// Within one epoch of revisions an entry that is older than the last event of its endpoint changes
-/// nothing. An epoch is one count of revisions; a new one starts, lower than before, with another
-/// address or when discovery was set up anew. Revisions of two epochs cannot be compared, so a new
-/// epoch is taken as it is, except for an endpoint that was draining or removed: it is back once it
-/// has restarted, or once a later list of the new epoch names it as up.
+/// An old list may arrive after a new one, on one watch or from another agent that lags. Within one
+/// epoch of revisions an entry that is older than the last event of its endpoint changes nothing.
+/// An epoch is one count of revisions. A new epoch, with lower revisions, starts with another
+/// address or when discovery was set up anew. Revisions of two epochs cannot be compared, so the
+/// lists of a new epoch are accepted as they are, except for an endpoint that was draining or
+/// removed: it counts as up once it has restarted, or once a later list of the new epoch lists it
+/// as up.
 #pragma once
 
 #include "endpoint_list.h"
@@ -20,13 +21,14 @@
 
 namespace gorsebeam::discovery {
 
-/// Where in its watch a list stands.
+/// The position of a list in its watch.
 enum class ListOrder { FirstOfWatch, Later };
 
 /// Holds the last event of each endpoint.
 class RevisionFilter {
 public:
-  /// Removed endpoints that are remembered; the ones with the lowest revisions are forgotten first.
+  /// The number of removed endpoints that are remembered; those with the lowest revisions are
+  /// forgotten first.
   static constexpr std::size_t kMaxRemovedEndpoints = 1024;
 
   /// Starts another count of revisions, that of another address.
@@ -35,9 +37,9 @@
   /// The highest revision of this epoch; 0: none.
   [[nodiscard]] std::int64_t revision() const { return newest_revision_; }
 
-  /// Leaves in `list` only what is news. A complete list that is not the newest becomes an
-  /// incomplete one, so that it removes no endpoint that it leaves out. A complete list that is the
-  /// first of its watch and has a lower revision than the newest starts a new epoch.
+  /// Removes the outdated entries from `list`. A complete list that is not the newest becomes an
+  /// incomplete one, so that it removes no endpoint that it does not contain. A complete list that
+  /// is the first of its watch and has a lower revision than the newest starts a new epoch.
   void remove_outdated(EndpointListDocument& list, ListOrder order);
 
 private:
@@ -46,14 +48,17 @@
     std::int64_t revision = 0;
     EndpointStatus status = EndpointStatus::Up;
     TimePoint started_at{};
-    bool left_out = false;  ///< Removed because a complete list did not name it.
+    bool is_unlisted = false;  ///< Removed because a complete list did not contain it.
   };
 
-  /// Whether an entry of a list at `revision` is news; adjusts the entry and the last event.
+  /// Records an entry of a list at `revision`, and corrects its status where an earlier event
+  /// overrides it. Returns false if the entry is outdated.
   [[nodiscard]] bool record_entry(proxy::ListedEndpoint& entry, std::int64_t revision,
                                   bool is_newest);
-  /// Whether `event` of an earlier epoch says that the endpoint leaves, and it has not restarted.
-  [[nodiscard]] bool is_still_leaving(const LastWatchEvent& event, const Endpoint& endpoint) const;
+  /// Whether the endpoint was draining or removed by `event` of an earlier epoch, is listed as up,
+  /// and has not restarted since.
+  [[nodiscard]] bool is_still_unavailable(const LastWatchEvent& event,
+                                          const Endpoint& endpoint) const;
   void remove_unlisted(const std::set<std::string>& listed_names, std::int64_t revision);
   void forget_removed();
 
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -42,6 +42,9 @@
 
   void stop();
 
+  /// Whether it is set to a time that has come.
+  [[nodiscard]] bool is_due() const { return is_set_ && queue_key_.first <= now(); }
+
   /// Runs the action now; called by the queue.
   void fire();
 
