--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -36,7 +36,7 @@
   /// No request is pending, and nothing received or written is buffered.
   [[nodiscard]] bool is_idle() const;
 
-  [[nodiscard]] bool has_client_left() const override { return stream_->has_peer_closed(); }
+  [[nodiscard]] bool has_client_disconnected() const override { return stream_->has_peer_closed(); }
 
   /// Whether bytes or the client's end wait in the kernel.
   [[nodiscard]] bool has_unread() const { return stream_->readable(); }
--- a/src/proxy/interfaces.h
+++ b/src/proxy/interfaces.h
@@ -56,7 +56,7 @@
 
   /// Whether the client has closed its connection, or its sending side, though the frontend may
   /// not have come to it yet.
-  [[nodiscard]] virtual bool has_client_left() const = 0;
+  [[nodiscard]] virtual bool has_client_disconnected() const = 0;
 
   /// The request body for an endpoint that is to finish within `left` nanoseconds. May be called
   /// once per attempt until the request is complete. The parts are valid until the next call of
--- a/src/proxy/request_broker.cpp
+++ b/src/proxy/request_broker.cpp
@@ -149,7 +149,7 @@
     return false;
   request.history.is_open = request.call != nullptr;
   const bool is_first_look = now - request.begun_at < kMaxListDelay;
-  if (request.history.is_open && !is_first_look && request.call->has_client_left())
+  if (request.history.is_open && !is_first_look && request.call->has_client_disconnected())
     return false;
   if (!router_.is_attempt_allowed(now, attempt.request_id, attempt.endpoint))
     return false;
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -74,7 +74,7 @@
 
 /// Counts its final responses.
 struct CountingCall : proxy::ClientCall {
-  [[nodiscard]] bool has_client_left() const override { return false; }
+  [[nodiscard]] bool has_client_disconnected() const override { return false; }
 
   int response_count = 0;
 
