--- a/src/proxy/invariant_guard.cpp
+++ b/src/proxy/invariant_guard.cpp
@@ -4,20 +4,20 @@
 
 const char* name_of(Violation violation) {
   switch (violation) {
-  case Violation::EndpointLeaving:
-    return "endpoint_leaving";
+  case Violation::EndpointDraining:
+    return "endpoint_draining";
   case Violation::EndpointUnknown:
     return "endpoint_unknown";
   case Violation::SecondInFlight:
     return "second_in_flight";
   case Violation::AttemptAfterEnd:
     return "attempt_after_end";
-  case Violation::RepeatNotAllowed:
-    return "repeat_not_allowed";
+  case Violation::RetryNotAllowed:
+    return "retry_not_allowed";
   case Violation::AttemptsExceeded:
     return "attempts_exceeded";
-  case Violation::RejectionNotTrue:
-    return "rejection_not_true";
+  case Violation::UnsafeRejection:
+    return "unsafe_rejection";
   case Violation::ClosedUnanswered:
     return "closed_unanswered";
   }
@@ -38,7 +38,7 @@
   if (found == endpoints_.end())
     return Violation::EndpointUnknown;
   if (found->second.is_leaving)
-    return Violation::EndpointLeaving;
+    return Violation::EndpointDraining;
   return std::nullopt;
 }
 
@@ -54,12 +54,12 @@
     return Violation::SecondInFlight;
   if (request.written_attempts >= settings_.max_attempts)
     return Violation::AttemptsExceeded;
-  if (!allows_repeat(request, now))
-    return Violation::RepeatNotAllowed;
+  if (!is_safe_to_retry(request, now))
+    return Violation::RetryNotAllowed;
   return std::nullopt;
 }
 
-bool InvariantGuard::allows_repeat(const RequestHistory& request, TimePoint now) const {
+bool InvariantGuard::is_safe_to_retry(const RequestHistory& request, TimePoint now) const {
   if (!request.may_have_run_since)
     return true;
   const RequestClass& request_class = settings_.classes.at(request.class_index);
@@ -83,7 +83,7 @@
                         request_class.deduplication_scope == DeduplicationScope::All);
   if (is_safe)
     return std::nullopt;
-  return Violation::RejectionNotTrue;
+  return Violation::UnsafeRejection;
 }
 
 }  // namespace gorsebeam::proxy
--- a/src/proxy/invariant_guard.h
+++ b/src/proxy/invariant_guard.h
@@ -17,19 +17,19 @@
 namespace gorsebeam::proxy {
 
 enum class Violation {
-  EndpointLeaving,   ///< A send to an endpoint that was listed as draining or removed.
+  EndpointDraining,  ///< A send to an endpoint that was listed as draining or removed.
   EndpointUnknown,   ///< A send to an endpoint that no list in force names.
   SecondInFlight,    ///< An attempt beside another one of the same request.
   AttemptAfterEnd,   ///< An attempt of a request that is answered, or whose client has left.
-  RepeatNotAllowed,  ///< An attempt after one that may have run, where its class forbids that.
+  RetryNotAllowed,   ///< An attempt after one that may have run, where its class forbids that.
   AttemptsExceeded,  ///< An attempt beyond the number that the settings allow.
-  RejectionNotTrue,  ///< "Safe to send again" of a request that may have run and must not.
+  UnsafeRejection,   ///< "Safe to send again" of a request that may have run and must not.
   ClosedUnanswered,  ///< The gateway closes a connection with a request that it has not answered.
 };
 
 constexpr std::size_t kViolationKinds = 8;
 
-/// As log fields name it, such as "endpoint_leaving".
+/// As log fields name it, such as "endpoint_draining".
 [[nodiscard]] const char* name_of(Violation violation);
 
 /// What was done for a request so far.
@@ -76,7 +76,7 @@
     bool is_leaving = false;
   };
 
-  [[nodiscard]] bool allows_repeat(const RequestHistory& request, TimePoint now) const;
+  [[nodiscard]] bool is_safe_to_retry(const RequestHistory& request, TimePoint now) const;
 
   const Settings& settings_;
   std::map<EndpointId, ListedEndpointState> endpoints_;
--- a/tests/invariant_guard_test.cpp
+++ b/tests/invariant_guard_test.cpp
@@ -66,9 +66,9 @@
 
 TEST_F(InvariantGuardTest, DeniesEndpointThatDrainsOrIsNotListed) {
   guard_.record_listed(kEndpoint, kGroup, EndpointStatus::Draining);
-  EXPECT_EQ(guard_.check_endpoint(kEndpoint), Violation::EndpointLeaving);
+  EXPECT_EQ(guard_.check_endpoint(kEndpoint), Violation::EndpointDraining);
   EXPECT_EQ(guard_.check_attempt(open_request(kIdempotent), kEndpoint, TimePoint{}),
-            Violation::EndpointLeaving);
+            Violation::EndpointDraining);
   guard_.record_unlisted(kEndpoint);
   EXPECT_EQ(guard_.check_endpoint(kEndpoint), Violation::EndpointUnknown);
   guard_.record_listed(kEndpoint, kGroup, EndpointStatus::Up);
@@ -87,7 +87,7 @@
   EXPECT_EQ(guard_.check_endpoint(kEndpoint), std::nullopt);
   guard_.record_listed(kEndpoint, kGroup, EndpointStatus::Draining);
   guard_.record_listed(kEndpoint, kGroup, EndpointStatus::Removed);
-  EXPECT_EQ(guard_.check_endpoint(kEndpoint), Violation::EndpointLeaving);
+  EXPECT_EQ(guard_.check_endpoint(kEndpoint), Violation::EndpointDraining);
 }
 
 TEST_F(InvariantGuardTest, DeniesAttemptBesideAnotherUnlessHedgingIsAllowed) {
@@ -111,11 +111,11 @@
   EXPECT_EQ(guard_.check_attempt(request_that_may_have_run(kIdempotent), kEndpoint, TimePoint(9s)),
             std::nullopt);
   EXPECT_EQ(guard_.check_attempt(request_that_may_have_run(kSingleShot), kEndpoint, TimePoint(1ns)),
-            Violation::RepeatNotAllowed);
+            Violation::RetryNotAllowed);
   for (const std::size_t keyed : {kKeyedInCell, kKeyedEverywhere}) {
     const RequestHistory request = request_that_may_have_run(keyed);
     EXPECT_EQ(guard_.check_attempt(request, kEndpoint, TimePoint(2s - 1ns)), std::nullopt);
-    EXPECT_EQ(guard_.check_attempt(request, kEndpoint, TimePoint(2s)), Violation::RepeatNotAllowed);
+    EXPECT_EQ(guard_.check_attempt(request, kEndpoint, TimePoint(2s)), Violation::RetryNotAllowed);
   }
 }
 
@@ -124,16 +124,16 @@
   EXPECT_EQ(guard_.check_rejection(request_that_may_have_run(kIdempotent)), std::nullopt);
   EXPECT_EQ(guard_.check_rejection(request_that_may_have_run(kKeyedEverywhere)), std::nullopt);
   EXPECT_EQ(guard_.check_rejection(request_that_may_have_run(kKeyedInCell)),
-            Violation::RejectionNotTrue);
+            Violation::UnsafeRejection);
   EXPECT_EQ(guard_.check_rejection(request_that_may_have_run(kSingleShot)),
-            Violation::RejectionNotTrue);
+            Violation::UnsafeRejection);
 }
 
 TEST_F(InvariantGuardTest, CountsEachKindOfViolation) {
   guard_.count(Violation::ClosedUnanswered);
   guard_.count(Violation::ClosedUnanswered);
   EXPECT_EQ(guard_.count_of(Violation::ClosedUnanswered), 2U);
-  EXPECT_EQ(guard_.count_of(Violation::EndpointLeaving), 0U);
+  EXPECT_EQ(guard_.count_of(Violation::EndpointDraining), 0U);
 }
 
 }  // namespace
