--- a/include/gorsebeam/actions.h
+++ b/include/gorsebeam/actions.h
@@ -56,7 +56,10 @@
   TimePoint at{};
 };
 
-/// Asks discovery for the endpoint list and its changes.
+/// Asks discovery for the endpoint list and its changes. Needed where the list is polled
+/// (`DiscoveryMode::Poll`): the program starts one poll for each of these actions. Where discovery
+/// pushes changes, a program that keeps a watch on the list at all times, as the gateway does, has
+/// nothing to do.
 struct WatchEndpoints {};
 
 using Action = std::variant<StartAttempt, SendHealthCheck, CancelAttempt, RejectRequest,
--- a/include/gorsebeam/types.h
+++ b/include/gorsebeam/types.h
@@ -78,4 +78,10 @@
   Misdirected,    ///< Turned away unexecuted: a write at a replica, or a read it is too stale for.
 };
 
+/// Whether an attempt that ended with `status` may have taken effect although no response says so.
+constexpr bool may_have_run(AttemptStatus status) {
+  return status == AttemptStatus::Error || status == AttemptStatus::Timeout ||
+         status == AttemptStatus::Reset || status == AttemptStatus::Cancelled;
+}
+
 }  // namespace gorsebeam
--- a/src/router/attempt_observer.cpp
+++ b/src/router/attempt_observer.cpp
@@ -63,7 +63,7 @@
   case AttemptStatus::NotSent:
     break;
   }
-  const bool may_have_run = RetryPolicy::may_have_run(result.status);
+  const bool may_have_run = gorsebeam::may_have_run(result.status);
   state_.sessions.record_end(request, attempt, result, may_have_run, state_.event.now);
   if (may_have_run && request.may_have_run_at == kUnknown) {
     request.may_have_run_at = attempt.sent_at;
--- a/src/router/retry_policy.cpp
+++ b/src/router/retry_policy.cpp
@@ -129,9 +129,4 @@
   return state_.event.now + kRejectionBackoff * (std::int64_t{1} << request.attempts.size());
 }
 
-bool RetryPolicy::may_have_run(AttemptStatus status) {
-  return status == AttemptStatus::Error || status == AttemptStatus::Timeout ||
-         status == AttemptStatus::Reset || status == AttemptStatus::Cancelled;
-}
-
 }  // namespace gorsebeam::router
--- a/src/router/retry_policy.h
+++ b/src/router/retry_policy.h
@@ -51,9 +51,6 @@
   /// The earliest retry after a primary rejected an attempt: a pause that doubles.
   [[nodiscard]] TimePoint retry_after_rejection(const PendingRequest& request) const;
 
-  /// Whether an attempt that ended so may have had its effect without an answer.
-  [[nodiscard]] static bool may_have_run(AttemptStatus status);
-
 private:
   [[nodiscard]] bool can_repeat_at(const PendingRequest& request,
                                    const EndpointState& endpoint) const;
--- a/tests/router/router_drawn_histories_test.cpp
+++ b/tests/router/router_drawn_histories_test.cpp
@@ -37,7 +37,7 @@
   std::optional<TimePoint> may_have_run_since;
 };
 
-bool may_have_run(AttemptStatus status) {
+bool can_have_taken_effect(AttemptStatus status) {
   return status == AttemptStatus::Error || status == AttemptStatus::Reset ||
          status == AttemptStatus::Timeout;
 }
@@ -175,7 +175,7 @@
     const auto [attempt, endpoint] = *request.in_flight.begin();
     request.in_flight.erase(request.in_flight.begin());
     const AttemptStatus status = kDrawnStatuses.at(below(kDrawnStatuses.size()));
-    if (may_have_run(status) && !request.may_have_run_since)
+    if (can_have_taken_effect(status) && !request.may_have_run_since)
       request.may_have_run_since = harness_.now - 10ms;
     request.finished |= status == AttemptStatus::Ok;
     harness_.end_attempt(id, endpoint, status,
