--- /dev/null
+++ b/src/proxy/endpoint_registry.cpp
@@ -0,0 +1,48 @@
+#include "endpoint_registry.h"
+
+#include <set>
+#include <string>
+#include <utility>
+
+namespace gorsebeam::proxy {
+
+EndpointList EndpointRegistry::apply(EndpointList::Kind kind,
+                                     const std::vector<ListedEndpoint>& endpoints,
+                                     Upstream& upstream) {
+  // Where only draining is binding, a removed endpoint may still get requests and stays known.
+  const bool removal_is_binding = !settings_.only_draining_is_binding;
+  // An endpoint that is missing without a notice of its removal must not leave its connections and
+  // table entries behind.
+  if (kind == EndpointList::Kind::Full && removal_is_binding)
+    remove_unlisted(endpoints, upstream);
+  EndpointList list;
+  list.kind = kind;
+  for (const ListedEndpoint& listed : endpoints) {
+    Endpoint endpoint = listed.endpoint;
+    endpoint.id = directory_.assign_id(listed.name);
+    guard_.record_listed(endpoint.id, endpoint.group, endpoint.status);
+    if (endpoint.status != EndpointStatus::Removed)
+      upstream.add_endpoint(endpoint.id, listed.address);
+    else if (removal_is_binding)
+      remove(endpoint.id, upstream);
+    list.endpoints.push_back(std::move(endpoint));
+  }
+  return list;
+}
+
+void EndpointRegistry::remove_unlisted(const std::vector<ListedEndpoint>& endpoints,
+                                       Upstream& upstream) {
+  std::set<std::string> listed_names;
+  for (const ListedEndpoint& listed : endpoints)
+    listed_names.insert(listed.name);
+  for (const EndpointId endpoint : directory_.all_but(listed_names))
+    remove(endpoint, upstream);
+}
+
+void EndpointRegistry::remove(EndpointId endpoint, Upstream& upstream) {
+  upstream.remove_endpoint(endpoint);
+  guard_.record_unlisted(endpoint);
+  directory_.forget(endpoint);
+}
+
+}  // namespace gorsebeam::proxy
