--- a/src/connection_pool/connection_pool.cpp
+++ b/src/connection_pool/connection_pool.cpp
@@ -49,36 +49,36 @@
 
 void ConnectionPool::start_attempt(AttemptId attempt, EndpointId endpoint, proxy::ClientCall& call,
                                    TimePoint deadline) {
-  PendingUse use;
-  use.attempt = attempt;
-  use.call = &call;
-  use.deadline = deadline;
-  start_use(endpoint, use);
+  Assignment assignment;
+  assignment.attempt = attempt;
+  assignment.call = &call;
+  assignment.deadline = deadline;
+  assign(endpoint, assignment);
 }
 
 void ConnectionPool::start_health_check(EndpointId endpoint) {
-  PendingUse use;
-  use.is_health_check = true;
-  use.deadline = net::now() + limits_.connect_timeout;
-  start_use(endpoint, use);
+  Assignment assignment;
+  assignment.is_health_check = true;
+  assignment.deadline = net::now() + limits_.connect_timeout;
+  assign(endpoint, assignment);
 }
 
-void ConnectionPool::start_use(EndpointId endpoint, const PendingUse& use) {
+void ConnectionPool::assign(EndpointId endpoint, const Assignment& assignment) {
   PooledConnection* connection = acquire_idle(endpoints_[endpoint]);
   if (connection == nullptr) {
     if (!ensure_capacity(endpoint)) {
-      complete_use(endpoint, use, response_with(AttemptStatus::NotSent));
+      release(endpoint, assignment, response_with(AttemptStatus::NotSent));
       return;
     }
     connection = open_connection(endpoint);
   }
   if (connection == nullptr) {
-    complete_use(endpoint, use, response_with(AttemptStatus::ConnectFailed));
+    release(endpoint, assignment, response_with(AttemptStatus::ConnectFailed));
     return;
   }
-  if (use.attempt != 0)
-    attempts_[use.attempt] = connection;
-  connection->assign(use);
+  if (assignment.attempt != 0)
+    attempts_[assignment.attempt] = connection;
+  connection->assign(assignment);
 }
 
 PooledConnection* ConnectionPool::open_connection(EndpointId endpoint) {
@@ -100,7 +100,7 @@
 // the loop closes them too.
 PooledConnection* ConnectionPool::acquire_idle(EndpointConnections& endpoint) {
   // The timer that retires a connection may be late after a pause of the loop.
-  const Duration max_idle_time = std::min(idle_lifetime_.max_idle_time(), retirement_age(limits_));
+  const Duration max_idle_time = std::min(idle_lifetime_.max_idle_time(), idle_time_limit(limits_));
   while (!endpoint.idle.empty()) {
     PooledConnection* const connection = endpoint.idle.back();
     const Duration idle_time = net::now() - connection->idle_since();
@@ -115,9 +115,9 @@
 
 // Bounds the descriptors in use.
 bool ConnectionPool::ensure_capacity(EndpointId endpoint) {
-  if (endpoints_[endpoint].count >= limits_.per_member)
+  if (endpoints_[endpoint].count >= limits_.max_connections_per_endpoint)
     return false;
-  if (connections_.size() < limits_.connections)
+  if (connections_.size() < limits_.max_connections)
     return true;
   PooledConnection* const oldest = longest_idle();
   if (oldest == nullptr) {
@@ -149,16 +149,16 @@
   idle_lifetime_.record_use(idle_time, broke);
 }
 
-void ConnectionPool::complete_use(EndpointId endpoint, const PendingUse& use,
-                                  const proxy::UpstreamResponse& response) {
-  if (use.is_health_check) {
+void ConnectionPool::release(EndpointId endpoint, const Assignment& assignment,
+                             const proxy::UpstreamResponse& response) {
+  if (assignment.is_health_check) {
     broker_.complete_health_check(endpoint, response);
     return;
   }
-  if (use.attempt == 0)
+  if (assignment.attempt == 0)
     return;  // a connection that was opened and lost its use meanwhile
-  attempts_.erase(use.attempt);
-  broker_.complete_attempt(use.attempt, response);
+  attempts_.erase(assignment.attempt);
+  broker_.complete_attempt(assignment.attempt, response);
 }
 
 void ConnectionPool::add_idle(PooledConnection& connection) {
--- a/src/connection_pool/connection_pool.h
+++ b/src/connection_pool/connection_pool.h
@@ -61,12 +61,12 @@
   [[nodiscard]] bool is_current_address(EndpointId endpoint,
                                         const std::string& address) const override;
   void record_idle_use(Duration idle_time, bool broke) override;
-  void complete_use(EndpointId endpoint, const PendingUse& use,
-                    const proxy::UpstreamResponse& response) override;
+  void release(EndpointId endpoint, const Assignment& assignment,
+               const proxy::UpstreamResponse& response) override;
   void add_idle(PooledConnection& connection) override;
   void discard(PooledConnection& connection) override;
 
-  void start_use(EndpointId endpoint, const PendingUse& use);
+  void assign(EndpointId endpoint, const Assignment& assignment);
   /// Removes the idle connection that was used last and is still usable; null if there is none.
   PooledConnection* acquire_idle(EndpointConnections& endpoint);
   /// Opens a connection; null if that is not possible.
--- a/src/connection_pool/pooled_connection.cpp
+++ b/src/connection_pool/pooled_connection.cpp
@@ -12,18 +12,18 @@
 constexpr Duration kMaxResponseGap = 150ms;  // between two pieces of one response
 // A response up to this size is read to its end even while memory is short.
 constexpr std::size_t kMaxSmallResponse = 16 * 1024;
-constexpr Duration kMaxKeepaliveMargin = 3s;
+constexpr Duration kMaxIdleTimeoutMargin = 3s;
 
-RequestKind request_kind(const PendingUse& use) {
-  return use.is_health_check ? RequestKind::HealthCheck : RequestKind::ClientRequest;
+RequestKind request_kind(const Assignment& assignment) {
+  return assignment.is_health_check ? RequestKind::HealthCheck : RequestKind::ClientRequest;
 }
 
 }  // namespace
 
-Duration retirement_age(const PoolLimits& limits) {
-  if (limits.keepalive <= 0ms)
+Duration idle_time_limit(const PoolLimits& limits) {
+  if (limits.idle_timeout <= 0ms)
     return Duration::max();
-  return limits.keepalive - std::min<Duration>(limits.keepalive / 4, kMaxKeepaliveMargin);
+  return limits.idle_timeout - std::min<Duration>(limits.idle_timeout / 4, kMaxIdleTimeoutMargin);
 }
 
 proxy::UpstreamResponse response_with(AttemptStatus status) {
@@ -45,23 +45,23 @@
   return is_open() && stream_->input().size() == 0 && !stream_->readable();
 }
 
-void PooledConnection::assign(const PendingUse& use) {
-  use_ = use;
+void PooledConnection::assign(const Assignment& assignment) {
+  assignment_ = assignment;
   in_use_ = true;
   if (state_ == State::Idle)
     write_request();
   else
-    timer_.at(std::min(net::now() + owner_.limits().connect_timeout, use.deadline));
+    timer_.at(std::min(net::now() + owner_.limits().connect_timeout, assignment.deadline));
 }
 
 void PooledConnection::detach_call() {
-  use_.call = nullptr;
-  if (state_ == State::Connecting || state_ == State::AwaitingGreeting)
-    complete_use(response_with(AttemptStatus::NotSent), AfterUse::Keep);
+  assignment_.call = nullptr;
+  if (state_ == State::Connecting || state_ == State::AwaitingHandshake)
+    release(response_with(AttemptStatus::NotSent), Disposition::Keep);
 }
 
 void PooledConnection::fail(AttemptStatus status) {
-  complete_use(response_with(status), AfterUse::Close);
+  release(response_with(status), Disposition::Close);
 }
 
 void PooledConnection::close() {
@@ -76,7 +76,7 @@
     become_ready();
     return;
   }
-  state_ = State::AwaitingGreeting;
+  state_ = State::AwaitingHandshake;
   stream_->write({handshake});
 }
 
@@ -92,29 +92,30 @@
 // by now the endpoint may be draining, the time for a retry be over, or the evidence that the
 // endpoint is current have expired.
 void PooledConnection::write_request() {
-  const Duration left = use_.deadline - net::now();
+  const Duration left = assignment_.deadline - net::now();
   if (left <= 0ms || !is_authorized()) {
     net::log({"attempt_not_written",
               {{"endpoint", std::to_string(endpoint_)},
                {"reason", left <= 0ms ? "out_of_time" : "not_allowed"}}});
-    complete_use(response_with(AttemptStatus::NotSent), AfterUse::Keep);
+    release(response_with(AttemptStatus::NotSent), Disposition::Keep);
     return;
   }
   state_ = State::Writing;
   response_started_ = false;
   if (idle_since_ > TimePoint{})
     idle_time_ = net::now() - idle_since_;
-  timer_.at(use_.deadline);
-  stream_->write(use_.is_health_check ? protocol_->health_check_message()
-                                      : protocol_->frame_request(use_.call->body(left)));
+  timer_.at(assignment_.deadline);
+  stream_->write(assignment_.is_health_check
+                     ? protocol_->health_check_message()
+                     : protocol_->frame_request(assignment_.call->body(left)));
   if (stream_->all_written())
     flushed();
 }
 
 bool PooledConnection::is_authorized() {
-  if (use_.is_health_check)
+  if (assignment_.is_health_check)
     return broker_.authorize_health_check(endpoint_);
-  return broker_.authorize_attempt(use_.attempt);
+  return broker_.authorize_attempt(assignment_.attempt);
 }
 
 void PooledConnection::flushed() {
@@ -124,8 +125,8 @@
 
 void PooledConnection::received() {
   switch (state_) {
-  case State::AwaitingGreeting:
-    read_greeting();
+  case State::AwaitingHandshake:
+    read_handshake();
     return;
   case State::Writing:
   case State::AwaitingResponse:
@@ -138,7 +139,7 @@
   }
 }
 
-void PooledConnection::read_greeting() {
+void PooledConnection::read_handshake() {
   const HandshakeResult result = protocol_->parse_handshake(stream_->input().view());
   switch (result.status) {
   case HandshakeResult::Status::Incomplete:
@@ -159,20 +160,20 @@
 void PooledConnection::read_response() {
   const std::string_view input = stream_->input().view();
   const ParsedResponse parsed =
-      protocol_->parse_response(input, request_kind(use_), InputState::Open);
+      protocol_->parse_response(input, request_kind(assignment_), InputState::Open);
   const PoolLimits& limits = owner_.limits();
   const bool has_memory =
-      net::total_buffered_bytes() <= limits.buffered || input.size() <= kMaxSmallResponse;
+      net::total_buffered_bytes() <= limits.max_buffered_bytes || input.size() <= kMaxSmallResponse;
   // The bound holds for a complete response too, so that it does not matter in how many reads it
   // arrived.
   const bool is_complete = parsed.status == ParsedResponse::Status::Complete;
   const std::size_t size = is_complete ? parsed.consumed_bytes : input.size();
-  const bool fits = size <= limits.answer_bytes;
+  const bool fits = size <= limits.max_response_bytes;
   if (parsed.status == ParsedResponse::Status::Incomplete && fits && has_memory) {
     // A response whose length field is wrong would never end: one that began and does not go on is
     // an error.
     response_started_ = true;
-    timer_.at(std::min(use_.deadline, net::now() + kMaxResponseGap));
+    timer_.at(std::min(assignment_.deadline, net::now() + kMaxResponseGap));
     return;
   }
   if (!is_complete || !fits) {
@@ -183,8 +184,8 @@
   // After a response to a request that was not yet sent whole the connection is of no further use.
   const bool is_reusable =
       state_ == State::AwaitingResponse && input.size() == parsed.consumed_bytes;
-  complete_use(parsed.response, is_reusable ? AfterUse::Keep : AfterUse::Close,
-               parsed.consumed_bytes);
+  release(parsed.response, is_reusable ? Disposition::Keep : Disposition::Close,
+          parsed.consumed_bytes);
 }
 
 void PooledConnection::ended(const std::string&) {
@@ -193,15 +194,15 @@
     return;
   }
   if (state_ != State::AwaitingResponse) {
-    complete_use(response_with(AttemptStatus::ConnectFailed), AfterUse::Broken);
+    release(response_with(AttemptStatus::ConnectFailed), Disposition::Broken);
     return;
   }
-  const ParsedResponse parsed =
-      protocol_->parse_response(stream_->input().view(), request_kind(use_), InputState::Ended);
+  const ParsedResponse parsed = protocol_->parse_response(
+      stream_->input().view(), request_kind(assignment_), InputState::Ended);
   if (parsed.status == ParsedResponse::Status::Complete)
-    complete_use(parsed.response, AfterUse::Close);
+    release(parsed.response, Disposition::Close);
   else
-    complete_use(response_with(AttemptStatus::Reset), AfterUse::Broken);
+    release(response_with(AttemptStatus::Reset), Disposition::Broken);
 }
 
 void PooledConnection::handle_timer() {
@@ -209,7 +210,7 @@
     owner_.discard(*this);  // idle for long enough, or not opened in time
     return;
   }
-  const bool is_past_deadline = net::now() >= use_.deadline;
+  const bool is_past_deadline = net::now() >= assignment_.deadline;
   if (state_ == State::AwaitingResponse) {
     const bool has_stalled = response_started_ && !is_past_deadline;
     fail(has_stalled ? AttemptStatus::Error : AttemptStatus::Timeout);
@@ -218,26 +219,26 @@
   // It was not written whole, so it never ran. That a connection was not open by the request's own
   // deadline says nothing of the endpoint.
   const bool is_endpoints_fault =
-      !is_past_deadline || state_ == State::Writing || use_.is_health_check;
+      !is_past_deadline || state_ == State::Writing || assignment_.is_health_check;
   fail(is_endpoints_fault ? AttemptStatus::ConnectFailed : AttemptStatus::NotSent);
 }
 
 // A connection that is not kept is closed before the router hears of the end, as it may start
 // another attempt at once, and two must not be in flight. One that is kept is idle when the batch
 // ends, so that the next attempt finds it.
-void PooledConnection::complete_use(const proxy::UpstreamResponse& response, AfterUse after_use,
-                                    std::size_t used) {
-  const PendingUse use = std::exchange(use_, PendingUse{});
+void PooledConnection::release(const proxy::UpstreamResponse& response, Disposition disposition,
+                               std::size_t used) {
+  const Assignment assignment = std::exchange(assignment_, Assignment{});
   const Duration idle_time = std::exchange(idle_time_, 0ms);
   if (idle_time > 0ms)
-    owner_.record_idle_use(idle_time, after_use == AfterUse::Broken && !response_started_);
+    owner_.record_idle_use(idle_time, disposition == Disposition::Broken && !response_started_);
   in_use_ = false;
   timer_.stop();
   const proxy::RequestBroker::EventBatch batch(broker_);
-  if (after_use != AfterUse::Keep && stream_)
+  if (disposition != Disposition::Keep && stream_)
     stream_->close();
-  owner_.complete_use(endpoint_, use, response);
-  if (after_use != AfterUse::Keep) {
+  owner_.release(endpoint_, assignment, response);
+  if (disposition != Disposition::Keep) {
     owner_.discard(*this);
     return;
   }
@@ -258,8 +259,8 @@
     return;
   }
   idle_since_ = net::now();
-  if (owner_.limits().keepalive > 0ms)
-    timer_.after(retirement_age(owner_.limits()));
+  if (owner_.limits().idle_timeout > 0ms)
+    timer_.after(idle_time_limit(owner_.limits()));
   owner_.add_idle(*this);
 }
 
--- a/src/connection_pool/pooled_connection.h
+++ b/src/connection_pool/pooled_connection.h
@@ -17,7 +17,7 @@
 namespace gorsebeam::connection_pool {
 
 /// What a connection is used for: an attempt, or a health check.
-struct PendingUse {
+struct Assignment {
   proxy::AttemptId attempt = 0;       ///< 0: none.
   proxy::ClientCall* call = nullptr;  ///< Borrowed; null for a health check and once detached.
   TimePoint deadline{};               ///< The use ends by then.
@@ -41,8 +41,8 @@
     /// A use of a connection that had been idle for `idle_time` ended; `broke` without a response.
     virtual void record_idle_use(Duration idle_time, bool broke) = 0;
     /// The one end of a use.
-    virtual void complete_use(EndpointId endpoint, const PendingUse& use,
-                              const proxy::UpstreamResponse& response) = 0;
+    virtual void release(EndpointId endpoint, const Assignment& assignment,
+                         const proxy::UpstreamResponse& response) = 0;
     /// The connection is ready for another use.
     virtual void add_idle(PooledConnection& connection) = 0;
     /// Closes the connection and forgets it. Ignored if that was done before.
@@ -74,7 +74,7 @@
   [[nodiscard]] TimePoint idle_since() const { return idle_since_; }
 
   /// Starts a use, of a connection that is idle or still being opened and has none.
-  void assign(const PendingUse& use);
+  void assign(const Assignment& assignment);
 
   /// Gives back the call of the use in hand. What is not written yet will not be written.
   void detach_call();
@@ -86,10 +86,10 @@
   void close();
 
 private:
-  enum class State { Connecting, AwaitingGreeting, Idle, Writing, AwaitingResponse };
+  enum class State { Connecting, AwaitingHandshake, Idle, Writing, AwaitingResponse };
 
   /// What becomes of the connection when its use ends.
-  enum class AfterUse {
+  enum class Disposition {
     Keep,
     Close,
     Broken,  ///< Closed, because the endpoint or the network ended it.
@@ -103,11 +103,11 @@
   void become_ready();
   void write_request();
   [[nodiscard]] bool is_authorized();
-  void read_greeting();
+  void read_handshake();
   void read_response();
   void handle_timer();
-  void complete_use(const proxy::UpstreamResponse& response, AfterUse after_use,
-                    std::size_t used = 0);
+  void release(const proxy::UpstreamResponse& response, Disposition disposition,
+               std::size_t used = 0);
   void become_idle();
 
   Owner& owner_;
@@ -118,7 +118,7 @@
   const std::string address_;
   std::shared_ptr<net::Stream> stream_;
   State state_ = State::Connecting;
-  PendingUse use_;
+  Assignment assignment_;
   bool in_use_ = false;
   bool response_started_ = false;  // some bytes of the response have arrived
   TimePoint idle_since_{};
--- a/src/gateway/protocol_path.cpp
+++ b/src/gateway/protocol_path.cpp
@@ -31,9 +31,10 @@
   clients.buffered_bytes = limit_within(clients.buffered_bytes, buffered_bytes);
   if (limits.message_kib() != 0)
     clients.message_bytes = static_cast<std::size_t>(limits.message_kib()) << 10;
-  endpoints.connections = limit_within(endpoints.connections, limits.member_connections());
-  endpoints.per_member =
-      std::min(endpoints.per_member, max_connections_per_endpoint(endpoints.connections));
+  endpoints.max_connections = limit_within(endpoints.max_connections, limits.member_connections());
+  endpoints.max_connections_per_endpoint =
+      std::min(endpoints.max_connections_per_endpoint,
+               max_connections_per_endpoint(endpoints.max_connections));
   frontend_.set_limits(clients);
   pool_.set_limits(endpoints);
 }
--- a/src/gateway/resource_shares.cpp
+++ b/src/gateway/resource_shares.cpp
@@ -39,12 +39,13 @@
   share.frontend.lingering = std::max<std::size_t>(share_sockets / 20, 1);
   share.frontend.connections =
       share_sockets / 2 - share.frontend.rejecting - share.frontend.lingering;
-  share.pool.connections = share_sockets - share_sockets / 2;
-  share.pool.per_member = max_connections_per_endpoint(share.pool.connections);
+  share.pool.max_connections = share_sockets - share_sockets / 2;
+  share.pool.max_connections_per_endpoint =
+      max_connections_per_endpoint(share.pool.max_connections);
   // Buffers may use a quarter of the memory; half of that is kept free of incomplete messages, so
   // that answers always have space.
   share.frontend.buffered_bytes = memory_bytes / 8;
-  share.pool.buffered = memory_bytes / 4;
+  share.pool.max_buffered_bytes = memory_bytes / 4;
   return share;
 }
 
