--- a/src/connection_pool/connection_pool.cpp
+++ b/src/connection_pool/connection_pool.cpp
@@ -3,12 +3,23 @@
 #include "net/log.h"
 
 #include <algorithm>
+#include <optional>
+#include <string>
 #include <utility>
 
 namespace gorsebeam::connection_pool {
 
 using proxy::AttemptId;
 
+namespace {
+
+/// Whether `duration` is below `limit`; an empty limit is none.
+bool is_within(Duration duration, std::optional<Duration> limit) {
+  return !limit || duration < *limit;
+}
+
+}  // namespace
+
 ConnectionPool::ConnectionPool(proxy::RequestBroker& broker, UpstreamProtocolFactory make_protocol,
                                const PoolLimits& limits)
     : broker_(broker), make_protocol_(make_protocol), limits_(limits), deletion_timer_([this] {
@@ -26,14 +37,14 @@
     return;
   entry.address = address;
   while (!entry.idle.empty())
-    discard(*entry.idle.back());  // they lead to the old address
+    discard(*entry.idle.back());  // connected to the old address
 }
 
 void ConnectionPool::remove_endpoint(EndpointId endpoint) {
   const auto found = endpoints_.find(endpoint);
   if (found == endpoints_.end())
     return;
-  // Without an address nothing new is opened; the last connection takes the entry with it.
+  // Without an address no connection is opened; the entry is erased with its last connection.
   found->second.address.clear();
   const std::vector<PooledConnection*> idle = found->second.idle;
   for (PooledConnection* connection : idle)
@@ -58,7 +69,6 @@
 
 void ConnectionPool::start_health_check(EndpointId endpoint) {
   Assignment assignment;
-  assignment.is_health_check = true;
   assignment.deadline = net::now() + limits_.connect_timeout;
   assign(endpoint, assignment);
 }
@@ -76,8 +86,8 @@
     release(endpoint, assignment, response_with(AttemptStatus::ConnectFailed));
     return;
   }
-  if (assignment.attempt != 0)
-    attempts_[assignment.attempt] = connection;
+  if (assignment.attempt)
+    attempts_[*assignment.attempt] = connection;
   connection->assign(assignment);
 }
 
@@ -96,15 +106,18 @@
   return opened;
 }
 
-// When the connection used last has been idle for too long, all others have been for longer, and
-// the loop closes them too.
+// If the connection that became idle last has been idle for too long, so have all others, and the
+// loop closes them too.
 PooledConnection* ConnectionPool::acquire_idle(EndpointConnections& endpoint) {
-  // The timer that retires a connection may be late after a pause of the loop.
-  const Duration max_idle_time = std::min(idle_lifetime_.max_idle_time(), idle_time_limit(limits_));
+  // The timer that closes an idle connection can be late after a pause of the process, so that the
+  // pool's own limit is checked here too.
+  const auto limit_by_settings = idle_time_limit(limits_);
+  const auto limit_by_estimate = idle_lifetime_.idle_time_limit(net::now());
   while (!endpoint.idle.empty()) {
     PooledConnection* const connection = endpoint.idle.back();
-    const Duration idle_time = net::now() - connection->idle_since();
-    if (connection->is_idle_and_silent() && idle_time < max_idle_time) {
+    const Duration idle_time = connection->idle_time(net::now());
+    if (connection->is_idle_and_silent() && is_within(idle_time, limit_by_settings) &&
+        is_within(idle_time, limit_by_estimate)) {
       endpoint.idle.pop_back();
       return connection;
     }
@@ -129,12 +142,13 @@
 }
 
 PooledConnection* ConnectionPool::longest_idle() const {
+  const TimePoint now = net::now();
   PooledConnection* oldest = nullptr;
   for (const auto& [id, endpoint] : endpoints_) {
     if (endpoint.idle.empty())
       continue;
     PooledConnection* const candidate = endpoint.idle.front();
-    if (oldest == nullptr || candidate->idle_since() < oldest->idle_since())
+    if (oldest == nullptr || candidate->idle_time(now) > oldest->idle_time(now))
       oldest = candidate;
   }
   return oldest;
@@ -145,27 +159,25 @@
   return found != endpoints_.end() && found->second.address == address;
 }
 
-void ConnectionPool::record_idle_use(Duration idle_time, bool broke) {
-  idle_lifetime_.record_use(idle_time, broke);
+void ConnectionPool::record_reuse(Duration idle_time, ReuseOutcome outcome) {
+  idle_lifetime_.record_reuse(net::now(), idle_time, outcome);
 }
 
 void ConnectionPool::release(EndpointId endpoint, const Assignment& assignment,
                              const proxy::UpstreamResponse& response) {
-  if (assignment.is_health_check) {
+  if (!assignment.attempt) {
     broker_.complete_health_check(endpoint, response);
     return;
   }
-  if (assignment.attempt == 0)
-    return;  // a connection that was opened and lost its use meanwhile
-  attempts_.erase(assignment.attempt);
-  broker_.complete_attempt(assignment.attempt, response);
+  attempts_.erase(*assignment.attempt);
+  broker_.complete_attempt(*assignment.attempt, response);
 }
 
 void ConnectionPool::add_idle(PooledConnection& connection) {
   endpoints_[connection.endpoint()].idle.push_back(&connection);
 }
 
-// A response may end connections, so that each is looked up again before it is read.
+// A response can end other connections, so that each is looked up again before it is read.
 void ConnectionPool::read_pending() {
   std::vector<PooledConnection*> awaiting;
   for (const auto& [connection, owned] : connections_) {
--- a/src/connection_pool/connection_pool.h
+++ b/src/connection_pool/connection_pool.h
@@ -1,8 +1,8 @@
-/// Connections to endpoints: opened as needed, used for one request at a time, kept for the next,
-/// retired before the endpoint would close them.
+/// Connections to endpoints: opened as needed, used for one request at a time, kept idle for the
+/// next one, and closed before the endpoint would close them.
 ///
-/// The same for every wire protocol; an `UpstreamProtocol` holds what differs. Runs on the main
-/// loop's thread.
+/// The pool knows no wire protocol; an `UpstreamProtocol` translates for each connection. Runs on
+/// the main loop's thread.
 #pragma once
 
 #include "idle_lifetime_estimator.h"
@@ -22,8 +22,8 @@
 
 namespace gorsebeam::connection_pool {
 
-/// Owns its connections and borrows the broker, which must outlive it. When it is destroyed, all
-/// connections are closed and no use is completed any more.
+/// Owns its connections and borrows the broker, which must outlive it. Its destruction closes all
+/// connections; assignments that are left do not end.
 class ConnectionPool : public proxy::Upstream, private PooledConnection::Owner {
 public:
   ConnectionPool(proxy::RequestBroker& broker, UpstreamProtocolFactory make_protocol,
@@ -42,32 +42,31 @@
   void cancel_attempt(proxy::AttemptId attempt) override;
   void detach_call(proxy::AttemptId attempt) override;
 
-  /// Open connections, idle ones included.
-  [[nodiscard]] std::size_t connections() const { return connections_.size(); }
-
   [[nodiscard]] const PoolLimits& limits() const override { return limits_; }
 
-  /// Applies from now on; closes no connection by itself.
+  /// Applies `limits` from now on; closes no connection by itself.
   void set_limits(const PoolLimits& limits) { limits_ = limits; }
 
 private:
   /// The connections to one endpoint.
   struct EndpointConnections {
     std::string address;                  ///< Empty: removed, or never added.
-    std::vector<PooledConnection*> idle;  ///< The one used last at the end.
-    std::size_t count = 0;                ///< Idle or in use.
+    std::vector<PooledConnection*> idle;  ///< In the order in which they became idle.
+    std::size_t count = 0;                ///< Of all connections, idle or assigned.
   };
 
   [[nodiscard]] bool is_current_address(EndpointId endpoint,
                                         const std::string& address) const override;
-  void record_idle_use(Duration idle_time, bool broke) override;
+  void record_reuse(Duration idle_time, ReuseOutcome outcome) override;
   void release(EndpointId endpoint, const Assignment& assignment,
                const proxy::UpstreamResponse& response) override;
   void add_idle(PooledConnection& connection) override;
   void discard(PooledConnection& connection) override;
 
+  /// Assigns a connection, an idle one if possible. The assignment can end inside this function.
   void assign(EndpointId endpoint, const Assignment& assignment);
-  /// Removes the idle connection that was used last and is still usable; null if there is none.
+  /// Removes the connection that became idle last from the idle ones if it is still usable, and
+  /// closes those that are not; null if none is left.
   PooledConnection* acquire_idle(EndpointConnections& endpoint);
   /// Opens a connection; null if that is not possible.
   PooledConnection* open_connection(EndpointId endpoint);
@@ -84,7 +83,7 @@
   std::unordered_map<PooledConnection*, std::unique_ptr<PooledConnection>> connections_;
   std::unordered_map<proxy::AttemptId, PooledConnection*> attempts_;
   IdleLifetimeEstimator idle_lifetime_;
-  // Kept until their callbacks have returned.
+  /// Closed connections, which are destroyed once their callbacks have returned.
   std::list<std::unique_ptr<PooledConnection>> discarded_;
   net::Timer deletion_timer_;
 };
--- a/src/connection_pool/idle_lifetime_estimator.cpp
+++ b/src/connection_pool/idle_lifetime_estimator.cpp
@@ -1,18 +1,15 @@
 #include "idle_lifetime_estimator.h"
 
-#include "net/timer.h"
-
 #include <cmath>
-#include <limits>
 
 namespace gorsebeam::connection_pool {
 namespace {
 
 constexpr Duration kFirstIntervalEnd = 25ms;  // a shorter idle time counts as none
 constexpr double kMinSamples = 8;
-// The share of broken uses above that of connections that were not idle.
+// How far the share of broken connections may exceed that of connections that were not idle.
 constexpr double kMaxExcessFailureRatio = 0.1;
-constexpr double kDecayTime = 20e9;  // ns
+constexpr Duration kDecayTime = 20s;
 
 }  // namespace
 
@@ -23,29 +20,28 @@
   return interval;
 }
 
-void IdleLifetimeEstimator::decay() {
-  const TimePoint now = net::now();
-  const double kept = std::exp(-to_double(now - decayed_at_) / kDecayTime);
+void IdleLifetimeEstimator::decay(TimePoint now) {
+  const double factor = std::exp(-ratio(now - decayed_at_, kDecayTime));
   for (Interval& interval : intervals_) {
-    interval.uses *= kept;
-    interval.broken *= kept;
+    interval.uses *= factor;
+    interval.broken *= factor;
   }
   decayed_at_ = now;
 }
 
-void IdleLifetimeEstimator::record_use(Duration idle_time, bool broke) {
-  decay();
+void IdleLifetimeEstimator::record_reuse(TimePoint now, Duration idle_time, ReuseOutcome outcome) {
+  decay(now);
   Interval& interval = intervals_[interval_of(idle_time)];
   interval.uses += 1;
-  if (broke)
+  if (outcome == ReuseOutcome::Broken)
     interval.broken += 1;
 }
 
-Duration IdleLifetimeEstimator::max_idle_time() {
-  decay();
+std::optional<Duration> IdleLifetimeEstimator::idle_time_limit(TimePoint now) {
+  decay(now);
   const Interval& not_idle = intervals_[0];
-  const double usual_ratio = not_idle.uses > 0 ? not_idle.broken / not_idle.uses : 0;
-  const double max_ratio = usual_ratio + kMaxExcessFailureRatio;
+  const double base_ratio = not_idle.uses > 0 ? not_idle.broken / not_idle.uses : 0;
+  const double max_ratio = base_ratio + kMaxExcessFailureRatio;
   Duration begin = kFirstIntervalEnd;
   for (std::size_t i = 1; i < kIntervals; ++i) {
     const Interval& interval = intervals_[i];
@@ -53,7 +49,7 @@
       return begin;
     begin *= 2;
   }
-  return Duration::max();
+  return std::nullopt;
 }
 
 }  // namespace gorsebeam::connection_pool
--- a/src/connection_pool/idle_lifetime_estimator.h
+++ b/src/connection_pool/idle_lifetime_estimator.h
@@ -1,31 +1,37 @@
 /// Estimates how long an idle connection stays usable.
 #pragma once
 
-#include "gorsebeam/router.h"
+#include "gorsebeam/time.h"
 
 #include <array>
 #include <cstddef>
+#include <optional>
 
 namespace gorsebeam::connection_pool {
 
+/// How the first request on a connection that had been idle ended.
+enum class ReuseOutcome {
+  Usable,
+  Broken,  ///< The connection broke before any byte of a response.
+};
+
 /// Counts how reused connections fared, by how long they had been idle. The network, or the
-/// endpoints, may forget idle connections long before the settings say; each request on such a
+/// endpoints, may drop idle connections long before the settings say; each request on such a
 /// connection ends as a reset and may have run.
 ///
-/// The counts decay over 20 s, after which a longer idle time is tried again. Reads the gateway's
-/// clock; runs on one thread.
+/// The counts decay with a time constant of 20 s, after which a longer idle time is tried again.
+/// Pure; runs on one thread; the caller passes the time in, which never goes back.
 class IdleLifetimeEstimator {
 public:
-  /// Records one use of a connection that had been idle for `idle_time` nanoseconds, and whether
-  /// the connection broke before any byte of a response.
-  void record_use(Duration idle_time, bool broke);
+  /// Records the reuse of a connection that had been idle for `idle_time`.
+  void record_reuse(TimePoint now, Duration idle_time, ReuseOutcome outcome);
 
-  /// The idle time in nanoseconds from which a connection is not used again; the highest `Duration`
-  /// while no idle time fares worse than none.
-  [[nodiscard]] Duration max_idle_time();
+  /// The idle time from which a connection must not be used again; empty while connections that
+  /// were idle break no more often than others.
+  [[nodiscard]] std::optional<Duration> idle_time_limit(TimePoint now);
 
 private:
-  /// Decayed counts of uses after idle times in one interval.
+  /// Decayed counts of reuses after idle times in one interval.
   struct Interval {
     double uses = 0;
     double broken = 0;
@@ -34,9 +40,9 @@
   static constexpr std::size_t kIntervals = 8;
 
   [[nodiscard]] static std::size_t interval_of(Duration idle_time);
-  void decay();
+  void decay(TimePoint now);
 
-  std::array<Interval, kIntervals> intervals_;  // each reaches twice as far as the one before
+  std::array<Interval, kIntervals> intervals_;  ///< Each ends at twice the end of the one before.
   TimePoint decayed_at_{};
 };
 
--- a/src/connection_pool/pool_limits.h
+++ b/src/connection_pool/pool_limits.h
@@ -1,24 +1,32 @@
 /// The limits of a connection pool.
 #pragma once
 
-#include "gorsebeam/router.h"
+#include "gorsebeam/time.h"
 
 #include <cstddef>
+#include <optional>
 
 namespace gorsebeam::connection_pool {
 
 struct PoolLimits {
-  Duration connect_timeout = 250ms;   ///< Of opening a connection, and of a health check.
-  Duration idle_timeout = 30s;        ///< An endpoint closes a connection idle for this long.
-  std::size_t max_connections = 400;  ///< To all endpoints together.
-  std::size_t max_connections_per_endpoint = 150;  ///< To one endpoint.
-  std::size_t max_response_bytes = 256 * 1024;     ///< Of one response.
-  std::size_t max_buffered_bytes =
-      32 << 20;  ///< Bytes that all connections hold, also those of clients.
+  /// Of opening a connection, and of a health check.
+  Duration connect_timeout = 250ms;
+  /// After this time endpoints close an idle connection; empty if they close none. Above 0.
+  std::optional<Duration> idle_timeout = 30s;
+  /// To all endpoints together, idle connections included.
+  std::size_t max_connections = 400;
+  /// To one endpoint, idle connections included.
+  std::size_t max_connections_per_endpoint = 150;
+  /// Of one response, framing included. A longer one fails its attempt.
+  std::size_t max_response_bytes = 256 * 1024;
+  /// In the buffers of all connections of the process, those of clients included. Beyond it only
+  /// small responses are read.
+  std::size_t max_buffered_bytes = 32 << 20;
 };
 
-/// The idle time after which a connection is retired: well before the endpoint would close it, as a
-/// request that crosses that close ends as a reset. The highest `Duration` if endpoints close none.
-[[nodiscard]] Duration idle_time_limit(const PoolLimits& limits);
+/// The idle time after which the pool closes a connection: well before the endpoint does, as a
+/// request that crosses the endpoint's close on the wire ends as a reset. Empty if endpoints close
+/// none.
+[[nodiscard]] std::optional<Duration> idle_time_limit(const PoolLimits& limits);
 
 }  // namespace gorsebeam::connection_pool
--- a/src/connection_pool/pooled_connection.cpp
+++ b/src/connection_pool/pooled_connection.cpp
@@ -3,7 +3,7 @@
 #include "net/log.h"
 
 #include <algorithm>
-#include <limits>
+#include <string_view>
 #include <utility>
 
 namespace gorsebeam::connection_pool {
@@ -12,20 +12,25 @@
 constexpr Duration kMaxResponseGap = 150ms;  // between two pieces of one response
 // A response up to this size is read to its end even while memory is short.
 constexpr std::size_t kMaxSmallResponse = 16 * 1024;
-constexpr Duration kMaxIdleTimeoutMargin = 3s;
 
-RequestKind request_kind(const Assignment& assignment) {
-  return assignment.is_health_check ? RequestKind::HealthCheck : RequestKind::ClientRequest;
+/// Why a request is not written to a connection that is ready.
+enum class NotWrittenReason {
+  OutOfTime,   ///< The deadline of the assignment has passed.
+  NotAllowed,  ///< The broker does not authorize it.
+};
+
+const char* name_of(NotWrittenReason reason) {
+  switch (reason) {
+  case NotWrittenReason::OutOfTime:
+    return "out_of_time";
+  case NotWrittenReason::NotAllowed:
+    return "not_allowed";
+  }
+  return "unknown";
 }
 
 }  // namespace
 
-Duration idle_time_limit(const PoolLimits& limits) {
-  if (limits.idle_timeout <= 0ms)
-    return Duration::max();
-  return limits.idle_timeout - std::min<Duration>(limits.idle_timeout / 4, kMaxIdleTimeoutMargin);
-}
-
 proxy::UpstreamResponse response_with(AttemptStatus status) {
   proxy::UpstreamResponse response;
   response.status = status;
@@ -45,18 +50,23 @@
   return is_open() && stream_->input().size() == 0 && !stream_->readable();
 }
 
+Duration PooledConnection::idle_time(TimePoint now) const {
+  return idle_since_ ? now - *idle_since_ : 0ms;
+}
+
 void PooledConnection::assign(const Assignment& assignment) {
   assignment_ = assignment;
-  in_use_ = true;
-  if (state_ == State::Idle)
-    write_request();
-  else
+  if (state_.is_opening()) {
     timer_.at(std::min(net::now() + owner_.limits().connect_timeout, assignment.deadline));
+    return;
+  }
+  state_.become_ready();
+  write_request();
 }
 
 void PooledConnection::detach_call() {
-  assignment_.call = nullptr;
-  if (state_ == State::Connecting || state_ == State::AwaitingHandshake)
+  assignment_->call = nullptr;
+  if (state_.is_opening())
     release(response_with(AttemptStatus::NotSent), Disposition::Keep);
 }
 
@@ -76,65 +86,67 @@
     become_ready();
     return;
   }
-  state_ = State::AwaitingHandshake;
+  state_.start_handshake();
   stream_->write({handshake});
 }
 
 void PooledConnection::become_ready() {
-  state_ = State::Idle;
-  if (in_use_)
+  state_.become_ready();
+  if (assignment_)
     write_request();
   else
     become_idle();
 }
 
-// Every request and health check is written here. A connection may come up long after the decision:
-// by now the endpoint may be draining, the time for a retry be over, or the evidence that the
-// endpoint is current have expired.
+// Every request and health check is written here. A connection can become ready long after the
+// router's decision: by then the endpoint may be draining, the time for a retry may be over, or the
+// evidence that the endpoint is current may have expired.
 void PooledConnection::write_request() {
-  const Duration left = assignment_.deadline - net::now();
+  const Duration left = assignment_->deadline - net::now();
   if (left <= 0ms || !is_authorized()) {
+    const auto reason = left <= 0ms ? NotWrittenReason::OutOfTime : NotWrittenReason::NotAllowed;
     net::log({"attempt_not_written",
-              {{"endpoint", std::to_string(endpoint_)},
-               {"reason", left <= 0ms ? "out_of_time" : "not_allowed"}}});
+              {{"endpoint", std::to_string(endpoint_)}, {"reason", name_of(reason)}}});
     release(response_with(AttemptStatus::NotSent), Disposition::Keep);
     return;
   }
-  state_ = State::Writing;
-  response_started_ = false;
-  if (idle_since_ > TimePoint{})
-    idle_time_ = net::now() - idle_since_;
-  timer_.at(assignment_.deadline);
-  stream_->write(assignment_.is_health_check
-                     ? protocol_->health_check_message()
-                     : protocol_->frame_request(assignment_.call->body(left)));
+  state_.start_writing();
+  idle_time_before_request_ = idle_time(net::now());
+  timer_.at(assignment_->deadline);
+  if (assignment_->kind() == RequestKind::HealthCheck)
+    stream_->write(protocol_->health_check_message());
+  else
+    stream_->write(protocol_->frame_request(assignment_->call->body(left)));
   if (stream_->all_written())
     flushed();
 }
 
 bool PooledConnection::is_authorized() {
-  if (assignment_.is_health_check)
-    return broker_.authorize_health_check(endpoint_);
-  return broker_.authorize_attempt(assignment_.attempt);
+  if (assignment_->attempt)
+    return broker_.authorize_attempt(*assignment_->attempt);
+  return broker_.authorize_health_check(endpoint_);
 }
 
 void PooledConnection::flushed() {
-  if (state_ == State::Writing)
-    state_ = State::AwaitingResponse;
+  state_.finish_writing();
 }
 
 void PooledConnection::received() {
-  switch (state_) {
+  using State = ConnectionStateMachine::State;
+  switch (state_.state()) {
   case State::AwaitingHandshake:
     read_handshake();
     return;
   case State::Writing:
+  case State::ReceivingEarly:
   case State::AwaitingResponse:
+  case State::ReceivingResponse:
     read_response();
     return;
   case State::Connecting:
+  case State::Ready:
   case State::Idle:
-    owner_.discard(*this);  // nothing was asked
+    owner_.discard(*this);  // bytes that no request asked for
     return;
   }
 }
@@ -160,45 +172,52 @@
 void PooledConnection::read_response() {
   const std::string_view input = stream_->input().view();
   const ParsedResponse parsed =
-      protocol_->parse_response(input, request_kind(assignment_), InputState::Open);
-  const PoolLimits& limits = owner_.limits();
-  const bool has_memory =
-      net::total_buffered_bytes() <= limits.max_buffered_bytes || input.size() <= kMaxSmallResponse;
-  // The bound holds for a complete response too, so that it does not matter in how many reads it
-  // arrived.
-  const bool is_complete = parsed.status == ParsedResponse::Status::Complete;
-  const std::size_t size = is_complete ? parsed.consumed_bytes : input.size();
-  const bool fits = size <= limits.max_response_bytes;
-  if (parsed.status == ParsedResponse::Status::Incomplete && fits && has_memory) {
-    // A response whose length field is wrong would never end: one that began and does not go on is
-    // an error.
-    response_started_ = true;
-    timer_.at(std::min(assignment_.deadline, net::now() + kMaxResponseGap));
+      protocol_->parse_response(input, assignment_->kind(), InputState::Open);
+  if (parsed.status == ParsedResponse::Status::Incomplete && can_buffer_response(input.size())) {
+    await_more_of_response();
     return;
   }
-  if (!is_complete || !fits) {
+  // The bound holds for a complete response too, so that it does not matter in how many reads the
+  // response arrived.
+  const bool is_complete = parsed.status == ParsedResponse::Status::Complete;
+  if (!is_complete || parsed.consumed_bytes > owner_.limits().max_response_bytes) {
     net::log({"malformed_response", {{"endpoint", std::to_string(endpoint_)}}});
-    fail(AttemptStatus::Error);  // the request was sent whole, so it may have run
+    fail(AttemptStatus::Error);  // the endpoint has the request, so it may have run
     return;
   }
-  // After a response to a request that was not yet sent whole the connection is of no further use.
-  const bool is_reusable =
-      state_ == State::AwaitingResponse && input.size() == parsed.consumed_bytes;
+  // A connection is not reusable after a response to a request that was written only in part, or
+  // with bytes behind the response.
+  const bool is_reusable = state_.is_request_written() && input.size() == parsed.consumed_bytes;
   release(parsed.response, is_reusable ? Disposition::Keep : Disposition::Close,
           parsed.consumed_bytes);
 }
 
+bool PooledConnection::can_buffer_response(std::size_t input_size) const {
+  const PoolLimits& limits = owner_.limits();
+  if (input_size > limits.max_response_bytes)
+    return false;
+  return net::total_buffered_bytes() <= limits.max_buffered_bytes ||
+         input_size <= kMaxSmallResponse;
+}
+
+// A response with a wrong length field never ends. A response that started and then stalls is
+// therefore an error.
+void PooledConnection::await_more_of_response() {
+  state_.start_receiving();
+  timer_.at(std::min(assignment_->deadline, net::now() + kMaxResponseGap));
+}
+
 void PooledConnection::ended(const std::string&) {
-  if (!in_use_) {
+  if (!assignment_) {
     owner_.discard(*this);
     return;
   }
-  if (state_ != State::AwaitingResponse) {
+  if (!state_.is_request_written()) {
     release(response_with(AttemptStatus::ConnectFailed), Disposition::Broken);
     return;
   }
-  const ParsedResponse parsed = protocol_->parse_response(
-      stream_->input().view(), request_kind(assignment_), InputState::Ended);
+  const ParsedResponse parsed =
+      protocol_->parse_response(stream_->input().view(), assignment_->kind(), InputState::Ended);
   if (parsed.status == ParsedResponse::Status::Complete)
     release(parsed.response, Disposition::Close);
   else
@@ -206,61 +225,58 @@
 }
 
 void PooledConnection::handle_timer() {
-  if (!in_use_) {
-    owner_.discard(*this);  // idle for long enough, or not opened in time
+  if (!assignment_) {
+    owner_.discard(*this);  // the limit of the idle time, or of opening
     return;
   }
-  const bool is_past_deadline = net::now() >= assignment_.deadline;
-  if (state_ == State::AwaitingResponse) {
-    const bool has_stalled = response_started_ && !is_past_deadline;
-    fail(has_stalled ? AttemptStatus::Error : AttemptStatus::Timeout);
-    return;
-  }
-  // It was not written whole, so it never ran. That a connection was not open by the request's own
-  // deadline says nothing of the endpoint.
-  const bool is_endpoints_fault =
-      !is_past_deadline || state_ == State::Writing || assignment_.is_health_check;
-  fail(is_endpoints_fault ? AttemptStatus::ConnectFailed : AttemptStatus::NotSent);
+  const bool is_past_deadline = net::now() >= assignment_->deadline;
+  const auto deadline = is_past_deadline ? DeadlineState::Passed : DeadlineState::Pending;
+  fail(state_.status_at_timeout(assignment_->kind(), deadline));
 }
 
-// A connection that is not kept is closed before the router hears of the end, as it may start
-// another attempt at once, and two must not be in flight. One that is kept is idle when the batch
-// ends, so that the next attempt finds it.
+// A connection that is not kept is closed before the router learns of the end, as the router may
+// start another attempt at once and two must not be in flight. One that is kept is idle when the
+// batch ends, so that the next attempt finds it.
 void PooledConnection::release(const proxy::UpstreamResponse& response, Disposition disposition,
-                               std::size_t used) {
-  const Assignment assignment = std::exchange(assignment_, Assignment{});
-  const Duration idle_time = std::exchange(idle_time_, 0ms);
-  if (idle_time > 0ms)
-    owner_.record_idle_use(idle_time, disposition == Disposition::Broken && !response_started_);
-  in_use_ = false;
+                               std::size_t consumed_bytes) {
+  const std::optional<Assignment> assignment = std::exchange(assignment_, std::nullopt);
+  record_reuse(disposition);
   timer_.stop();
   const proxy::RequestBroker::EventBatch batch(broker_);
-  if (disposition != Disposition::Keep && stream_)
+  if (disposition != Disposition::Keep)
     stream_->close();
-  owner_.release(endpoint_, assignment, response);
+  if (assignment)
+    owner_.release(endpoint_, *assignment, response);
   if (disposition != Disposition::Keep) {
     owner_.discard(*this);
     return;
   }
-  if (used > 0)
-    stream_->input().consume(used);
-  if (state_ == State::Writing || state_ == State::AwaitingResponse)
-    state_ = State::Idle;
-  if (state_ == State::Idle)
-    become_idle();
+  if (consumed_bytes > 0)
+    stream_->input().consume(consumed_bytes);
+  if (state_.is_opening())
+    timer_.after(owner_.limits().connect_timeout);  // it is opened further, for a later assignment
   else
-    timer_.after(owner_.limits().connect_timeout);  // it is still being opened, for a later use
+    become_idle();
+}
+
+void PooledConnection::record_reuse(Disposition disposition) {
+  const Duration idle_time = std::exchange(idle_time_before_request_, 0ms);
+  if (idle_time <= 0ms)
+    return;
+  const bool is_broken = disposition == Disposition::Broken && !state_.has_response_started();
+  owner_.record_reuse(idle_time, is_broken ? ReuseOutcome::Broken : ReuseOutcome::Usable);
 }
 
 void PooledConnection::become_idle() {
-  // The endpoint may have been removed or got another address meanwhile.
+  // The endpoint may have been removed or its address may have changed meanwhile.
   if (!owner_.is_current_address(endpoint_, address_)) {
     owner_.discard(*this);
     return;
   }
+  state_.become_idle();
   idle_since_ = net::now();
-  if (owner_.limits().idle_timeout > 0ms)
-    timer_.after(idle_time_limit(owner_.limits()));
+  if (const auto limit = idle_time_limit(owner_.limits()))
+    timer_.after(*limit);
   owner_.add_idle(*this);
 }
 
--- a/src/connection_pool/pooled_connection.h
+++ b/src/connection_pool/pooled_connection.h
@@ -1,8 +1,10 @@
-/// One connection of the pool: opens it, sends one request at a time on it, reads the response.
+/// One connection of the pool: opens it, writes one request at a time to it, reads the response.
 ///
 /// Runs on the main loop's thread.
 #pragma once
 
+#include "connection_state_machine.h"
+#include "idle_lifetime_estimator.h"
 #include "net/stream.h"
 #include "net/timer.h"
 #include "pool_limits.h"
@@ -11,17 +13,20 @@
 
 #include <cstddef>
 #include <memory>
+#include <optional>
 #include <string>
-#include <string_view>
 
 namespace gorsebeam::connection_pool {
 
-/// What a connection is used for: an attempt, or a health check.
+/// What a connection carries: one attempt, or one health check.
 struct Assignment {
-  proxy::AttemptId attempt = 0;       ///< 0: none.
+  std::optional<proxy::AttemptId> attempt;  ///< Empty for a health check.
   proxy::ClientCall* call = nullptr;  ///< Borrowed; null for a health check and once detached.
-  TimePoint deadline{};               ///< The use ends by then.
-  bool is_health_check = false;
+  TimePoint deadline{};               ///< The assignment ends by then.
+
+  [[nodiscard]] RequestKind kind() const {
+    return attempt ? RequestKind::ClientRequest : RequestKind::HealthCheck;
+  }
 };
 
 /// A response that holds only a status.
@@ -38,12 +43,12 @@
     /// Whether `endpoint` is known and reached at `address`.
     [[nodiscard]] virtual bool is_current_address(EndpointId endpoint,
                                                   const std::string& address) const = 0;
-    /// A use of a connection that had been idle for `idle_time` ended; `broke` without a response.
-    virtual void record_idle_use(Duration idle_time, bool broke) = 0;
-    /// The one end of a use.
+    /// An assignment ended for which a connection was reused that had been idle for `idle_time`.
+    virtual void record_reuse(Duration idle_time, ReuseOutcome outcome) = 0;
+    /// The one end of an assignment.
     virtual void release(EndpointId endpoint, const Assignment& assignment,
                          const proxy::UpstreamResponse& response) = 0;
-    /// The connection is ready for another use.
+    /// The connection is ready for another assignment.
     virtual void add_idle(PooledConnection& connection) = 0;
     /// Closes the connection and forgets it. Ignored if that was done before.
     virtual void discard(PooledConnection& connection) = 0;
@@ -56,13 +61,13 @@
 
   [[nodiscard]] bool is_open() const { return stream_ && stream_->open(); }
 
-  /// Open, and nothing arrived since its last use: bytes or an end mean that the endpoint gave the
-  /// connection up.
+  /// Of an idle connection: whether it is open and nothing has arrived since it became idle. Bytes
+  /// or an end mean that the endpoint has given the connection up.
   [[nodiscard]] bool is_idle_and_silent() const;
 
   /// A request or health check is written, as a whole or in part, and its response is awaited.
   [[nodiscard]] bool is_awaiting_response() const {
-    return is_open() && (state_ == State::Writing || state_ == State::AwaitingResponse);
+    return is_open() && state_.is_awaiting_response();
   }
 
   /// Handles what has arrived by now.
@@ -70,25 +75,24 @@
 
   [[nodiscard]] EndpointId endpoint() const { return endpoint_; }
 
-  /// When it was last added to the idle connections; 0: never.
-  [[nodiscard]] TimePoint idle_since() const { return idle_since_; }
+  /// How long ago the connection last became idle; 0 if it never did.
+  [[nodiscard]] Duration idle_time(TimePoint now) const;
 
-  /// Starts a use, of a connection that is idle or still being opened and has none.
+  /// Gives an assignment to a connection that is idle or newly opened.
   void assign(const Assignment& assignment);
 
-  /// Gives back the call of the use in hand. What is not written yet will not be written.
+  /// Gives back the call of the present assignment. A request that is not written yet will not be
+  /// written: the assignment ends as `NotSent`, and the connection is kept.
   void detach_call();
 
-  /// Ends the use in hand with `status`, and the connection with it.
+  /// Ends the present assignment with `status`, and the connection with it.
   void fail(AttemptStatus status);
 
   /// Closes the connection; no callback follows.
   void close();
 
 private:
-  enum class State { Connecting, AwaitingHandshake, Idle, Writing, AwaitingResponse };
-
-  /// What becomes of the connection when its use ends.
+  /// What becomes of the connection when its assignment ends.
   enum class Disposition {
     Keep,
     Close,
@@ -98,31 +102,37 @@
   void connected() override;
   void flushed() override;
   void received() override;
-  void ended(const std::string& why) override;
+  void ended(const std::string& reason) override;
 
   void become_ready();
   void write_request();
   [[nodiscard]] bool is_authorized();
   void read_handshake();
   void read_response();
+  /// Whether the pool's limits allow `input_size` bytes of an incomplete response to be kept.
+  [[nodiscard]] bool can_buffer_response(std::size_t input_size) const;
+  void await_more_of_response();
   void handle_timer();
+  /// Ends the present assignment, if there is one, with `response`, of which the framing takes
+  /// `consumed_bytes` of the input.
   void release(const proxy::UpstreamResponse& response, Disposition disposition,
-               std::size_t used = 0);
+               std::size_t consumed_bytes = 0);
+  void record_reuse(Disposition disposition);
   void become_idle();
 
   Owner& owner_;
   proxy::RequestBroker& broker_;
   std::unique_ptr<UpstreamProtocol> protocol_;
-  net::Timer timer_;
+  net::Timer timer_;  ///< Ends the assignment, the opening, or the idle connection.
   const EndpointId endpoint_;
   const std::string address_;
   std::shared_ptr<net::Stream> stream_;
-  State state_ = State::Connecting;
-  Assignment assignment_;
-  bool in_use_ = false;
-  bool response_started_ = false;  // some bytes of the response have arrived
-  TimePoint idle_since_{};
-  Duration idle_time_{};  // before the use in hand; 0: a new connection
+  ConnectionStateMachine state_;
+  /// Present from `assign` to its release: in every state but Idle, except that an assignment can
+  /// be released while the connection is still being opened.
+  std::optional<Assignment> assignment_;
+  std::optional<TimePoint> idle_since_;  ///< When it last became idle; empty: it never did.
+  Duration idle_time_before_request_{};  ///< Of the request that is written; 0: a new connection.
 };
 
 }  // namespace gorsebeam::connection_pool
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -66,7 +66,9 @@
       compute_share(plan_.config.max_sockets, plan_.config.memory_mb, serves_mongo ? 2 : 1);
   if (profile.settings.connect_timeout > 0ms)
     share.pool.connect_timeout = profile.settings.connect_timeout;
-  share.pool.idle_timeout = profile.keepalive;
+  share.pool.idle_timeout.reset();
+  if (profile.keepalive > 0ms)
+    share.pool.idle_timeout = profile.keepalive;
   const std::uint64_t seed = plan_.config.seed;
   postgres_ = std::make_unique<ProtocolPath>(profile, seed, postgres::make_upstream_protocol, share,
                                              postgres::make_connection(contracts_, classifier_));
--- a/src/proxy/action_executor.cpp
+++ b/src/proxy/action_executor.cpp
@@ -14,7 +14,7 @@
 
 void ActionExecutor::perform(const Action& action) {
   std::visit(
-      [this](const auto& chosen) {
+      [&](const auto& chosen) {
         execute(chosen);
       },
       action);
--- /dev/null
+++ b/tests/connection_state_machine_test.cpp
@@ -0,0 +1,116 @@
+// The states of a connection to an endpoint, and how an assignment ends whose timer expires.
+#include "connection_pool/connection_state_machine.h"
+
+#include <gtest/gtest.h>
+
+using namespace gorsebeam;
+using namespace gorsebeam::connection_pool;
+
+namespace {
+
+using State = ConnectionStateMachine::State;
+
+/// A machine in `state`, by way of the transitions that lead there.
+ConnectionStateMachine machine_in(State state) {
+  ConnectionStateMachine machine;
+  if (state == State::Connecting)
+    return machine;
+  machine.start_handshake();
+  if (state == State::AwaitingHandshake)
+    return machine;
+  machine.become_ready();
+  if (state == State::Ready)
+    return machine;
+  if (state == State::Idle) {
+    machine.become_idle();
+    return machine;
+  }
+  machine.start_writing();
+  if (state == State::ReceivingEarly || state == State::ReceivingResponse)
+    machine.start_receiving();
+  if (state == State::AwaitingResponse || state == State::ReceivingResponse)
+    machine.finish_writing();
+  return machine;
+}
+
+TEST(ConnectionStateMachine, SaysInEachStateWhatIsWrittenAndReceived) {
+  struct Case {
+    State state;
+    bool is_opening;
+    bool is_writing;
+    bool is_request_written;
+    bool has_response_started;
+  };
+
+  constexpr Case kCases[] = {
+      {State::Connecting, true, false, false, false},
+      {State::AwaitingHandshake, true, false, false, false},
+      {State::Ready, false, false, false, false},
+      {State::Idle, false, false, false, false},
+      {State::Writing, false, true, false, false},
+      {State::ReceivingEarly, false, true, false, true},
+      {State::AwaitingResponse, false, false, true, false},
+      {State::ReceivingResponse, false, false, true, true},
+  };
+  for (const Case& expected : kCases) {
+    SCOPED_TRACE(static_cast<int>(expected.state));
+    const ConnectionStateMachine machine = machine_in(expected.state);
+    EXPECT_EQ(machine.state(), expected.state);
+    EXPECT_EQ(machine.is_opening(), expected.is_opening);
+    EXPECT_EQ(machine.is_writing(), expected.is_writing);
+    EXPECT_EQ(machine.is_request_written(), expected.is_request_written);
+    EXPECT_EQ(machine.is_awaiting_response(), expected.is_writing || expected.is_request_written);
+    EXPECT_EQ(machine.has_response_started(), expected.has_response_started);
+  }
+}
+
+TEST(ConnectionStateMachine, IgnoresWritesThatAreNotOfARequest) {
+  for (const State state : {State::Connecting, State::AwaitingHandshake, State::Ready, State::Idle,
+                            State::AwaitingResponse, State::ReceivingResponse}) {
+    ConnectionStateMachine machine = machine_in(state);
+    machine.finish_writing();
+    EXPECT_EQ(machine.state(), state);
+  }
+}
+
+TEST(ConnectionStateMachine, CanWriteTheNextRequestAfterAResponse) {
+  ConnectionStateMachine machine = machine_in(State::ReceivingResponse);
+  machine.become_idle();
+  machine.become_ready();
+  machine.start_writing();
+  EXPECT_EQ(machine.state(), State::Writing);
+  EXPECT_FALSE(machine.has_response_started());
+}
+
+TEST(ConnectionStateMachine, EndsAnAssignmentAtATimeoutByItsProgress) {
+  struct Case {
+    State state;
+    RequestKind kind;
+    DeadlineState deadline;
+    AttemptStatus status;
+  };
+
+  constexpr auto kRequest = RequestKind::ClientRequest;
+  constexpr auto kCheck = RequestKind::HealthCheck;
+  constexpr auto kPending = DeadlineState::Pending;
+  constexpr auto kPassed = DeadlineState::Passed;
+  constexpr Case kCases[] = {
+      {State::Connecting, kRequest, kPending, AttemptStatus::ConnectFailed},
+      {State::Connecting, kRequest, kPassed, AttemptStatus::NotSent},
+      {State::Connecting, kCheck, kPassed, AttemptStatus::ConnectFailed},
+      {State::AwaitingHandshake, kRequest, kPassed, AttemptStatus::NotSent},
+      {State::Writing, kRequest, kPassed, AttemptStatus::ConnectFailed},
+      {State::ReceivingEarly, kRequest, kPending, AttemptStatus::ConnectFailed},
+      {State::AwaitingResponse, kRequest, kPassed, AttemptStatus::Timeout},
+      {State::AwaitingResponse, kRequest, kPending, AttemptStatus::Timeout},
+      {State::ReceivingResponse, kRequest, kPending, AttemptStatus::Error},
+      {State::ReceivingResponse, kCheck, kPassed, AttemptStatus::Timeout},
+  };
+  for (const Case& expected : kCases) {
+    const ConnectionStateMachine machine = machine_in(expected.state);
+    EXPECT_EQ(machine.status_at_timeout(expected.kind, expected.deadline), expected.status)
+        << "state " << static_cast<int>(expected.state);
+  }
+}
+
+}  // namespace
