--- a/src/config/conversion.cpp
+++ b/src/config/conversion.cpp
@@ -51,8 +51,10 @@
     proxy::TeamContract& contract = result.teams[team.name()];
     contract.groups.insert(team.group().begin(), team.group().end());
     for (const pb::ServiceClass& service_class : team.class_()) {
-      const Duration max_wait = std::chrono::milliseconds(service_class.longest_wait_ms());
-      contract.classes[classes.at(service_class.name())] = {max_wait, service_class.tries()};
+      proxy::ClassPolicy& policy = contract.classes[classes.at(service_class.name())];
+      if (service_class.longest_wait_ms() > 0)
+        policy.max_deadline = std::chrono::milliseconds(service_class.longest_wait_ms());
+      policy.max_attempts = service_class.tries();
     }
     if (!team.has_budget())
       continue;
--- a/src/connection_pool/upstream_protocol.h
+++ b/src/connection_pool/upstream_protocol.h
@@ -1,5 +1,5 @@
-/// The protocol of one connection to an endpoint: its handshake, the framing of requests, and what
-/// a response says.
+/// Translates between the connection pool and a wire protocol: the handshake, the framing of
+/// requests, and the parsing of responses.
 #pragma once
 
 #include "proxy/interfaces.h"
@@ -11,13 +11,13 @@
 
 namespace gorsebeam::connection_pool {
 
-/// What was sent, to which a response is awaited.
+/// What a connection wrote last and awaits the response to.
 enum class RequestKind { ClientRequest, HealthCheck };
 
 /// Whether more bytes can arrive on a connection.
 enum class InputState { Open, Ended };
 
-/// How far an endpoint's response to the handshake was read.
+/// The result of parsing an endpoint's response to the handshake message.
 struct HandshakeResult {
   enum class Status {
     Incomplete,  ///< Call again with more bytes.
@@ -30,7 +30,7 @@
   std::size_t consumed_bytes = 0;  ///< With `Complete`: the size of the response.
 };
 
-/// How far a response was read.
+/// The result of parsing a response.
 struct ParsedResponse {
   enum class Status {
     Incomplete,  ///< Call again with more bytes.
@@ -43,30 +43,29 @@
   proxy::UpstreamResponse response;  ///< With `Complete`; borrows from the parsed bytes.
 };
 
-/// Translates between the pool and a wire protocol; performs no I/O. A connection owns one and
-/// calls it on one thread.
+/// The protocol of one connection, which owns it. Performs no I/O; runs on one thread.
 class UpstreamProtocol {
 public:
   virtual ~UpstreamProtocol() = default;
 
-  /// The first bytes on a new connection; empty if it is ready as soon as it is connected.
+  /// The first bytes on a new connection; empty if the protocol has no handshake.
   virtual std::string handshake_message() = 0;
 
-  /// Reads the endpoint's response to the handshake from its first byte on.
+  /// Parses the endpoint's response to the handshake message. `in` starts with its first byte.
   virtual HandshakeResult parse_handshake(std::string_view in) = 0;
 
-  /// Frames a request body; the parts are valid until the next call of this object.
+  /// Frames a request body. The parts are valid until the next call of a function of this object.
   virtual proxy::Parts frame_request(const proxy::Parts& body) = 0;
 
-  /// The message of a health check; valid until the next call of this object.
+  /// The message of a health check, valid until the next call of a function of this object.
   virtual proxy::Parts health_check_message() = 0;
 
-  /// Reads the response to a request of `kind` from its first byte on.
+  /// Parses the response to a request of `kind`. `in` starts with its first byte.
   virtual ParsedResponse parse_response(std::string_view in, RequestKind kind,
                                         InputState input) = 0;
 };
 
-/// Makes the protocol of a new connection.
+/// Creates the protocol of a new connection.
 using UpstreamProtocolFactory = std::unique_ptr<UpstreamProtocol> (*)();
 
 }  // namespace gorsebeam::connection_pool
--- a/src/proxy/contract_enforcer.cpp
+++ b/src/proxy/contract_enforcer.cpp
@@ -29,21 +29,24 @@
   if (!contract.groups.empty() && contract.groups.count(request.group) == 0)
     return Decision::GroupNotAllowed;
   request.max_attempts = policy->second.max_attempts;
-  if (policy->second.deadline > 0ms)
-    request.deadline = std::min(request.deadline, now + policy->second.deadline);
+  if (policy->second.max_deadline)
+    request.deadline = std::min(request.deadline, now + *policy->second.max_deadline);
   request.rate_limit_retry_after = buckets_.try_acquire(team, now);
   return Decision::Admitted;
 }
 
 const char* describe(ContractEnforcer::Decision decision) {
   switch (decision) {
+  case ContractEnforcer::Decision::Admitted:
+    return "";
   case ContractEnforcer::Decision::UnknownTeam:
     return "the team has no contract any more";
+  case ContractEnforcer::Decision::ClassNotAllowed:
+    return "the team's contract does not hold this class";
   case ContractEnforcer::Decision::GroupNotAllowed:
     return "the team's contract does not hold this group";
-  default:
-    return "the team's contract does not hold this class";
   }
+  return "";
 }
 
 }  // namespace gorsebeam::proxy
--- a/src/proxy/contract_enforcer.h
+++ b/src/proxy/contract_enforcer.h
@@ -1,7 +1,7 @@
-/// The contracts of teams: which request classes and groups a team may use, how long its requests
-/// may wait, how many attempts they get, and its rate limit.
+/// Admits requests by the contracts of teams: the request classes and groups that a team may use,
+/// the deadline and attempts of its requests, and its rate limit.
 ///
-/// Runs on one thread; the caller passes the time in.
+/// Pure; runs on one thread; the caller passes the time in.
 #pragma once
 
 #include "gorsebeam/router.h"
@@ -9,6 +9,7 @@
 
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 
@@ -16,32 +17,32 @@
 
 /// The limits of one request class in one team's contract.
 struct ClassPolicy {
-  Duration deadline{};             ///< The longest wait of a request; 0: as the request asks.
-  std::uint32_t max_attempts = 0;  ///< Attempts a request gets; 0: as the settings say.
+  std::optional<Duration> max_deadline;  ///< From the arrival of a request; empty: no limit.
+  std::uint32_t max_attempts = 0;        ///< Of one request; 0: the limit of the settings.
 };
 
-/// What one team may use.
+/// The contract of one team.
 struct TeamContract {
   std::map<std::size_t, ClassPolicy> classes;  ///< By index into `Settings::classes`.
-  std::set<GroupId> groups;                    ///< Groups it may use; empty: all of them.
+  std::set<GroupId> groups;                    ///< That the team may use; empty: all groups.
 };
 
-/// All contracts. Without any team every caller may use everything, as on the platform. Immutable
-/// once it is in force.
+/// All contracts. If it has no team, every request is admitted without limits. Immutable once it is
+/// in force.
 struct ContractSet {
-  std::map<std::string, std::size_t> classes;     ///< Index into `Settings::classes`, by name.
+  std::map<std::string, std::size_t> classes;     ///< Indexes into `Settings::classes`, by name.
   std::map<std::string, TeamContract> teams;      ///< By the team's name.
-  std::map<std::string, rate_limit::Rate> rates;  ///< By the team's name; none: unlimited.
+  std::map<std::string, rate_limit::Rate> rates;  ///< By the team's name; absent: unlimited.
 };
 
-/// Applies the contracts in force, for all frontends. A new set replaces the whole old one; a
-/// request that is open keeps the terms it was admitted with.
+/// Applies one set of contracts for all frontends. A new set replaces the old one as a whole; an
+/// open request keeps the limits with which it was admitted.
 class ContractEnforcer {
 public:
   enum class Decision { Admitted, UnknownTeam, ClassNotAllowed, GroupNotAllowed };
 
-  /// Puts `contracts`, which is not null, in force at `now`. Token buckets carry over as
-  /// `rate_limit::TokenBuckets::replace_rates` says.
+  /// Applies `contracts`, which is not null, from `now` on.
+  /// `rate_limit::TokenBuckets::replace_rates` states what becomes of the token buckets.
   void replace_contracts(std::shared_ptr<const ContractSet> contracts, TimePoint now);
 
   /// Request classes by name, valid until the next `replace_contracts`.
@@ -49,12 +50,12 @@
     return contracts_->classes;
   }
 
-  /// Whether requests of `team` may be admitted at all.
+  /// Whether requests of `team` can be admitted.
   [[nodiscard]] bool has_team(const std::string& team) const;
 
-  /// Decides on a request by its class and group. If it is admitted, writes the limits of the
-  /// contract into `request` and takes a token from the team's bucket: a request over the rate
-  /// limit is still admitted and carries `rate_limit_retry_after`, by which the router rejects it.
+  /// Decides on a request by its class and group. If it is admitted, sets the limits of the
+  /// contract in `request` and acquires a token from the team's bucket. A request over the rate
+  /// limit is admitted with `rate_limit_retry_after`, by which the router rejects it.
   [[nodiscard]] Decision admit(const std::string& team, TimePoint now, Request& request);
 
 private:
@@ -62,7 +63,7 @@
   rate_limit::TokenBuckets buckets_;
 };
 
-/// The text that a frontend sends its client for a `decision` other than `Admitted`.
+/// The error text that a frontend sends to its client; empty for `Admitted`.
 [[nodiscard]] const char* describe(ContractEnforcer::Decision decision);
 
 }  // namespace gorsebeam::proxy
--- a/src/proxy/endpoint_directory.h
+++ b/src/proxy/endpoint_directory.h
@@ -1,8 +1,9 @@
-/// The numbers that stand for endpoints' names.
+/// Maps names of endpoints to ids.
 ///
-/// All gateways must order endpoints alike, so a number follows from the name: a name that ends in
-/// eight hexadecimal digits, as discovery's names do, has that number, and any other name its hash.
-/// Pure; holds one entry an endpoint of the list.
+/// All gateways must order endpoints alike, so an id follows from the name: the last eight
+/// characters where they are hexadecimal digits, as in discovery's names, or else a hash. If
+/// another endpoint has that id, the next free one is assigned. Pure; runs on one thread; holds one
+/// entry for each endpoint of the list.
 #pragma once
 
 #include "gorsebeam/router.h"
@@ -16,13 +17,13 @@
 
 class EndpointDirectory {
 public:
-  /// The number of the endpoint, which it keeps until it is forgotten.
+  /// Returns the id of the endpoint, which keeps it until `forget`.
   EndpointId assign_id(const std::string& name);
 
-  /// Forgets an endpoint that has a number.
+  /// Removes an endpoint; its id can be assigned again. Ignored if it has no id.
   void forget(EndpointId endpoint);
 
-  /// All endpoints that have a number, except those named.
+  /// All endpoints that have an id, except those in `names`.
   [[nodiscard]] std::vector<EndpointId> all_but(const std::set<std::string>& names) const;
 
 private:
--- a/src/proxy/interfaces.h
+++ b/src/proxy/interfaces.h
@@ -1,22 +1,23 @@
-/// The contract between the request broker, the frontends and the upstreams.
+/// The interfaces between the request broker, the frontends, the upstream and the source of the
+/// endpoint list.
 ///
-/// Everything runs on one thread, the one of the main loop; no call blocks. No wire protocol shows
-/// here: request and response bodies are bytes that the broker passes on.
+/// All functions run on the main loop's thread and do not block. The interfaces know no wire
+/// protocol: request and response bodies are bytes.
 ///
 /// Ownership:
-///  - A frontend owns its `ClientCall`s. The broker and the upstream borrow one from
+///  - A frontend owns its `ClientCall`s. The broker and the upstream borrow a call from
 ///    `RequestBroker::begin_request` until the request is complete, that is until one of the three
 ///    final answers or until `RequestBroker::client_disconnected`.
 ///  - The program owns the `Upstream`, which outlives every call that the broker makes to it. The
-///    upstream owns its connections and attempts, and borrows the broker.
+///    upstream owns its connections, and borrows the broker.
 ///
 /// Order of calls:
 ///  - The broker starts an attempt with `Upstream::start_attempt`; the upstream ends it with
 ///    exactly one `RequestBroker::complete_attempt`. A request has at most one attempt in flight.
-///  - The upstream asks `RequestBroker::authorize_attempt` right before it writes, and gets the
-///    bytes from `ClientCall::body` if the attempt is still allowed.
-///  - Each of these calls may come back into the caller before it returns: an attempt may end
-///    inside `start_attempt`, and a request may be answered inside `begin_request`.
+///  - The upstream calls `RequestBroker::authorize_attempt` immediately before it writes, and gets
+///    the bytes from `ClientCall::body` if the attempt is authorized.
+///  - Each function can call back into its caller before it returns: an attempt can end inside
+///    `start_attempt`, and a request can get its final answer inside `begin_request`.
 #pragma once
 
 #include "gorsebeam/router.h"
@@ -29,57 +30,58 @@
 
 namespace gorsebeam::proxy {
 
-/// Bytes in pieces, which are written one after the other. Borrowed from whoever gives them.
+/// Bytes in pieces, which are written one after the other. Borrowed from the object that returns
+/// them.
 using Parts = std::vector<std::string_view>;
 
 /// Identifies an attempt between the broker and the upstream; never 0, never used again.
 using AttemptId = std::uint64_t;
 
-/// How an attempt or a health check ended. `status` tells how far it came.
+/// How an attempt or a health check ended.
 struct UpstreamResponse {
   AttemptStatus status = AttemptStatus::ConnectFailed;
   Role role = Role::Unknown;
   std::optional<ReplicationPosition> replication_position;
-  std::optional<ReplicationPosition>
-      commit_position;  ///< Of a write, where it is not the replication position.
+  /// Of a write whose commit is not at the replication position.
+  std::optional<ReplicationPosition> commit_position;
   LoadReport load_report;
-  Parts value;  ///< With `Ok`, the response body; valid only during the call that passes it.
+  Parts value;  ///< With `Ok`: the response body, valid during the call that passes it.
 };
 
 /// A client's open request, owned by its frontend.
 ///
 /// The broker calls at most one of `respond`, `reject` and `fail`, once, and does not use the call
-/// afterwards: it may be destroyed or reused inside that function.
+/// afterwards: the frontend may destroy or reuse it inside that function.
 class ClientCall {
 public:
   virtual ~ClientCall() = default;
 
-  /// Whether the client has closed its connection, or its sending side, though the frontend may
-  /// not have come to it yet.
+  /// Whether the client has closed its connection or its sending side, even if the frontend has
+  /// not handled that yet. Costs a system call.
   [[nodiscard]] virtual bool has_client_disconnected() const = 0;
 
-  /// The request body for an endpoint that is to finish within `left` nanoseconds. May be called
-  /// once per attempt until the request is complete. The parts are valid until the next call of
-  /// this object.
+  /// Returns the request body for an endpoint that must answer within `left`. Called at most once
+  /// for each attempt, until the request is complete. The parts are valid until the next call of
+  /// a function of this object.
   virtual Parts body(Duration left) = 0;
 
-  /// Final answer: the response body, valid only during the call.
+  /// Final answer: the response body, which is valid during the call.
   virtual void respond(const Parts& value) = 0;
 
-  /// Final answer: the request did not run and may be sent again, after `retry_after` nanoseconds
-  /// if that is above 0.
+  /// Final answer: the client can safely send the request again, after `retry_after` if that is
+  /// above 0.
   virtual void reject(Duration retry_after) = 0;
 
-  /// Final answer: the request failed, and it may have run.
+  /// Final answer: the request failed and may have run.
   virtual void fail() = 0;
 };
 
-/// Where the endpoint list comes from, if it can have changes that are not passed on yet.
+/// A source of the endpoint list that can hold changes which the broker has not received yet.
 class EndpointListSource {
 public:
   virtual ~EndpointListSource() = default;
 
-  /// Passes on, by `RequestBroker::update_endpoints`, all that has arrived by now.
+  /// Reads all changes that have arrived, and passes them to `RequestBroker::update_endpoints`.
   virtual void read_pending() = 0;
 };
 
@@ -88,32 +90,33 @@
 public:
   virtual ~Upstream() = default;
 
-  /// Makes `endpoint` reachable at `address`, "127.0.0.4:6432". May be called again, with the same
-  /// address or a new one; what is in flight goes on.
+  /// Makes `endpoint` reachable at `address`, such as "127.0.0.4:6432". Can be called again, with
+  /// the same address or a new one; attempts in flight continue.
   virtual void add_endpoint(EndpointId endpoint, const std::string& address) = 0;
 
-  /// Forgets `endpoint`, which need not be known; what is in flight goes on.
+  /// Removes `endpoint`; attempts in flight continue. Ignored if it is not known.
   virtual void remove_endpoint(EndpointId endpoint) = 0;
 
-  /// Sends the body of `call` to `endpoint`. Ends in one `RequestBroker::complete_attempt`, at the
-  /// time `deadline` at the latest. `call` is borrowed until then, or until `detach_call`.
+  /// Sends the body of `call` to `endpoint`. Ends in one `RequestBroker::complete_attempt`, by
+  /// `deadline` at the latest. `call` is borrowed until then or until `detach_call`.
   virtual void start_attempt(AttemptId attempt, EndpointId endpoint, ClientCall& call,
                              TimePoint deadline) = 0;
 
-  /// Checks `endpoint`. Ends in one `RequestBroker::complete_health_check` within a timeout of the
-  /// upstream's own.
+  /// Sends a health check to `endpoint`. Ends in one `RequestBroker::complete_health_check`, within
+  /// a timeout that the upstream sets.
   virtual void start_health_check(EndpointId endpoint) = 0;
 
-  /// Passes on, by `complete_attempt` and `complete_health_check`, all responses that have arrived
-  /// by now.
+  /// Reads all responses that have arrived, and passes them to `RequestBroker::complete_attempt`
+  /// and `RequestBroker::complete_health_check`.
   virtual void read_pending() = 0;
 
-  /// Abandons an attempt whatever its progress; it ends as `Cancelled` before this returns. An
-  /// attempt that ended already is ignored.
+  /// Cancels an attempt in any state; it ends as `Cancelled` before this returns. Ignored if the
+  /// attempt has ended.
   virtual void cancel_attempt(AttemptId attempt) = 0;
 
-  /// Gives back the `ClientCall` of an attempt, whose client left. An attempt that is not written
-  /// yet must not be written any more, and ends as `NotSent`; one that is written goes on.
+  /// Ends the borrowing of an attempt's `ClientCall`, as the client disconnected. An attempt that
+  /// is not written yet must not be written, and ends as `NotSent`; one that is written continues.
+  /// Ignored if the attempt has ended.
   virtual void detach_call(AttemptId attempt) = 0;
 };
 
--- a/src/proxy/invariant_guard.cpp
+++ b/src/proxy/invariant_guard.cpp
@@ -24,20 +24,20 @@
   return "unknown";
 }
 
-// Where only draining is binding, an endpoint listed as removed that never drained may still run.
+// Where only draining is binding, a removed endpoint that never drained may still serve.
 void InvariantGuard::record_listed(EndpointId endpoint, GroupId group, EndpointStatus status) {
   ListedEndpointState& state = endpoints_[endpoint];
   state.group = group;
   if (status == EndpointStatus::Removed && settings_.only_draining_is_binding)
     return;
-  state.is_leaving = status != EndpointStatus::Up;
+  state.status = status;
 }
 
 std::optional<Violation> InvariantGuard::check_endpoint(EndpointId endpoint) const {
   const auto found = endpoints_.find(endpoint);
   if (found == endpoints_.end())
     return Violation::EndpointUnknown;
-  if (found->second.is_leaving)
+  if (found->second.status != EndpointStatus::Up)
     return Violation::EndpointDraining;
   return std::nullopt;
 }
--- a/src/proxy/invariant_guard.h
+++ b/src/proxy/invariant_guard.h
@@ -1,9 +1,9 @@
-/// The rules that hold for everything the gateway sends, repeats, closes and answers, checked a
-/// second time at the moment of doing it, from what the broker itself has seen.
+/// Checks each send, retry and rejection against invariants, from what the broker has observed.
 ///
-/// The router decides; the guard knows nothing of its reasons. Where the two differ the guard wins:
-/// what it denies is not done, and counted as a violation, which is a defect of the gateway. Pure,
-/// runs on one thread, holds one entry an endpoint of the list.
+/// The router decides, and the guard does not know its reasons. Where the two differ the guard
+/// prevails: the gateway does not do what the guard denies, and counts it as a violation, which is
+/// a defect of the gateway. Pure; runs on one thread; holds one entry for each endpoint of the
+/// list.
 #pragma once
 
 #include "gorsebeam/router.h"
@@ -17,30 +17,30 @@
 namespace gorsebeam::proxy {
 
 enum class Violation {
-  EndpointDraining,  ///< A send to an endpoint that was listed as draining or removed.
-  EndpointUnknown,   ///< A send to an endpoint that no list in force names.
+  EndpointDraining,  ///< A send to an endpoint that is listed as draining or removed.
+  EndpointUnknown,   ///< A send to an endpoint that is not listed, or not in the request's group.
   SecondInFlight,    ///< An attempt beside another one of the same request.
-  AttemptAfterEnd,   ///< An attempt of a request that is answered, or whose client has left.
+  AttemptAfterEnd,   ///< An attempt of a request that is not open any more.
   RetryNotAllowed,   ///< An attempt after one that may have run, where its class forbids that.
   AttemptsExceeded,  ///< An attempt beyond the number that the settings allow.
-  UnsafeRejection,   ///< "Safe to send again" of a request that may have run and must not.
-  ClosedUnanswered,  ///< The gateway closes a connection with a request that it has not answered.
+  UnsafeRejection,   ///< A rejection of a request that may have run and must not run again.
+  ClosedUnanswered,  ///< The gateway closed a connection with a request that has no answer.
 };
 
 constexpr std::size_t kViolationKinds = 8;
 
-/// As log fields name it, such as "endpoint_draining".
+/// The name in log fields, such as "endpoint_draining".
 [[nodiscard]] const char* name_of(Violation violation);
 
-/// What was done for a request so far.
+/// What has been done for a request so far.
 struct RequestHistory {
   std::size_t class_index = 0;
   GroupId group = 0;
-  bool is_open = false;  ///< Neither answered, nor has its client left.
+  bool is_open = false;  ///< It has no final answer, and its client has not disconnected.
   std::uint32_t written_attempts = 0;
-  std::uint32_t in_flight = 0;  ///< Written, and their end is not known.
-  std::optional<TimePoint>
-      may_have_run_since;  ///< When the first attempt that may have run was written.
+  std::uint32_t in_flight = 0;  ///< Attempts that are written and have not ended.
+  /// When the first attempt that may have run was written; empty if none may have run.
+  std::optional<TimePoint> may_have_run_since;
 };
 
 class InvariantGuard {
@@ -48,20 +48,21 @@
   /// `settings` is borrowed and outlives the guard.
   explicit InvariantGuard(const Settings& settings) : settings_(settings) {}
 
-  /// The list names an endpoint, or a change of it. Holds from now on.
+  /// Records that the endpoint list names an endpoint with `status`.
   void record_listed(EndpointId endpoint, GroupId group, EndpointStatus status);
 
-  /// No list names the endpoint any more.
+  /// Records that the endpoint list does not name the endpoint any more.
   void record_unlisted(EndpointId endpoint) { endpoints_.erase(endpoint); }
 
-  /// Whether anything new may be sent to the endpoint.
+  /// Whether requests and health checks may be sent to the endpoint; empty if so.
   [[nodiscard]] std::optional<Violation> check_endpoint(EndpointId endpoint) const;
 
-  /// Whether an attempt of the request may be written to the endpoint now.
+  /// Whether an attempt of the request may be written to the endpoint at `now`; empty if so.
   [[nodiscard]] std::optional<Violation> check_attempt(const RequestHistory& request,
                                                        EndpointId endpoint, TimePoint now) const;
 
-  /// Whether the request may be rejected, which promises that it is safe to send again.
+  /// Whether the request may be rejected, which promises the client that it is safe to send again;
+  /// empty if so.
   [[nodiscard]] std::optional<Violation> check_rejection(const RequestHistory& request) const;
 
   void count(Violation violation) { ++counts_[static_cast<std::size_t>(violation)]; }
@@ -73,7 +74,8 @@
 private:
   struct ListedEndpointState {
     GroupId group = 0;
-    bool is_leaving = false;
+    /// The listed status, except for a removal where removed endpoints may still serve.
+    EndpointStatus status = EndpointStatus::Up;
   };
 
   [[nodiscard]] bool is_safe_to_retry(const RequestHistory& request, TimePoint now) const;
--- a/src/proxy/request_broker.h
+++ b/src/proxy/request_broker.h
@@ -1,9 +1,8 @@
-/// The request broker: keeps the order of steps in which requests, attempts, health checks,
-/// endpoint lists and timers go between the frontends, the upstream, discovery and the router,
-/// which makes every decision.
+/// Connects one router, which makes every decision, to its frontends, its upstream and discovery.
+/// The broker keeps the order of the steps; each step is a module of its own.
 ///
-/// Runs on one thread and knows no wire protocol; `interfaces.h` states who owns what and what may
-/// be called when.
+/// Runs on one thread and knows no wire protocol; `interfaces.h` states ownership and the order of
+/// calls.
 #pragma once
 
 #include "action_executor.h"
@@ -23,7 +22,7 @@
 
 namespace gorsebeam::proxy {
 
-/// Connects one router to its frontends and its upstream. Not copyable, not movable.
+/// Not copyable, not movable.
 class RequestBroker {
 public:
   /// The longest request id that `begin_request` accepts, in bytes.
@@ -40,13 +39,14 @@
   /// back changes.
   void set_list_source(EndpointListSource* source) { list_source_ = source; }
 
-  /// For frontends: hands a request to the router and borrows `call` until the request is complete;
-  /// the final answer may come before this returns. Returns false, and does nothing, if
-  /// `request.id` is empty, too long, or the id of a request that is still open.
+  /// For frontends: passes a request to the router and borrows `call` until the request is
+  /// complete, which can happen before this returns. Returns false, and does nothing, if
+  /// `request.id` is empty, too long, or the id of a request that is open or has an attempt in
+  /// flight.
   [[nodiscard]] bool begin_request(Request request, ClientCall& call);
 
-  /// For frontends: the client of a request disconnected; its call is not used again. Ignored if
-  /// the request is complete.
+  /// For frontends: the client of a request disconnected. The broker does not use its call again.
+  /// Ignored if the request is complete.
   void client_disconnected(const std::string& request_id);
 
   /// For the upstream: the one end of an attempt. `response.value` is read only during this call.
@@ -56,12 +56,12 @@
   /// For the upstream: the one end of a health check. Ignored if none is in flight.
   void complete_health_check(EndpointId endpoint, const UpstreamResponse& response);
 
-  /// For the upstream, right before it writes: whether the attempt may still be written, by the
-  /// present endpoint list, the router and the invariants. If so it counts as written; else the
+  /// For the upstream, immediately before it writes: whether the attempt may still be written, by
+  /// the present endpoint list, the router and the invariants. If so it counts as written; else the
   /// upstream ends it as `NotSent`.
   [[nodiscard]] bool authorize_attempt(AttemptId attempt);
 
-  /// For the upstream, right before it writes: the same for a health check.
+  /// For the upstream, immediately before it writes: the same for a health check.
   [[nodiscard]] bool authorize_health_check(EndpointId endpoint);
 
   /// For frontends: the gateway closed a connection with a request that has no final answer, though
--- a/tests/invariant_guard_test.cpp
+++ b/tests/invariant_guard_test.cpp
@@ -1,4 +1,4 @@
-// What may be sent, repeated and rejected, from the broker's own account.
+// What may be sent, retried and rejected, by what the broker has observed.
 #include "proxy/invariant_guard.h"
 
 #include <gtest/gtest.h>
@@ -15,9 +15,9 @@
 
 // Classes, by their index in the settings.
 constexpr std::size_t kIdempotent = 0;
-constexpr std::size_t kKeyedInCell = 1;
-constexpr std::size_t kKeyedEverywhere = 2;
-constexpr std::size_t kSingleShot = 3;
+constexpr std::size_t kDeduplicatedInGroup = 1;
+constexpr std::size_t kDeduplicatedEverywhere = 2;
+constexpr std::size_t kNotIdempotent = 3;
 
 RequestClass make_class(Idempotency idempotency, DeduplicationScope scope) {
   RequestClass made;
@@ -61,7 +61,8 @@
 };
 
 TEST_F(InvariantGuardTest, AllowsFirstAttemptAtListedEndpoint) {
-  EXPECT_EQ(guard_.check_attempt(open_request(kSingleShot), kEndpoint, TimePoint{}), std::nullopt);
+  EXPECT_EQ(guard_.check_attempt(open_request(kNotIdempotent), kEndpoint, TimePoint{}),
+            std::nullopt);
 }
 
 TEST_F(InvariantGuardTest, DeniesEndpointThatDrainsOrIsNotListed) {
@@ -81,7 +82,7 @@
             Violation::EndpointUnknown);
 }
 
-TEST_F(InvariantGuardTest, RemovalBindsOnlyAfterADrainWhereOnlyDrainingIsBinding) {
+TEST_F(InvariantGuardTest, DeniesRemovedEndpointOnlyAfterADrainWhereOnlyDrainingIsBinding) {
   settings_.only_draining_is_binding = true;
   guard_.record_listed(kEndpoint, kGroup, EndpointStatus::Removed);
   EXPECT_EQ(guard_.check_endpoint(kEndpoint), std::nullopt);
@@ -107,25 +108,27 @@
   EXPECT_EQ(guard_.check_attempt(request, kEndpoint, TimePoint{}), Violation::AttemptAfterEnd);
 }
 
-TEST_F(InvariantGuardTest, RepeatsOnlyAsTheClassAllows) {
+TEST_F(InvariantGuardTest, AllowsRetriesOnlyAsTheRequestClassDoes) {
   EXPECT_EQ(guard_.check_attempt(request_that_may_have_run(kIdempotent), kEndpoint, TimePoint(9s)),
             std::nullopt);
-  EXPECT_EQ(guard_.check_attempt(request_that_may_have_run(kSingleShot), kEndpoint, TimePoint(1ns)),
-            Violation::RetryNotAllowed);
-  for (const std::size_t keyed : {kKeyedInCell, kKeyedEverywhere}) {
+  EXPECT_EQ(
+      guard_.check_attempt(request_that_may_have_run(kNotIdempotent), kEndpoint, TimePoint(1ns)),
+      Violation::RetryNotAllowed);
+  for (const std::size_t keyed : {kDeduplicatedInGroup, kDeduplicatedEverywhere}) {
     const RequestHistory request = request_that_may_have_run(keyed);
     EXPECT_EQ(guard_.check_attempt(request, kEndpoint, TimePoint(2s - 1ns)), std::nullopt);
     EXPECT_EQ(guard_.check_attempt(request, kEndpoint, TimePoint(2s)), Violation::RetryNotAllowed);
   }
 }
 
-TEST_F(InvariantGuardTest, RejectsOnlyWhatIsSafeToSendAgain) {
-  EXPECT_EQ(guard_.check_rejection(open_request(kSingleShot)), std::nullopt);
+TEST_F(InvariantGuardTest, RejectsOnlyRequestsThatAreSafeToSendAgain) {
+  EXPECT_EQ(guard_.check_rejection(open_request(kNotIdempotent)), std::nullopt);
   EXPECT_EQ(guard_.check_rejection(request_that_may_have_run(kIdempotent)), std::nullopt);
-  EXPECT_EQ(guard_.check_rejection(request_that_may_have_run(kKeyedEverywhere)), std::nullopt);
-  EXPECT_EQ(guard_.check_rejection(request_that_may_have_run(kKeyedInCell)),
+  EXPECT_EQ(guard_.check_rejection(request_that_may_have_run(kDeduplicatedEverywhere)),
+            std::nullopt);
+  EXPECT_EQ(guard_.check_rejection(request_that_may_have_run(kDeduplicatedInGroup)),
             Violation::UnsafeRejection);
-  EXPECT_EQ(guard_.check_rejection(request_that_may_have_run(kSingleShot)),
+  EXPECT_EQ(guard_.check_rejection(request_that_may_have_run(kNotIdempotent)),
             Violation::UnsafeRejection);
 }
 
