--- a/include/gorsebeam/time.h
+++ b/include/gorsebeam/time.h
@@ -12,20 +12,13 @@
 
 using Duration = std::chrono::nanoseconds;
 
-/// The clock of the embedding program, which never goes back. The library does not read it: each
-/// event comes with its time. The gateway and the simulator's adapter both count from the Unix
+/// Tag of the clock of the embedding program, which never goes back. The library does not read it:
+/// each event comes with its time. The gateway and the simulator's adapter count from the Unix
 /// epoch.
-struct Clock {
-  using duration = Duration;
-  using rep = duration::rep;
-  using period = duration::period;
-  using time_point = std::chrono::time_point<Clock>;
-
-  static constexpr bool is_steady = true;
-};
+struct Clock;
 
 /// A point in time. The default is the epoch, which stands for "long ago".
-using TimePoint = Clock::time_point;
+using TimePoint = std::chrono::time_point<Clock, Duration>;
 
 /// A point in time that does not come.
 constexpr TimePoint kNever = TimePoint::max();
--- a/src/router/attempt_observer.cpp
+++ b/src/router/attempt_observer.cpp
@@ -64,9 +64,8 @@
   case AttemptStatus::NotSent:
     break;
   }
-  const bool may_have_run = RetryPolicy::may_have_run(result.status);
-  state_.sessions.record_end(request, attempt, result, may_have_run, state_.event.now);
-  if (may_have_run && request.may_have_run_at == kUnknown) {
+  state_.sessions.record_end(request, attempt, result, state_.event.now);
+  if (may_have_run(result.status) && request.may_have_run_at == kUnknown) {
     request.may_have_run_at = attempt.sent_at;
     request.may_have_run_on = endpoint.listing.id;
   }
--- a/src/router/retry_policy.h
+++ b/src/router/retry_policy.h
@@ -52,9 +52,6 @@
   /// The time of the next retry after a primary rejected an attempt: a backoff that doubles.
   [[nodiscard]] TimePoint retry_after_rejection(const PendingRequest& request) const;
 
-  /// Whether an attempt that ended with `status` may have had its effect without an answer.
-  [[nodiscard]] static bool may_have_run(AttemptStatus status);
-
 private:
   [[nodiscard]] bool can_retry_at(const PendingRequest& request,
                                   const EndpointState& endpoint) const;
--- a/src/router/session_requirements.cpp
+++ b/src/router/session_requirements.cpp
@@ -30,12 +30,11 @@
 }
 
 void SessionRequirements::record_end(const PendingRequest& request, const UpstreamAttempt& attempt,
-                                     const AttemptResult& result, bool may_have_run,
-                                     TimePoint now) {
+                                     const AttemptResult& result, TimePoint now) {
   if (!remembers(request))
     return;
   WriteResult end = WriteResult::NotExecuted;
-  if (may_have_run)
+  if (may_have_run(result.status))
     end = WriteResult::Unknown;
   else if (result.status == AttemptStatus::Ok)
     end = WriteResult::Committed;
--- a/src/router/session_requirements.h
+++ b/src/router/session_requirements.h
@@ -22,7 +22,7 @@
 
   /// Records that an attempt ended.
   void record_end(const PendingRequest& request, const UpstreamAttempt& attempt,
-                  const AttemptResult& result, bool may_have_run, TimePoint now);
+                  const AttemptResult& result, TimePoint now);
 
 private:
   [[nodiscard]] bool remembers(const PendingRequest& request) const;
--- a/tests/router/session_requirements_test.cpp
+++ b/tests/router/session_requirements_test.cpp
@@ -55,7 +55,7 @@
   AttemptResult result;
   result.replication_position = ReplicationPosition(15ns);
   sessions.record_start(write, TimePoint(10ns));
-  sessions.record_end(write, attempt, result, false, TimePoint(20ns));
+  sessions.record_end(write, attempt, result, TimePoint(20ns));
   EXPECT_EQ(sessions.token_for(read_of_session(), settings.classes[kRead], TimePoint(100ns)),
             ReplicationPosition(15ns));
   EXPECT_EQ(sessions.token_for({}, settings.classes[kRead], TimePoint(100ns)), kUnknownPosition)
@@ -70,7 +70,7 @@
   result.status = AttemptStatus::Misdirected;
   result.replication_position = ReplicationPosition(15ns);
   sessions.record_start(write, TimePoint(10ns));
-  sessions.record_end(write, {}, result, false, TimePoint(20ns));
+  sessions.record_end(write, {}, result, TimePoint(20ns));
   EXPECT_EQ(sessions.token_for(read_of_session(), settings.classes[kRead], TimePoint(100ns)),
             kUnknownPosition);
 }
@@ -85,7 +85,7 @@
   AttemptResult result;
   result.status = AttemptStatus::Timeout;
   sessions.record_start(write, TimePoint(10ns));
-  sessions.record_end(write, attempt, result, true, TimePoint(20ns));
+  sessions.record_end(write, attempt, result, TimePoint(20ns));
   EXPECT_EQ(sessions.token_for(read_of_session(), settings.classes[kRead], TimePoint(100ns)),
             ReplicationPosition(20ns));
 }
