--- a/src/proxy/action_executor.cpp
+++ b/src/proxy/action_executor.cpp
@@ -14,8 +14,8 @@
 
 void ActionExecutor::perform(const Action& action) {
   std::visit(
-      [&](const auto& chosen) {
-        execute(chosen);
+      [this](const auto& chosen) {
+        this->execute(chosen);
       },
       action);
 }
--- a/src/proxy/event_queue.h
+++ b/src/proxy/event_queue.h
@@ -1,7 +1,7 @@
 /// The events that wait for the router, in the order in which it gets them.
 ///
-/// Pure; runs on one thread. Bounded by what its callers have in hand: one event for each request,
-/// attempt and health check that began or ended, and each endpoint list.
+/// Pure; runs on one thread. Holds at most one event for each request, attempt and health
+/// check that began or ended since the last dispatch, and each endpoint list.
 #pragma once
 
 #include "gorsebeam/events.h"
--- a/src/proxy/in_flight_table.h
+++ b/src/proxy/in_flight_table.h
@@ -1,7 +1,7 @@
 /// The attempts and health checks that are in flight at the upstream, with the time of their start.
 ///
-/// Pure; runs on one thread; the caller passes the time in. The upstream ends each entry, so that
-/// the table is bounded by what the upstream has in hand.
+/// Pure; runs on one thread; the caller passes the time in. The upstream ends each entry, which
+/// bounds the table.
 #pragma once
 
 #include "interfaces.h"
--- a/tests/connection_state_machine_test.cpp
+++ b/tests/connection_state_machine_test.cpp
@@ -3,6 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include <array>
+
 using namespace gorsebeam;
 using namespace gorsebeam::connection_pool;
 
@@ -42,7 +44,7 @@
     bool has_response_started;
   };
 
-  constexpr Case kCases[] = {
+  constexpr std::array<Case, 8> kCases{{
       {State::Connecting, true, false, false, false},
       {State::AwaitingHandshake, true, false, false, false},
       {State::Ready, false, false, false, false},
@@ -51,7 +53,7 @@
       {State::ReceivingEarly, false, true, false, true},
       {State::AwaitingResponse, false, false, true, false},
       {State::ReceivingResponse, false, false, true, true},
-  };
+  }};
   for (const Case& expected : kCases) {
     SCOPED_TRACE(static_cast<int>(expected.state));
     const ConnectionStateMachine machine = machine_in(expected.state);
@@ -94,7 +96,7 @@
   constexpr auto kCheck = RequestKind::HealthCheck;
   constexpr auto kPending = DeadlineState::Pending;
   constexpr auto kPassed = DeadlineState::Passed;
-  constexpr Case kCases[] = {
+  constexpr std::array<Case, 10> kCases{{
       {State::Connecting, kRequest, kPending, AttemptStatus::ConnectFailed},
       {State::Connecting, kRequest, kPassed, AttemptStatus::NotSent},
       {State::Connecting, kCheck, kPassed, AttemptStatus::ConnectFailed},
@@ -105,7 +107,7 @@
       {State::AwaitingResponse, kRequest, kPending, AttemptStatus::Timeout},
       {State::ReceivingResponse, kRequest, kPending, AttemptStatus::Error},
       {State::ReceivingResponse, kCheck, kPassed, AttemptStatus::Timeout},
-  };
+  }};
   for (const Case& expected : kCases) {
     const ConnectionStateMachine machine = machine_in(expected.state);
     EXPECT_EQ(machine.status_at_timeout(expected.kind, expected.deadline), expected.status)
--- a/tests/request_tracker_test.cpp
+++ b/tests/request_tracker_test.cpp
@@ -3,6 +3,7 @@
 
 #include <gtest/gtest.h>
 
+#include <array>
 #include <optional>
 #include <utility>
 
@@ -70,13 +71,17 @@
 }
 
 TEST_F(RequestTrackerTest, RecordsSinceWhenTheRequestMayHaveRun) {
-  constexpr std::pair<AttemptStatus, bool> kCases[] = {
-      {AttemptStatus::Ok, false},          {AttemptStatus::Error, true},
-      {AttemptStatus::Rejected, false},    {AttemptStatus::Timeout, true},
-      {AttemptStatus::Reset, true},        {AttemptStatus::ConnectFailed, false},
-      {AttemptStatus::Cancelled, true},    {AttemptStatus::NotSent, false},
+  constexpr std::array<std::pair<AttemptStatus, bool>, 9> kCases{{
+      {AttemptStatus::Ok, false},
+      {AttemptStatus::Error, true},
+      {AttemptStatus::Rejected, false},
+      {AttemptStatus::Timeout, true},
+      {AttemptStatus::Reset, true},
+      {AttemptStatus::ConnectFailed, false},
+      {AttemptStatus::Cancelled, true},
+      {AttemptStatus::NotSent, false},
       {AttemptStatus::Misdirected, false},
-  };
+  }};
   const TimePoint written_at(7s);
   for (const auto& [status, expected] : kCases) {
     RequestTracker tracker;
