--- a/src/connection_admission/connection_admission.cpp
+++ b/src/connection_admission/connection_admission.cpp
@@ -12,7 +12,7 @@
 constexpr Duration kMinUnusedTime = 200ms;
 // On the recorded days nine in ten further requests came sooner than this.
 constexpr Duration kMinIdleTimeAfterOneRequest = 100ms;
-constexpr Duration kMinIdleTimeForReplacement = 50ms;
+constexpr Duration kMinIdleTimeForEviction = 50ms;
 constexpr Duration kBusyInterval = 50ms;
 constexpr Duration kCalmInterval = 200ms;
 
@@ -27,18 +27,18 @@
 
 }  // namespace
 
-std::vector<std::size_t> rank_replaceable(std::vector<IdleConnection> idle, TimePoint now) {
+std::vector<std::size_t> rank_evictable(std::vector<IdleConnection> idle, TimePoint now) {
   std::sort(idle.begin(), idle.end(), closes_before);
   std::vector<std::size_t> ranked;
   for (const IdleConnection& connection : idle) {
-    if (now - connection.idle_since >= kMinIdleTimeForReplacement)
+    if (now - connection.idle_since >= kMinIdleTimeForEviction)
       ranked.push_back(connection.index);
   }
   return ranked;
 }
 
-std::vector<CloseCandidate> rank_retirable(std::vector<IdleConnection> idle, TimePoint now,
-                                           std::size_t connected, std::size_t max_connections) {
+std::vector<CloseCandidate> rank_surplus(std::vector<IdleConnection> idle, TimePoint now,
+                                         std::size_t connected, std::size_t max_connections) {
   std::sort(idle.begin(), idle.end(), closes_before);
   std::vector<CloseCandidate> unused;
   std::vector<CloseCandidate> long_idle;
@@ -59,7 +59,7 @@
   return ranked;
 }
 
-Duration retirement_interval(std::size_t connected, std::size_t max_connections) {
+Duration surplus_check_interval(std::size_t connected, std::size_t max_connections) {
   return connected > max_connections / 2 ? kBusyInterval : kCalmInterval;
 }
 
--- a/src/connection_admission/connection_admission.h
+++ b/src/connection_admission/connection_admission.h
@@ -30,8 +30,8 @@
 /// most one, the first that it can. Connections without a request come first, then the longest
 /// idle. A connection whose state changed within the last 50 ms is left out, as a request may be on
 /// its way.
-[[nodiscard]] std::vector<std::size_t> rank_replaceable(std::vector<IdleConnection> idle,
-                                                        TimePoint now);
+[[nodiscard]] std::vector<std::size_t> rank_evictable(std::vector<IdleConnection> idle,
+                                                      TimePoint now);
 
 /// Ranks the connections that may be closed at any time, out of `connected` with a maximum of
 /// `max_connections`. In order:
@@ -40,12 +40,12 @@
 ///  - above half of it, those with a single request, idle for 0.1 s.
 /// Clients that ask once and stay must not use up the capacity of others, and clients may often
 /// open fewer connections than this gateway accepts.
-[[nodiscard]] std::vector<CloseCandidate> rank_retirable(std::vector<IdleConnection> idle,
-                                                         TimePoint now, std::size_t connected,
-                                                         std::size_t max_connections);
+[[nodiscard]] std::vector<CloseCandidate> rank_surplus(std::vector<IdleConnection> idle,
+                                                       TimePoint now, std::size_t connected,
+                                                       std::size_t max_connections);
 
-/// Nanoseconds until `rank_retirable` is to be called again: 50 ms while more than half of the
+/// Nanoseconds until `rank_surplus` is to be called again: 50 ms while more than half of the
 /// capacity is in use, 200 ms otherwise.
-[[nodiscard]] Duration retirement_interval(std::size_t connected, std::size_t max_connections);
+[[nodiscard]] Duration surplus_check_interval(std::size_t connected, std::size_t max_connections);
 
 }  // namespace gorsebeam::connection_admission
--- a/src/frontend/client_connection.cpp
+++ b/src/frontend/client_connection.cpp
@@ -12,9 +12,9 @@
 namespace gorsebeam::frontend {
 namespace {
 
-constexpr Duration kMaxMessageDelay = 5s / 2;    // an error or a close is due 3 s after connect
-constexpr Duration kMaxAnswerDelay = 5s;         // longer than any deadline
-constexpr std::size_t kMaxMessagesPerTurn = 16;  // of one connection in a turn of the loop
+constexpr Duration kMaxMessageTime = 5s / 2;    // an error or a close is due 3 s after connect
+constexpr Duration kMaxResponseWriteTime = 5s;  // longer than any deadline
+constexpr std::size_t kMaxMessagesPerIteration = 16;  // of one connection in a turn of the loop
 constexpr std::size_t kMessageSlack = 1024;
 
 // Bytes that are read behind a pending request while memory is short.
@@ -30,7 +30,7 @@
     return "error_sent";
   case CloseReason::Idle:
     return "idle";
-  case CloseReason::Replaced:
+  case CloseReason::Evicted:
     return "replaced";
   case CloseReason::Shutdown:
     return "shutdown";
@@ -52,7 +52,7 @@
       }) {}
 
 TimePoint ClientConnection::earliest_arrival() const {
-  return read_from_.value_or(net::earliest_arrival());
+  return input_arrival_.value_or(net::earliest_arrival());
 }
 
 bool ClientConnection::is_idle() const {
@@ -62,7 +62,7 @@
 void ClientConnection::received() {
   if (state_ != State::Open)
     return stream_->input().consume(stream_->input().size());
-  read_from_ = stream_->input_arrival();
+  input_arrival_ = stream_->input_arrival();
   // Bounds what a client can make us hold: behind a pending request its next ones wait in the
   // kernel. While memory allows more is read, so that the disconnection of a client that sends much
   // is noticed; beyond that its end is watched without reading on.
@@ -74,7 +74,7 @@
   if (stream_->input().size() > max_size)
     stream_->pause_reading(is_busy_ ? net::PeerCloseWatch::On : net::PeerCloseWatch::Off);
   process_input();
-  read_from_.reset();
+  input_arrival_.reset();
   if (stream_->open() && !is_busy_)
     frontend_.enforce_buffer_limit();
 }
@@ -95,7 +95,7 @@
   is_processing_ = true;
   std::size_t messages = 0;
   while (!is_busy_ && state_ == State::Open && stream_->open() && stream_->all_written()) {
-    if (messages == kMaxMessagesPerTurn) {
+    if (messages == kMaxMessagesPerIteration) {
       stream_->pause_reading();
       resume_timer_.after(0ms);
       is_processing_ = false;
@@ -133,7 +133,7 @@
 
 bool ClientConnection::begin_request(Request request, std::size_t size) {
   if (stream_->has_peer_closed()) {
-    drop_request_and_retire();
+    handle_client_disconnect();
     return true;
   }
   is_busy_ = true;
@@ -170,8 +170,8 @@
     return nullptr;
   const Duration waited = now - last_progress_at_;
   if (!stream_->all_written())
-    return waited > kMaxAnswerDelay ? "an answer was not taken" : nullptr;
-  if (waited <= kMaxMessageDelay)
+    return waited > kMaxResponseWriteTime ? "an answer was not taken" : nullptr;
+  if (waited <= kMaxMessageTime)
     return nullptr;
   if (stream_->input().size() > 0)
     return "a message did not end";
@@ -187,15 +187,15 @@
 
 // The client has disconnected: its pending request ends without an answer. What was written to it
 // before is still sent.
-void ClientConnection::drop_request_and_retire() {
+void ClientConnection::handle_client_disconnect() {
   begin_closing(CloseReason::PeerClosed);
   if (is_busy_)
     frontend_.broker().client_disconnected(request_id_);
   is_busy_ = false;
-  retire(CloseReason::PeerClosed);
+  close_idle(CloseReason::PeerClosed);
 }
 
-void ClientConnection::retire(CloseReason reason) {
+void ClientConnection::close_idle(CloseReason reason) {
   begin_closing(reason);
   linger();
 }
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -21,7 +21,7 @@
   ClientEnded,  ///< The client asked for the end in its protocol.
   ErrorSent,    ///< It broke the protocol, was overdue or was rejected, and was told so.
   Idle,         ///< It rested for long while there were many.
-  Replaced,     ///< It rested, and a new connection needed its place.
+  Evicted,      ///< It rested, and a new connection needed its place.
   Shutdown,     ///< The gateway stops.
   Overdue,      ///< As ErrorSent, but the error could not be sent at once.
   Exception,    ///< A defect in the gateway.
@@ -66,7 +66,7 @@
   void reject_and_close(const char* reason);
 
   /// Closes the sending side of an idle connection, which then lingers.
-  void retire(CloseReason reason);
+  void close_idle(CloseReason reason);
 
   /// Closes it now and drops a pending request.
   void close(CloseReason reason);
@@ -111,18 +111,18 @@
   void flushed() final;
   void ended(const std::string& reason) final;
 
-  void peer_closed() final { drop_request_and_retire(); }
+  void peer_closed() final { handle_client_disconnect(); }
 
   void process_input();
   void process_input_guarded();
   void begin_closing(CloseReason reason);
   void linger();
-  void drop_request_and_retire();
+  void handle_client_disconnect();
 
   std::string request_id_;
   std::string end_reason_;  ///< As the socket reported it; empty: it did not.
   std::optional<TimePoint>
-      read_from_;  ///< Of the bytes that are being handled; empty: they were read before.
+      input_arrival_;  ///< Of the bytes that are being handled; empty: they were read before.
   std::size_t request_size_ = 0;
   State state_ = State::Open;
   bool is_busy_ = false;        ///< A request is pending.
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -27,12 +27,12 @@
         close_overdue(now);
         close_surplus(now);
         maintenance_timer_.after(
-            connection_admission::retirement_interval(connections_.size(), limits_.connections));
+            connection_admission::surplus_check_interval(connections_.size(), limits_.connections));
       }),
       linger_timer_([this] {
         close_expired_lingering();
       }) {
-  maintenance_timer_.after(connection_admission::retirement_interval(0, limits_.connections));
+  maintenance_timer_.after(connection_admission::surplus_check_interval(0, limits_.connections));
 }
 
 std::unique_ptr<net::Listener> Frontend::new_listener() {
@@ -71,7 +71,7 @@
 }
 
 void Frontend::add_accepted(net::SocketHandle socket) {
-  const bool is_over_limit = connections_.size() >= limits_.connections && !retire_for_new();
+  const bool is_over_limit = connections_.size() >= limits_.connections && !evict_idle_connection();
   auto connection = make_connection_(*this, std::move(socket));
   connection->is_over_limit_ = is_over_limit;
   if (is_over_limit)
@@ -98,16 +98,16 @@
   return idle;
 }
 
-bool Frontend::retire_for_new() {
+bool Frontend::evict_idle_connection() {
   const IdleConnections idle = idle_connections();
   const std::vector<std::size_t> order =
-      connection_admission::rank_replaceable(idle.descriptions, net::now());
+      connection_admission::rank_evictable(idle.descriptions, net::now());
   // The kernel is asked about one connection after the other, and not about all: with every place
   // taken a system call for each connection at each accept held the loop up for over a second.
   for (const std::size_t index : order) {
     if (idle.connections[index]->has_unread())
       continue;
-    idle.connections[index]->retire(CloseReason::Replaced);
+    idle.connections[index]->close_idle(CloseReason::Evicted);
     return true;
   }
   return false;
@@ -125,8 +125,8 @@
 void Frontend::close_surplus(TimePoint now) {
   const IdleConnections idle = idle_connections();
   const std::vector<connection_admission::CloseCandidate> candidates =
-      connection_admission::rank_retirable(idle.descriptions, now, connections_.size(),
-                                           limits_.connections);
+      connection_admission::rank_surplus(idle.descriptions, now, connections_.size(),
+                                         limits_.connections);
   for (const connection_admission::CloseCandidate& candidate : candidates) {
     if (connections_.size() <= candidate.above)
       continue;
@@ -134,7 +134,7 @@
     if (connection->has_unread())
       continue;
     if (connection->answered_count() > 0) {
-      connection->retire(CloseReason::Idle);
+      connection->close_idle(CloseReason::Idle);
       continue;
     }
     connection->is_over_limit_ = true;  // selects the protocol's error code
@@ -209,7 +209,7 @@
   const bool is_closed = listener_->drain_and_close();
   for (ClientConnection* connection : idle_connections().connections) {
     if (!connection->has_unread())
-      connection->retire(CloseReason::Shutdown);
+      connection->close_idle(CloseReason::Shutdown);
   }
   if (!is_closed || !connections_.empty())
     stop_timer_.after(kStopSweepInterval);
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -93,7 +93,7 @@
   [[nodiscard]] IdleConnections idle_connections() const;
 
   /// Retires one idle connection in favour of a new one; false where there is none.
-  bool retire_for_new();
+  bool evict_idle_connection();
   void close_overdue(TimePoint now);
   void close_surplus(TimePoint now);
   void close_expired_lingering();
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr int kBacklog = 512;
-constexpr int kMaxAcceptsPerTurn = 16;
+constexpr int kMaxAcceptsPerIteration = 16;
 constexpr int kMaxAcceptsAtClose = 4 * kBacklog;
-constexpr Duration kBackOff = 20ms;
+constexpr Duration kAcceptBackoff = 20ms;
 
 SocketHandle open_listening_socket(GSocketAddress* address, ErrorHandle& error) {
   GError* raw = nullptr;
@@ -55,13 +55,13 @@
 }
 
 Listener::Listener(AcceptHandler handle_accepted)
-    : handle_accepted_(std::move(handle_accepted)), back_off_timer_([this] {
+    : handle_accepted_(std::move(handle_accepted)), backoff_timer_([this] {
         start_watching();
       }) {}
 
 TimePoint Listener::earliest_arrival() const {
-  const TimePoint of_turn = net::earliest_arrival();
-  return backlog_since_ ? std::min(*backlog_since_, of_turn) : of_turn;
+  const TimePoint of_iteration = net::earliest_arrival();
+  return backlog_since_ ? std::min(*backlog_since_, of_iteration) : of_iteration;
 }
 
 // While it is paused the queue fills at any time, and what is said of it ends.
@@ -79,13 +79,13 @@
 void Listener::start_watching() {
   if (!socket_ || source_ || is_paused_)
     return;
-  back_off_timer_.stop();
+  backoff_timer_.stop();
   source_.watch(socket_.get(), G_IO_IN, &Listener::on_ready, this);
 }
 
 void Listener::back_off() {
   source_.reset();
-  back_off_timer_.after(kBackOff);
+  backoff_timer_.after(kAcceptBackoff);
 }
 
 bool Listener::drain_and_close() {
@@ -102,7 +102,7 @@
 
 void Listener::close_socket() {
   source_.reset();
-  back_off_timer_.stop();
+  backoff_timer_.stop();
   if (socket_)
     g_socket_close(socket_.get(), nullptr);
   socket_.reset();
@@ -120,7 +120,7 @@
   const TimePoint earliest = listener->earliest_arrival();
   AcceptResult result = AcceptResult::Accepted;
   // The handler may pause the listener, which resets the source.
-  for (int i = 0; i < kMaxAcceptsPerTurn && can_go_on(result) && listener->source_; ++i)
+  for (int i = 0; i < kMaxAcceptsPerIteration && can_go_on(result) && listener->source_; ++i)
     result = listener->accept_one();
   listener->backlog_since_.reset();
   if (result != AcceptResult::QueueEmpty && listener->source_)
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -74,7 +74,7 @@
   AcceptHandler handle_accepted_;
   SocketHandle socket_;
   SourceHandle source_;
-  Timer back_off_timer_;
+  Timer backoff_timer_;
   bool is_paused_ = false;  ///< By the owner.
   /// What the last turn left in the queue came after this.
   std::optional<TimePoint> backlog_since_;
--- a/src/net/loop_monitor.h
+++ b/src/net/loop_monitor.h
@@ -17,10 +17,10 @@
 enum class LoopWork { Accept, Read, Timer };
 
 /// A turn that lasts longer, or a timer that fires later than this, is logged.
-constexpr Duration kLongTurn = 100ms;
+constexpr Duration kSlowIteration = 100ms;
 
 /// The longest wait for events: so long at most a pause within a wait may go unnoticed.
-constexpr int kMaxWaitMs = 100;
+constexpr int kMaxPollTimeoutMs = 100;
 
 /// Observes the default main context from now on, for as long as the process lives.
 void observe_loop();
@@ -30,7 +30,7 @@
 
 /// Counts the turns whose wait looked at the sockets. What was not watched in the turn before may
 /// have been there to be read.
-[[nodiscard]] std::uint64_t turn_number();
+[[nodiscard]] std::uint64_t iteration();
 
 /// The earliest time of `now()` at which bytes that are read in this turn can have arrived, on a
 /// socket that was watched before:
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxVectors = 16;
 constexpr int kMaxPendingReads = 64;
 constexpr int kMaxTransientErrors = 50;
-constexpr Duration kTransientRest = 5ms;
+constexpr Duration kTransientErrorBackoff = 5ms;
 
 // The peer's end, also behind unread bytes. GLib has no name for POLLRDHUP and passes the bit on
 // to poll as it is.
@@ -33,8 +33,8 @@
 }  // namespace
 
 Stream::Stream(SocketHandle socket, Events& events)
-    : events_(&events), socket_(std::move(socket)), rest_timer_([this] {
-        end_rest();
+    : events_(&events), socket_(std::move(socket)), backoff_timer_([this] {
+        end_backoff();
       }) {
   g_socket_set_blocking(socket_.get(), FALSE);
   g_socket_set_option(socket_.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
@@ -62,8 +62,8 @@
 
 std::shared_ptr<Stream> Stream::adopt(SocketHandle socket, Events& events, TimePoint arrival) {
   std::shared_ptr<Stream> stream(new Stream(std::move(socket), events));
-  stream->ready_in_turn_ = turn_number();
-  stream->ready_since_ = arrival;
+  stream->last_input_iteration_ = iteration();
+  stream->earliest_arrival_ = arrival;
   stream->watch_readable();
   return stream;
 }
@@ -76,7 +76,7 @@
   readable_source_.reset();
   writable_source_.reset();
   peer_close_source_.reset();
-  rest_timer_.stop();
+  backoff_timer_.stop();
   if (socket_)
     g_socket_close(socket_.get(), nullptr);
   socket_.reset();
@@ -193,19 +193,19 @@
 
 // GLib reports a lack of memory (ENOMEM) as one of space, and has no code for one of buffers
 // (ENOBUFS).
-bool Stream::rest_after_transient(const GError& error) {
+bool Stream::back_off_after_transient_error(const GError& error) {
   const bool may_pass = error.domain == G_IO_ERROR &&
                         (error.code == G_IO_ERROR_NO_SPACE || error.code == G_IO_ERROR_FAILED);
   if (!may_pass || ++transient_errors_ > kMaxTransientErrors)
     return false;
   readable_source_.reset();
   writable_source_.reset();
-  rest_timer_.after(kTransientRest);
+  backoff_timer_.after(kTransientErrorBackoff);
   return true;
 }
 
-void Stream::end_rest() {
-  ready_in_turn_ = turn_number();
+void Stream::end_backoff() {
+  last_input_iteration_ = iteration();
   watch_readable();
   if (!all_written())
     watch_writable();
@@ -220,25 +220,25 @@
 
 // After a pause more may wait than one turn reads: what is there in the next turn again may have
 // come as early. Else each turn says it for itself.
-void Stream::record_ready() {
-  const std::uint64_t turn = turn_number();
-  const bool goes_on = turn <= ready_in_turn_ + 1;
-  const bool was_held_up = now() - ready_since_ > kMaxTimerLateness;
+void Stream::record_arrival() {
+  const std::uint64_t current = iteration();
+  const bool continues = current <= last_input_iteration_ + 1;
+  const bool was_stalled = now() - earliest_arrival_ > kMaxTimerLateness;
   const TimePoint arrival = net::earliest_arrival();
-  ready_since_ = goes_on && was_held_up ? std::min(arrival, ready_since_) : arrival;
-  ready_in_turn_ = turn;
+  earliest_arrival_ = continues && was_stalled ? std::min(arrival, earliest_arrival_) : arrival;
+  last_input_iteration_ = current;
 }
 
 void Stream::read_some() {
   count_loop_work(LoopWork::Read);
-  record_ready();
+  record_arrival();
   char* space = input_.reserve_space(kMinReadSize);
   GError* raw = nullptr;
   const gssize size = g_socket_receive(socket_.get(), space, input_.free_space(), nullptr, &raw);
   const ErrorHandle error(raw);
   if (size < 0 && would_block(error))
     return;
-  if (size < 0 && rest_after_transient(*error))
+  if (size < 0 && back_off_after_transient_error(*error))
     return;
   if (size < 0)
     return fail(error->message);
@@ -295,7 +295,7 @@
   const ErrorHandle error(raw);
   if (sent < 0 && would_block(error))
     return;
-  if (sent < 0 && rest_after_transient(*error))
+  if (sent < 0 && back_off_after_transient_error(*error))
     return;
   if (sent < 0)
     return fail(error->message);
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -89,7 +89,7 @@
   [[nodiscard]] bool open() const { return socket_ != nullptr; }
 
   /// The earliest time of `now()` at which what was read last can have arrived.
-  [[nodiscard]] TimePoint input_arrival() const { return ready_since_; }
+  [[nodiscard]] TimePoint input_arrival() const { return earliest_arrival_; }
 
 private:
   Stream(SocketHandle socket, Events& events);
@@ -109,8 +109,8 @@
 
   /// Whether a failed call may succeed soon. If so both directions rest for a moment; not for ever,
   /// as an error without a name may also be the connection's end.
-  [[nodiscard]] bool rest_after_transient(const GError& error);
-  void end_rest();
+  [[nodiscard]] bool back_off_after_transient_error(const GError& error);
+  void end_backoff();
 
   /// Copies all but the first `sent` bytes of `parts` to the output buffer.
   void buffer_unsent(const Parts& parts, std::size_t sent);
@@ -124,11 +124,12 @@
   InputBuffer input_;
   std::string output_;
   std::size_t written_ = 0;  ///< Bytes of `output_` that the kernel has accepted.
-  void record_ready();
+  void record_arrival();
 
-  std::uint64_t ready_in_turn_ = 0;  ///< The last turn in which there was something to be read.
-  TimePoint ready_since_{};
-  Timer rest_timer_;
+  std::uint64_t last_input_iteration_ =
+      0;  ///< The last turn in which there was something to be read.
+  TimePoint earliest_arrival_{};
+  Timer backoff_timer_;
   int transient_errors_ = 0;  ///< In a row.
   bool connecting_ = false;
   bool paused_ = false;
--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -27,7 +27,7 @@
 struct TimerQueue {
   std::map<Timer::QueueKey, Timer*> timers;
   std::uint64_t last_sequence = 0;
-  TimePoint sockets_read_since{};  ///< Timers due by then have waited for a whole turn.
+  TimePoint deferred_until{};  ///< Timers due by then have waited for a whole turn.
 };
 
 gboolean prepare_queue(GSource*, gint* timeout_ms);
@@ -73,15 +73,15 @@
 void log_lateness(TimePoint time) {
   const auto& timers = queue().timers;
   const Duration lateness = timers.empty() ? 0ms : time - timers.begin()->first.first;
-  const bool is_first_sight =
-      timers.empty() || timers.begin()->first.first > queue().sockets_read_since;
-  if (lateness > kLongTurn && is_first_sight)
+  const bool is_first_detection =
+      timers.empty() || timers.begin()->first.first > queue().deferred_until;
+  if (lateness > kSlowIteration && is_first_detection)
     log({"timers_late", {{"late_ms", std::to_string(lateness / 1ms)}}});
 }
 
 // Whether a timer that is due must wait for one turn, in which the sockets are read.
-bool must_wait_for_sockets(TimePoint due_at, TimePoint time) {
-  return due_at > queue().sockets_read_since && due_at < time - kMaxTimerLateness;
+bool must_defer(TimePoint due_at, TimePoint time) {
+  return due_at > queue().deferred_until && due_at < time - kMaxTimerLateness;
 }
 
 // The timers that fire now; late ones fire in the next turn.
@@ -91,13 +91,13 @@
   for (const auto& [key, timer] : queue().timers) {
     if (key.first > time)
       break;
-    if (must_wait_for_sockets(key.first, time))
+    if (must_defer(key.first, time))
       has_late = true;
     else
       due.push_back(key);
   }
   if (has_late)
-    queue().sockets_read_since = time;
+    queue().deferred_until = time;
   return due;
 }
 
