--- a/src/connection_pool/upstream_protocol.h
+++ b/src/connection_pool/upstream_protocol.h
@@ -56,10 +56,10 @@
   virtual HandshakeResult parse_handshake(std::string_view in) = 0;
 
   /// Frames a request body; the parts are valid until the next call of this object.
-  virtual proxy::Parts frame_request(const proxy::Parts& body) = 0;
+  virtual proxy::ByteSpans frame_request(const proxy::ByteSpans& body) = 0;
 
   /// The message of a health check; valid until the next call of this object.
-  virtual proxy::Parts health_check_message() = 0;
+  virtual proxy::ByteSpans health_check_message() = 0;
 
   /// Reads the response to a request of `kind` from its first byte on.
   virtual ParsedResponse parse_response(std::string_view in, RequestKind kind,
--- a/src/mongo/client_connection.cpp
+++ b/src/mongo/client_connection.cpp
@@ -31,18 +31,18 @@
         admission_(contracts, frontend.broker().settings()) {}
 
   // The message stays in the input until its request is complete.
-  proxy::Parts body(Duration left) override {
+  proxy::ByteSpans body(Duration left) override {
     const wire::Framed<Message> message = read_pending_message();
     const OpMsg op_msg = message ? read_op_msg(message.value().payload).value_or(OpMsg{}) : OpMsg{};
     return rewriter_.rewrite(op_msg, request_kind_, left);
   }
 
-  void respond(const proxy::Parts& value) override {
+  void respond(const proxy::ByteSpans& value) override {
     const std::string flags = encode_u32(0);
     const std::size_t payload_size = flags.size() + wire::total_size(value);
     const std::string header =
         encode_header(payload_size, ++last_sent_id_, message_id_, Opcode::Msg);
-    proxy::Parts parts{header, flags};
+    proxy::ByteSpans parts{header, flags};
     parts.insert(parts.end(), value.begin(), value.end());
     stream_->write(parts);
     complete_request();
--- a/src/mongo/command_rewriter.cpp
+++ b/src/mongo/command_rewriter.cpp
@@ -19,8 +19,8 @@
 }
 
 /// The elements of a command that are forwarded unchanged; adjacent ones are joined to one part.
-proxy::Parts unchanged_elements(std::string_view command, CommandKind kind) {
-  proxy::Parts parts;
+proxy::ByteSpans unchanged_elements(std::string_view command, CommandKind kind) {
+  proxy::ByteSpans parts;
   Reader reader(command);
   while (const std::optional<Element> element = reader.next()) {
     if (is_replaced(element->name, kind))
@@ -46,8 +46,9 @@
 
 }  // namespace
 
-proxy::Parts CommandRewriter::rewrite(const OpMsg& message, CommandKind kind, Duration time_left) {
-  const proxy::Parts unchanged = unchanged_elements(message.body, kind);
+proxy::ByteSpans CommandRewriter::rewrite(const OpMsg& message, CommandKind kind,
+                                          Duration time_left) {
+  const proxy::ByteSpans unchanged = unchanged_elements(message.body, kind);
   const Writer added = replacement_elements(kind, time_left);
   const std::size_t document_size =
       kMinDocumentSize + wire::total_size(unchanged) + added.elements().size();
@@ -55,8 +56,8 @@
   const std::string body_header = '\0' + encode_u32(static_cast<std::uint32_t>(document_size));
   written_ = flags + body_header + added.elements() + '\0';
   const std::string_view written = written_;
-  proxy::Parts parts{written.substr(0, kFlagsSize), message.sections_before,
-                     written.substr(kFlagsSize, kBodyHeaderSize)};
+  proxy::ByteSpans parts{written.substr(0, kFlagsSize), message.sections_before,
+                         written.substr(kFlagsSize, kBodyHeaderSize)};
   parts.insert(parts.end(), unchanged.begin(), unchanged.end());
   parts.push_back(written.substr(kFlagsSize + kBodyHeaderSize));
   parts.push_back(message.sections_after);
--- a/src/mongo/command_rewriter.h
+++ b/src/mongo/command_rewriter.h
@@ -20,7 +20,7 @@
   ///  - the checksum, which is removed, as it counts the header, and that is another one.
   ///
   /// The parts borrow from `message` and, until the next call, from this object.
-  proxy::Parts rewrite(const OpMsg& message, CommandKind kind, Duration time_left);
+  proxy::ByteSpans rewrite(const OpMsg& message, CommandKind kind, Duration time_left);
 
 private:
   std::string written_;
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -143,14 +143,14 @@
     return {is_rejected ? Status::Rejected : Status::Failed};
   }
 
-  proxy::Parts frame_request(const proxy::Parts& body) override {
+  proxy::ByteSpans frame_request(const proxy::ByteSpans& body) override {
     header_ = encode_header(wire::total_size(body), ++last_sent_id_, 0, Opcode::Msg);
-    proxy::Parts parts{header_};
+    proxy::ByteSpans parts{header_};
     parts.insert(parts.end(), body.begin(), body.end());
     return parts;
   }
 
-  proxy::Parts health_check_message() override {
+  proxy::ByteSpans health_check_message() override {
     Writer hello;
     hello.append_int32("hello", 1).append_string("$db", "admin");
     header_ = encode_op_msg(hello.finish(), ++last_sent_id_, 0);
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -249,7 +249,7 @@
   events_->received();
 }
 
-void Stream::write(const Parts& parts) {
+void Stream::write(const ByteSpans& parts) {
   if (!socket_)
     return;
   if (!all_written() || connecting_ || parts.size() > kMaxVectors) {
@@ -273,7 +273,7 @@
   watch_writable();
 }
 
-void Stream::buffer_unsent(const Parts& parts, std::size_t sent) {
+void Stream::buffer_unsent(const ByteSpans& parts, std::size_t sent) {
   for (const std::string_view part : parts) {
     const std::size_t skipped = std::min(sent, part.size());
     sent -= skipped;
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -16,7 +16,7 @@
 namespace gorsebeam::net {
 
 /// Pieces of one message, written one after the other without being joined first.
-using Parts = std::vector<std::string_view>;
+using ByteSpans = std::vector<std::string_view>;
 
 /// Whether the peer's end of the connection is reported while reading is paused.
 enum class PeerCloseWatch { Off, On };
@@ -58,7 +58,7 @@
   InputBuffer& input() { return input_; }
 
   /// Sends the parts, or keeps a copy of what the kernel does not accept now.
-  void write(const Parts& parts);
+  void write(const ByteSpans& parts);
 
   [[nodiscard]] bool all_written() const { return unsent_size() == 0; }
 
@@ -113,7 +113,7 @@
   void end_backoff();
 
   /// Copies all but the first `sent` bytes of `parts` to the output buffer.
-  void buffer_unsent(const Parts& parts, std::size_t sent);
+  void buffer_unsent(const ByteSpans& parts, std::size_t sent);
   void release_output();
 
   Events* events_;
--- a/src/postgres/client_connection.cpp
+++ b/src/postgres/client_connection.cpp
@@ -34,13 +34,13 @@
         admission_(contracts, frontend.broker().settings()), classifier_(classifier) {}
 
   // The statement stays in the input until its request is complete.
-  proxy::Parts body(Duration left) override {
+  proxy::ByteSpans body(Duration left) override {
     const std::string_view text = stream_->input().view().substr(kQueryHeaderSize, text_size_);
     return rewriter_.rewrite(text, deadline_, left);
   }
 
-  void respond(const proxy::Parts& value) override {
-    proxy::Parts parts = value;
+  void respond(const proxy::ByteSpans& value) override {
+    proxy::ByteSpans parts = value;
     parts.emplace_back(kReadyForQuery);
     complete_request(parts);
   }
@@ -175,7 +175,7 @@
   void consume(const Message& message) { stream_->input().consume(message.encoded.size()); }
 
   /// Replies to a message that began no request.
-  void reply(const Message& message, const proxy::Parts& parts) {
+  void reply(const Message& message, const proxy::ByteSpans& parts) {
     stream_->write(parts);
     consume(message);
   }
@@ -185,7 +185,7 @@
   }
 
   /// Sends the response to the pending request, which ends it.
-  void complete_request(const proxy::Parts& parts) {
+  void complete_request(const proxy::ByteSpans& parts) {
     stream_->write(parts);
     stream_->input().consume(text_size_ + kQueryFramingSize);
     finish_request();
--- a/src/postgres/statement_rewriter.cpp
+++ b/src/postgres/statement_rewriter.cpp
@@ -5,8 +5,8 @@
 namespace gorsebeam::postgres {
 namespace {}  // namespace
 
-proxy::Parts StatementRewriter::rewrite(std::string_view text, const DeadlineField& deadline,
-                                        Duration time_left) {
+proxy::ByteSpans StatementRewriter::rewrite(std::string_view text, const DeadlineField& deadline,
+                                            Duration time_left) {
   remaining_ms_ = std::to_string(std::max<Duration::rep>(time_left / 1ms, 1));
   return {text.substr(0, deadline.offset), remaining_ms_,
           text.substr(deadline.offset + deadline.size)};
--- a/src/postgres/statement_rewriter.h
+++ b/src/postgres/statement_rewriter.h
@@ -14,7 +14,8 @@
 public:
   /// The statement in `text` for an endpoint that is to finish within `time_left`: only its
   /// deadline is replaced. The parts borrow from `text` and, until the next call, from this object.
-  proxy::Parts rewrite(std::string_view text, const DeadlineField& deadline, Duration time_left);
+  proxy::ByteSpans rewrite(std::string_view text, const DeadlineField& deadline,
+                           Duration time_left);
 
 private:
   std::string remaining_ms_;
--- a/src/postgres/upstream_protocol.cpp
+++ b/src/postgres/upstream_protocol.cpp
@@ -223,17 +223,17 @@
     }
   }
 
-  proxy::Parts frame_request(const proxy::Parts& body) override {
+  proxy::ByteSpans frame_request(const proxy::ByteSpans& body) override {
     // The zero byte at the end of the text counts too.
     const std::size_t length = kLengthSize + wire::total_size(body) + 1;
     header_ = 'Q' + wire::encode_u32_big_endian(static_cast<std::uint32_t>(length));
-    proxy::Parts parts{header_};
+    proxy::ByteSpans parts{header_};
     parts.insert(parts.end(), body.begin(), body.end());
     parts.emplace_back("\0", 1);
     return parts;
   }
 
-  proxy::Parts health_check_message() override {
+  proxy::ByteSpans health_check_message() override {
     header_ = encode_message('Q', std::string_view("SHOW gauges\0", 12));
     return {header_};
   }
--- a/src/proxy/interfaces.h
+++ b/src/proxy/interfaces.h
@@ -30,7 +30,7 @@
 namespace gorsebeam::proxy {
 
 /// Bytes in pieces, which are written one after the other. Borrowed from whoever gives them.
-using Parts = std::vector<std::string_view>;
+using ByteSpans = std::vector<std::string_view>;
 
 /// Identifies an attempt between the broker and the upstream; never 0, never used again.
 using AttemptId = std::uint64_t;
@@ -43,7 +43,7 @@
   std::optional<ReplicationPosition>
       commit_position;  ///< Of a write, where it is not the replication position.
   LoadReport load_report;
-  Parts value;  ///< With `Ok`, the response body; valid only during the call that passes it.
+  ByteSpans value;  ///< With `Ok`, the response body; valid only during the call that passes it.
 };
 
 /// A client's open request, owned by its frontend.
@@ -61,10 +61,10 @@
   /// The request body for an endpoint that is to finish within `left` nanoseconds. May be called
   /// once per attempt until the request is complete. The parts are valid until the next call of
   /// this object.
-  virtual Parts body(Duration left) = 0;
+  virtual ByteSpans body(Duration left) = 0;
 
   /// Final answer: the response body, valid only during the call.
-  virtual void respond(const Parts& value) = 0;
+  virtual void respond(const ByteSpans& value) = 0;
 
   /// Final answer: the request did not run and may be sent again, after `retry_after` nanoseconds
   /// if that is above 0.
--- a/tests/frontend_accept_test.cpp
+++ b/tests/frontend_accept_test.cpp
@@ -41,9 +41,9 @@
 public:
   using ClientConnection::ClientConnection;
 
-  proxy::Parts body(Duration) override { return {}; }
+  proxy::ByteSpans body(Duration) override { return {}; }
 
-  void respond(const proxy::Parts&) override {}
+  void respond(const proxy::ByteSpans&) override {}
 
   void reject(Duration) override {}
 
--- a/tests/mongo_command_rewriter_test.cpp
+++ b/tests/mongo_command_rewriter_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::string_literals;
 
-std::string join(const proxy::Parts& parts) {
+std::string join(const proxy::ByteSpans& parts) {
   std::string joined;
   for (const std::string_view part : parts)
     joined += part;
--- a/tests/mongo_upstream_protocol_test.cpp
+++ b/tests/mongo_upstream_protocol_test.cpp
@@ -33,7 +33,7 @@
   EXPECT_EQ(handshake.value().opcode, Opcode::Msg);
   const std::string hello =
       Writer().append_int32("hello", 1).append_string("$db", "admin").finish();
-  EXPECT_EQ(protocol->health_check_message(), proxy::Parts{encode_op_msg(hello, 2, 0)});
+  EXPECT_EQ(protocol->health_check_message(), proxy::ByteSpans{encode_op_msg(hello, 2, 0)});
 }
 
 TEST(MongoUpstreamProtocol, ReadsHandshakeReply) {
--- a/tests/postgres_statement_request_test.cpp
+++ b/tests/postgres_statement_request_test.cpp
@@ -107,9 +107,9 @@
   const DeadlineField deadline = parse(text).value().deadline;
   StatementRewriter rewriter;
   EXPECT_EQ(rewriter.rewrite(text, deadline, 123ms + 456ns),
-            (proxy::Parts{"SELECT 1 /* id=a,c=any,d=", "123", ",cluster=0 */"}));
+            (proxy::ByteSpans{"SELECT 1 /* id=a,c=any,d=", "123", ",cluster=0 */"}));
   EXPECT_EQ(rewriter.rewrite(text, deadline, 5ns),
-            (proxy::Parts{"SELECT 1 /* id=a,c=any,d=", "1", ",cluster=0 */"}));
+            (proxy::ByteSpans{"SELECT 1 /* id=a,c=any,d=", "1", ",cluster=0 */"}));
 }
 
 }  // namespace
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -78,9 +78,9 @@
 
   int response_count = 0;
 
-  proxy::Parts body(Duration) override { return {"SELECT"}; }
+  proxy::ByteSpans body(Duration) override { return {"SELECT"}; }
 
-  void respond(const proxy::Parts&) override { ++response_count; }
+  void respond(const proxy::ByteSpans&) override { ++response_count; }
 
   void reject(Duration) override { ++response_count; }
 
