--- /dev/null
+++ b/src/net/arrival_bound.cpp
@@ -0,0 +1,35 @@
+#include "arrival_bound.h"
+
+#include "loop_stall.h"
+
+#include <algorithm>
+
+namespace gorsebeam::net {
+namespace {
+
+// A poll that takes less time may have found something ready at once: on a busy machine the call
+// itself takes some milliseconds.
+constexpr Duration kMinPollDuration = 10ms;
+
+}  // namespace
+
+// If a poll returns late it is not known when it examined the sockets: the process may have been
+// stopped before or after that.
+void LoopArrivalBound::record(const Poll& poll) {
+  const TimePoint due_at = poll.began_at + poll.timeout;
+  const bool is_late = poll.ended_at - kMaxLoopLateness >= due_at;
+  const bool returned_at_once = poll.ended_at - poll.began_at < kMinPollDuration;
+  const TimePoint polled_at = is_late ? poll.began_at : poll.ended_at;
+  earliest_arrival_ = returned_at_once ? last_polled_at_ : polled_at;
+  last_polled_at_ = polled_at;
+}
+
+void InputArrivalBound::record_read(const ReadTime& read) {
+  const bool continues = read.iteration <= last_input_iteration_ + 1;
+  const bool was_stalled = read.now - earliest_arrival_ > kMaxLoopLateness;
+  earliest_arrival_ = continues && was_stalled ? std::min(read.earliest_arrival, earliest_arrival_)
+                                               : read.earliest_arrival;
+  last_input_iteration_ = read.iteration;
+}
+
+}  // namespace gorsebeam::net
--- a/src/net/loop_monitor.cpp
+++ b/src/net/loop_monitor.cpp
@@ -1,14 +1,16 @@
 #include "loop_monitor.h"
 
+#include "arrival_bound.h"
 #include "log.h"
+#include "loop_stall.h"
 #include "timer.h"
 
 #include <glib.h>
 
-#include <algorithm>
 #include <array>
 #include <cerrno>
 #include <cstddef>
+#include <optional>
 #include <string>
 
 namespace gorsebeam::net {
@@ -16,15 +18,9 @@
 
 constexpr std::size_t kWorkKinds = 3;
 
-// A wait that returns sooner may have found something ready at once: on a busy machine the call
-// itself takes some milliseconds.
-constexpr Duration kMinPollDuration = 10ms;
-
 struct LoopState {
-  bool is_observed = false;
+  std::optional<LoopArrivalBound> arrival_bound;  ///< Empty while the loop is not observed.
   TimePoint iteration_began_at{};
-  TimePoint last_polled_at{};  ///< What was there by then has been found.
-  TimePoint earliest_arrival{};
   std::uint64_t iteration = 0;
   std::array<std::uint64_t, kWorkKinds> work{};
 };
@@ -35,6 +31,11 @@
   return std::to_string(state.work[static_cast<std::size_t>(work)]);
 }
 
+void begin_iteration(TimePoint now) {
+  state.iteration_began_at = now;
+  state.work = {};
+}
+
 void end_iteration(TimePoint now) {
   const Duration duration = now - state.iteration_began_at;
   if (duration <= kSlowIteration)
@@ -46,23 +47,6 @@
         {"timers", work_count(LoopWork::Timer)}}});
 }
 
-/// Records a wait that looked at the sockets. After one that ended late it is not known when it did
-/// so: the process may have stood still before or behind that look.
-void record_poll(TimePoint began_at, TimePoint ended_at, gint timeout_ms) {
-  const TimePoint due_at = began_at + std::chrono::milliseconds(timeout_ms);
-  const bool is_late = ended_at - kMaxTimerLateness >= due_at;
-  const TimePoint polled_at = is_late ? began_at : ended_at;
-  const bool found_at_once = ended_at - began_at < kMinPollDuration;
-  state.earliest_arrival = found_at_once ? state.last_polled_at : polled_at;
-  state.last_polled_at = polled_at;
-  ++state.iteration;
-}
-
-void begin_iteration(TimePoint now) {
-  state.iteration_began_at = now;
-  state.work = {};
-}
-
 gint poll_events(GPollFD* descriptors, guint count, gint timeout_ms) {
   const bool is_bounded = timeout_ms >= 0 && timeout_ms < kMaxPollTimeoutMs;
   const gint timeout = is_bounded ? timeout_ms : kMaxPollTimeoutMs;
@@ -71,9 +55,11 @@
   const gint ready = g_poll(descriptors, count, timeout);
   const int error = errno;
   const TimePoint ended_at = now();
-  // A wait that a signal ends has not looked at the sockets.
-  if (ready >= 0)
-    record_poll(began_at, ended_at, timeout);
+  // A poll that a signal interrupts has not examined the sockets.
+  if (ready >= 0) {
+    state.arrival_bound->record({began_at, ended_at, std::chrono::milliseconds(timeout)});
+    ++state.iteration;
+  }
   begin_iteration(ended_at);
   errno = error;
   return ready;
@@ -82,12 +68,10 @@
 }  // namespace
 
 void observe_loop() {
-  if (state.is_observed)
+  if (state.arrival_bound)
     return;
-  state.is_observed = true;
   begin_iteration(now());
-  state.last_polled_at = state.iteration_began_at;
-  state.earliest_arrival = state.iteration_began_at;
+  state.arrival_bound.emplace(state.iteration_began_at);
   g_main_context_set_poll_func(nullptr, poll_events);
 }
 
@@ -100,7 +84,7 @@
 }
 
 TimePoint earliest_arrival() {
-  return state.is_observed ? state.earliest_arrival : now();
+  return state.arrival_bound ? state.arrival_bound->earliest_arrival() : now();
 }
 
 }  // namespace gorsebeam::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -7,22 +7,20 @@
 #include <netinet/tcp.h>
 #include <poll.h>
 
-#include <algorithm>
 #include <array>
 #include <exception>
+#include <string_view>
 #include <utility>
 
 namespace gorsebeam::net {
 namespace {
 
-constexpr std::size_t kMinReadSize = 4 * 1024;  // doubles while a message goes on
+constexpr std::size_t kMinReadSize = 4 * 1024;  // the buffer doubles while a message is incomplete
 constexpr std::size_t kMaxVectors = 16;
 constexpr int kMaxPendingReads = 64;
-constexpr int kMaxTransientErrors = 50;
-constexpr Duration kTransientErrorBackoff = 5ms;
 
-// The peer's end, also behind unread bytes. GLib has no name for POLLRDHUP and passes the bit on
-// to poll as it is.
+// POLLRDHUP is set when the peer closed its sending side, even if input before that is unread. GLib
+// has no name for it and passes the bit to poll unchanged.
 constexpr auto kPeerClosed = static_cast<GIOCondition>(G_IO_HUP | G_IO_ERR | POLLRDHUP);
 constexpr auto kReadable = static_cast<GIOCondition>(G_IO_IN | G_IO_HUP | G_IO_ERR);
 
@@ -33,8 +31,8 @@
 }  // namespace
 
 Stream::Stream(SocketHandle socket, Events& events)
-    : events_(&events), socket_(std::move(socket)), backoff_timer_([this] {
-        end_backoff();
+    : events_(&events), socket_(std::move(socket)), backoff_([this] {
+        resume_after_backoff();
       }) {
   g_socket_set_blocking(socket_.get(), FALSE);
   g_socket_set_option(socket_.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
@@ -49,7 +47,7 @@
   if (!socket)
     return nullptr;
   std::shared_ptr<Stream> stream(new Stream(std::move(socket), events));
-  // An immediate failure is also reported by the source, from the main loop.
+  // The source reports an immediate failure too, from the main loop.
   g_socket_connect(stream->socket_.get(), parsed.get(), nullptr, nullptr);
   stream->connecting_ = true;
   stream->watch_writable();
@@ -60,10 +58,10 @@
   return adopt(std::move(socket), events, now());
 }
 
-std::shared_ptr<Stream> Stream::adopt(SocketHandle socket, Events& events, TimePoint arrival) {
+std::shared_ptr<Stream> Stream::adopt(SocketHandle socket, Events& events,
+                                      TimePoint earliest_arrival) {
   std::shared_ptr<Stream> stream(new Stream(std::move(socket), events));
-  stream->last_input_iteration_ = iteration();
-  stream->earliest_arrival_ = arrival;
+  stream->arrival_bound_ = InputArrivalBound(iteration(), earliest_arrival);
   stream->watch_readable();
   return stream;
 }
@@ -76,11 +74,11 @@
   readable_source_.reset();
   writable_source_.reset();
   peer_close_source_.reset();
-  backoff_timer_.stop();
+  backoff_.stop();
   if (socket_)
     g_socket_close(socket_.get(), nullptr);
   socket_.reset();
-  release_output();
+  output_.release();
 }
 
 void Stream::shut_down_sending() {
@@ -180,7 +178,7 @@
   GError* raw = nullptr;
   const bool succeeded = g_socket_check_connect_result(socket_.get(), &raw) != FALSE;
   const ErrorHandle error(raw);
-  // A socket whose connect failed at once has no peer, and its error was consumed by that call.
+  // If connect failed at once, that call has consumed the error; the socket then has no peer.
   if (!succeeded || g_socket_is_connected(socket_.get()) == FALSE)
     return fail(error ? error->message : "not connected");
   connecting_ = false;
@@ -191,21 +189,16 @@
   events_->connected();
 }
 
-// GLib reports a lack of memory (ENOMEM) as one of space, and has no code for one of buffers
-// (ENOBUFS).
 bool Stream::back_off_after_transient_error(const GError& error) {
-  const bool may_pass = error.domain == G_IO_ERROR &&
-                        (error.code == G_IO_ERROR_NO_SPACE || error.code == G_IO_ERROR_FAILED);
-  if (!may_pass || ++transient_errors_ > kMaxTransientErrors)
+  if (!backoff_.start(error))
     return false;
   readable_source_.reset();
   writable_source_.reset();
-  backoff_timer_.after(kTransientErrorBackoff);
   return true;
 }
 
-void Stream::end_backoff() {
-  last_input_iteration_ = iteration();
+void Stream::resume_after_backoff() {
+  arrival_bound_.record_resumed(iteration());
   watch_readable();
   if (!all_written())
     watch_writable();
@@ -218,20 +211,9 @@
   events_->ended(reason);
 }
 
-// After a pause more may wait than one turn reads: what is there in the next turn again may have
-// come as early. Else each turn says it for itself.
-void Stream::record_arrival() {
-  const std::uint64_t current = iteration();
-  const bool continues = current <= last_input_iteration_ + 1;
-  const bool was_stalled = now() - earliest_arrival_ > kMaxTimerLateness;
-  const TimePoint arrival = net::earliest_arrival();
-  earliest_arrival_ = continues && was_stalled ? std::min(arrival, earliest_arrival_) : arrival;
-  last_input_iteration_ = current;
-}
-
 void Stream::read_some() {
   count_loop_work(LoopWork::Read);
-  record_arrival();
+  arrival_bound_.record_read({now(), iteration(), net::earliest_arrival()});
   char* space = input_.reserve_space(kMinReadSize);
   GError* raw = nullptr;
   const gssize size = g_socket_receive(socket_.get(), space, input_.free_space(), nullptr, &raw);
@@ -242,56 +224,41 @@
     return;
   if (size < 0)
     return fail(error->message);
-  transient_errors_ = 0;
+  backoff_.record_success();
   if (size == 0)
     return fail("closed by the peer");
   input_.append_written(static_cast<std::size_t>(size));
   events_->received();
 }
 
-void Stream::write(const ByteSpans& parts) {
+void Stream::write(const ByteSpans& spans) {
   if (!socket_)
     return;
-  if (!all_written() || connecting_ || parts.size() > kMaxVectors) {
-    buffer_unsent(parts, 0);
+  if (!all_written() || connecting_ || spans.size() > kMaxVectors) {
+    output_.append_unsent(spans, 0);
     return watch_writable();
   }
   std::array<GOutputVector, kMaxVectors> vectors;
   std::size_t total = 0;
-  for (std::size_t i = 0; i < parts.size(); ++i) {
-    vectors[i] = {parts[i].data(), parts[i].size()};
-    total += parts[i].size();
+  for (std::size_t i = 0; i < spans.size(); ++i) {
+    vectors[i] = {spans[i].data(), spans[i].size()};
+    total += spans[i].size();
   }
   const gssize result =
-      g_socket_send_message(socket_.get(), nullptr, vectors.data(), static_cast<gint>(parts.size()),
+      g_socket_send_message(socket_.get(), nullptr, vectors.data(), static_cast<gint>(spans.size()),
                             nullptr, 0, G_SOCKET_MSG_NONE, nullptr, nullptr);
   const std::size_t sent = result > 0 ? static_cast<std::size_t>(result) : 0;
   if (result >= 0 && sent == total)
     return;
-  // A broken connection is reported from the main loop, when the source finds it broken.
-  buffer_unsent(parts, sent);
+  // An error here is not reported now: the source finds it again and reports it from the main loop.
+  output_.append_unsent(spans, sent);
   watch_writable();
 }
 
-void Stream::buffer_unsent(const ByteSpans& parts, std::size_t sent) {
-  for (const std::string_view part : parts) {
-    const std::size_t skipped = std::min(sent, part.size());
-    sent -= skipped;
-    output_.append(part.substr(skipped));
-    count_buffered(part.size() - skipped, 0);
-  }
-}
-
-void Stream::release_output() {
-  written_ = 0;
-  count_buffered(0, output_.size());
-  std::string().swap(output_);
-}
-
 void Stream::write_some() {
+  const std::string_view unsent = output_.unsent();
   GError* raw = nullptr;
-  const gssize sent =
-      g_socket_send(socket_.get(), output_.data() + written_, unsent_size(), nullptr, &raw);
+  const gssize sent = g_socket_send(socket_.get(), unsent.data(), unsent.size(), nullptr, &raw);
   const ErrorHandle error(raw);
   if (sent < 0 && would_block(error))
     return;
@@ -299,11 +266,11 @@
     return;
   if (sent < 0)
     return fail(error->message);
-  transient_errors_ = 0;
-  written_ += static_cast<std::size_t>(sent);
+  backoff_.record_success();
+  output_.mark_sent(static_cast<std::size_t>(sent));
   if (!all_written())
     return;
-  release_output();
+  output_.release();
   writable_source_.reset();
   events_->flushed();
 }
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -2,23 +2,20 @@
 #pragma once
 
 #include "address.h"
+#include "arrival_bound.h"
+#include "byte_spans.h"
 #include "handles.h"
 #include "input_buffer.h"
-#include "timer.h"
+#include "output_buffer.h"
+#include "transient_error_backoff.h"
 
 #include <cstddef>
-#include <cstdint>
 #include <memory>
 #include <string>
-#include <string_view>
-#include <vector>
 
 namespace gorsebeam::net {
 
-/// Pieces of one message, written one after the other without being joined first.
-using ByteSpans = std::vector<std::string_view>;
-
-/// Whether the peer's end of the connection is reported while reading is paused.
+/// Whether the end of the peer's sending side is reported while reading is paused.
 enum class PeerCloseWatch { Off, On };
 
 class Stream : public std::enable_shared_from_this<Stream> {
@@ -33,7 +30,7 @@
     /// Bytes were added to `input()`.
     virtual void received() = 0;
 
-    /// The kernel has accepted all that was written.
+    /// The kernel has accepted all buffered output.
     virtual void flushed() {}
 
     /// The connection was ended by the peer or by an error; not called after `close()`.
@@ -43,53 +40,56 @@
     virtual void peer_closed() {}
   };
 
-  /// Begins to connect to a numeric address; null where the address is invalid or no socket can be
-  /// opened. `events` outlives the stream or its `close()`. A failure to connect is reported from
-  /// the main loop, never from within this call.
+  /// Begins to connect to a numeric address. Returns null if the address is invalid or no socket
+  /// can be opened. `events` must stay valid until `close()` or the destruction of the stream. A
+  /// failure to connect is reported from the main loop, never from within this call.
   static std::shared_ptr<Stream> connect(const std::string& address, Events& events);
 
-  /// Takes over a connected socket, whose first bytes came after `arrival` at the earliest.
-  static std::shared_ptr<Stream> adopt(SocketHandle socket, Events& events, TimePoint arrival);
+  /// Takes ownership of a connected socket. Its input cannot have arrived before
+  /// `earliest_arrival`.
+  static std::shared_ptr<Stream> adopt(SocketHandle socket, Events& events,
+                                       TimePoint earliest_arrival);
 
-  /// As above, with bytes that come from now on.
+  /// As above; input cannot have arrived before this call.
   static std::shared_ptr<Stream> adopt(SocketHandle socket, Events& events);
   ~Stream();
 
   InputBuffer& input() { return input_; }
 
-  /// Sends the parts, or keeps a copy of what the kernel does not accept now.
-  void write(const ByteSpans& parts);
-
-  [[nodiscard]] bool all_written() const { return unsent_size() == 0; }
+  /// Sends the spans; buffers a copy of what the kernel does not accept now.
+  void write(const ByteSpans& spans);
 
-  [[nodiscard]] std::size_t unsent_size() const { return output_.size() - written_; }
+  /// No output is buffered.
+  [[nodiscard]] bool all_written() const { return output_.all_sent(); }
 
-  /// Bytes in the buffers of this stream.
+  /// Unread input and the memory of the output, in bytes.
   [[nodiscard]] std::size_t buffered_bytes() const { return input_.size() + output_.size(); }
 
+  /// Input stays in the kernel until reading is resumed.
   void pause_reading(PeerCloseWatch watch = PeerCloseWatch::Off);
   void resume_reading();
 
-  /// Handles now what the main loop would handle in its next turns: an established connection, and
-  /// what has arrived. The callbacks run inside this call.
+  /// Handles now what the main loop would handle in its next iterations: an established connection
+  /// and input that has arrived. The callbacks run inside this call.
   void process_pending();
 
-  /// Whether bytes or the peer's end wait unread in the kernel.
+  /// Whether the kernel holds unread input or the end of the peer's sending side.
   [[nodiscard]] bool readable() const;
 
-  /// Whether the peer closed its sending side, also behind unread bytes, or the connection broke.
+  /// Whether the peer closed its sending side, even if input before that is unread, or the
+  /// connection failed.
   [[nodiscard]] bool has_peer_closed() const;
 
   /// Closes the connection at once; no callback follows.
   void close();
 
-  /// Closes the sending side; received bytes are reported as before.
+  /// Closes the sending side; input is still reported.
   void shut_down_sending();
 
   [[nodiscard]] bool open() const { return socket_ != nullptr; }
 
-  /// The earliest time of `now()` at which what was read last can have arrived.
-  [[nodiscard]] TimePoint input_arrival() const { return earliest_arrival_; }
+  /// The earliest time of `now()` at which the input of the last read can have arrived.
+  [[nodiscard]] TimePoint input_arrival() const { return arrival_bound_.earliest_arrival(); }
 
 private:
   Stream(SocketHandle socket, Events& events);
@@ -107,14 +107,9 @@
   void write_some();
   void fail(const std::string& reason);
 
-  /// Whether a failed call may succeed soon. If so both directions rest for a moment; not for ever,
-  /// as an error without a name may also be the connection's end.
+  /// Suspends both directions if the failed call may succeed soon; false if it may not.
   [[nodiscard]] bool back_off_after_transient_error(const GError& error);
-  void end_backoff();
-
-  /// Copies all but the first `sent` bytes of `parts` to the output buffer.
-  void buffer_unsent(const ByteSpans& parts, std::size_t sent);
-  void release_output();
+  void resume_after_backoff();
 
   Events* events_;
   SocketHandle socket_;
@@ -122,15 +117,9 @@
   SourceHandle writable_source_;
   SourceHandle peer_close_source_;
   InputBuffer input_;
-  std::string output_;
-  std::size_t written_ = 0;  ///< Bytes of `output_` that the kernel has accepted.
-  void record_arrival();
-
-  std::uint64_t last_input_iteration_ =
-      0;  ///< The last turn in which there was something to be read.
-  TimePoint earliest_arrival_{};
-  Timer backoff_timer_;
-  int transient_errors_ = 0;  ///< In a row.
+  OutputBuffer output_;
+  InputArrivalBound arrival_bound_;
+  TransientErrorBackoff backoff_;
   bool connecting_ = false;
   bool paused_ = false;
 };
--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -1,5 +1,6 @@
 #include "timer.h"
 
+#include "late_timer_policy.h"
 #include "log.h"
 #include "loop_monitor.h"
 
@@ -18,7 +19,7 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// From the monotonic clock to Unix time, fixed at the first call.
+/// What is added to the monotonic clock for Unix time; fixed at the first call.
 microseconds unix_time_offset() {
   static const microseconds kOffset{g_get_real_time() - g_get_monotonic_time()};
   return kOffset;
@@ -27,7 +28,7 @@
 struct TimerQueue {
   std::map<Timer::QueueKey, Timer*> timers;
   std::uint64_t last_sequence = 0;
-  TimePoint deferred_until{};  ///< Timers due by then have waited for a whole turn.
+  LateTimerPolicy late_timer_policy;
 };
 
 gboolean prepare_queue(GSource*, gint* timeout_ms);
@@ -37,10 +38,10 @@
 GSourceFuncs queue_source_functions = {prepare_queue, is_queue_due, dispatch_queue,
                                        nullptr,       nullptr,      nullptr};
 
-/// Lives as long as the process, as timers may outlive other static objects.
+/// The queue is never destroyed, because timers may outlive other static objects.
 TimerQueue* create_queue() {
-  // A ready time of the source would wake the loop each time that it is set: measured, two in five
-  // waits of the loop ended for nothing else. The prepare function avoids that.
+  // A ready time of the source (g_source_set_ready_time) wakes the loop each time that it is set:
+  // measured, two in five polls ended for that reason alone. The prepare function avoids it.
   GSource* source = g_source_new(&queue_source_functions, sizeof(GSource));
   g_source_attach(source, nullptr);
   g_source_unref(source);  // the main context holds it
@@ -58,7 +59,7 @@
   return is_due ? TRUE : FALSE;
 }
 
-// The timeout is rounded up, as a loop that wakes early finds nothing due.
+// The timeout is rounded up, because no timer is due yet if the poll ends early.
 gboolean prepare_queue(GSource*, gint* timeout_ms) {
   const auto& timers = queue().timers;
   *timeout_ms = -1;
@@ -70,45 +71,42 @@
   return remaining <= 0ms ? TRUE : FALSE;
 }
 
-void log_lateness(TimePoint time) {
-  const auto& timers = queue().timers;
-  const Duration lateness = timers.empty() ? 0ms : time - timers.begin()->first.first;
-  const bool is_first_detection =
-      timers.empty() || timers.begin()->first.first > queue().deferred_until;
-  if (lateness > kSlowIteration && is_first_detection)
-    log({"timers_late", {{"late_ms", std::to_string(lateness / 1ms)}}});
-}
-
-// Whether a timer that is due must wait for one turn, in which the sockets are read.
-bool must_defer(TimePoint due_at, TimePoint time) {
-  return due_at > queue().deferred_until && due_at < time - kMaxTimerLateness;
+void log_lateness(TimePoint now) {
+  const TimerQueue& timer_queue = queue();
+  if (timer_queue.timers.empty())
+    return;
+  const TimePoint first_due_at = timer_queue.timers.begin()->first.first;
+  const auto lateness = timer_queue.late_timer_policy.lateness_to_log(first_due_at, now);
+  if (lateness)
+    log({"timers_late", {{"late_ms", std::to_string(*lateness / 1ms)}}});
 }
 
-// The timers that fire now; late ones fire in the next turn.
-std::vector<Timer::QueueKey> select_due(TimePoint time) {
-  std::vector<Timer::QueueKey> due;
-  bool has_late = false;
-  for (const auto& [key, timer] : queue().timers) {
-    if (key.first > time)
+/// Returns the timers that fire now; the others that are due fire in the next iteration.
+std::vector<Timer::QueueKey> select_timers_to_fire(TimePoint now) {
+  TimerQueue& timer_queue = queue();
+  std::vector<Timer::QueueKey> selected;
+  bool has_deferred = false;
+  for (const auto& [key, timer] : timer_queue.timers) {
+    if (key.first > now)
       break;
-    if (must_defer(key.first, time))
-      has_late = true;
+    if (timer_queue.late_timer_policy.decide(key.first, now) == TimerDecision::Fire)
+      selected.push_back(key);
     else
-      due.push_back(key);
+      has_deferred = true;
   }
-  if (has_late)
-    queue().deferred_until = time;
-  return due;
+  if (has_deferred)
+    timer_queue.late_timer_policy.record_deferral(now);
+  return selected;
 }
 
-// Fires each timer that is due now once: an action may set, stop or destroy any timer, and what it
-// sets waits for the next iteration.
+// Fires each selected timer once. An action may set, stop or destroy any timer; a timer that it
+// sets does not fire before the next iteration.
 gboolean dispatch_queue(GSource*, GSourceFunc, gpointer) {
   auto& timers = queue().timers;
   const TimePoint time = now();
   log_lateness(time);
-  const std::vector<Timer::QueueKey> due = select_due(time);
-  for (const Timer::QueueKey& key : due) {
+  const std::vector<Timer::QueueKey> selected = select_timers_to_fire(time);
+  for (const Timer::QueueKey& key : selected) {
     const auto found = timers.find(key);
     if (found == timers.end())
       continue;
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -9,21 +9,14 @@
 
 namespace gorsebeam::net {
 
-/// Unix time that never goes back: the wall clock is read once, at the first call,
-/// and the monotonic clock carries it on. A change of the system clock while the process runs
-/// therefore has no effect; replication positions, start times and discovery's times are Unix
-/// times and need no mapping.
+/// Unix time that never decreases: the sum of the monotonic clock and an offset that is fixed at
+/// the first call. A change of the system clock while the process runs has no effect. Replication
+/// positions, start times and the times of discovery are Unix times and need no conversion.
 TimePoint now();
 
-/// A timer that is due for longer than this waits for one more turn of the loop.
-constexpr Duration kMaxTimerLateness = 20ms;
-
 /// All timers of the process are in one queue, and the main loop has one source for it: setting a
-/// timer does not wake the loop.
-///
-/// A timer often stands for something that did not arrive in time. After a pause of the loop both
-/// may be there at once, the timer and what it waits for. So a timer that is late fires only after
-/// a turn in which all sockets that were ready have been read.
+/// timer does not wake the loop. A timer that is late fires only after an iteration in which all
+/// sockets that were ready have been read; see `LateTimerPolicy`.
 class Timer {
 public:
   /// `action` runs on the main loop; it may set, stop or destroy any timer. An exception in it is
@@ -34,15 +27,15 @@
 
   ~Timer() { stop(); }
 
-  /// Sets the timer to a time of `now()`, in place of what was set before. A timer that is set
-  /// while timers fire waits for the next iteration of the loop.
+  /// Sets the timer to a time of `now()` and replaces an earlier setting. A timer that is set while
+  /// timers fire does not fire before the next iteration of the loop.
   void at(TimePoint when);
 
   void after(Duration delay) { at(now() + delay); }
 
   void stop();
 
-  /// Runs the action now; called by the queue.
+  /// Runs the action now. Only the queue calls it.
   void fire();
 
   /// Position in the queue: by time, then by the order in which timers were set.
--- /dev/null
+++ b/tests/arrival_bound_test.cpp
@@ -0,0 +1,74 @@
+#include "net/arrival_bound.h"
+
+#include <gtest/gtest.h>
+
+#include <vector>
+
+namespace gorsebeam::net {
+namespace {
+
+constexpr TimePoint kStart(1000s);
+
+struct PollCase {
+  const char* name;
+  Duration began_after;  ///< All times count from the poll before, which ended at `kStart`.
+  Duration ended_after;
+  Duration timeout;
+  Duration bound;
+};
+
+TEST(LoopArrivalBound, FollowsFromTheTimesOfThePoll) {
+  const std::vector<PollCase> cases = {
+      {"waited and returned in time", 5ms, 50ms, 100ms, 50ms},
+      {"waited until its timeout", 5ms, 105ms, 100ms, 105ms},
+      {"returned less than 20 ms late", 5ms, 124ms, 100ms, 124ms},
+      {"returned 20 ms late: at any time since it began", 5ms, 125ms, 100ms, 5ms},
+      {"returned at once: at any time since the poll before", 5ms, 14ms, 100ms, 0ms},
+      {"took 10 ms: it waited", 5ms, 15ms, 100ms, 15ms},
+  };
+  for (const PollCase& test : cases) {
+    LoopArrivalBound bound(kStart);
+    bound.record({kStart + test.began_after, kStart + test.ended_after, test.timeout});
+    EXPECT_EQ(bound.earliest_arrival(), kStart + test.bound) << test.name;
+  }
+}
+
+TEST(LoopArrivalBound, CountsFromTheBeginningOfALatePollIfTheNextReturnsAtOnce) {
+  LoopArrivalBound bound(kStart);
+  bound.record({kStart + 10ms, kStart + 900ms, 100ms});
+  bound.record({kStart + 901ms, kStart + 902ms, 100ms});
+  EXPECT_EQ(bound.earliest_arrival(), kStart + 10ms);
+}
+
+struct ReadCase {
+  const char* name;
+  std::uint64_t iteration;  ///< The read before was in iteration 7.
+  Duration age;             ///< Of the bound of that read, `kStart`.
+  Duration loop_bound;
+  Duration bound;
+};
+
+TEST(InputArrivalBound, IsKeptWhileInputContinuesAfterAStall) {
+  const std::vector<ReadCase> cases = {
+      {"next iteration after a stall", 8, 21ms, 20ms, 0ms},
+      {"same iteration after a stall", 7, 21ms, 20ms, 0ms},
+      {"no stall", 8, 20ms, 19ms, 19ms},
+      {"an iteration without input", 9, 21ms, 20ms, 20ms},
+      {"the loop's bound is earlier", 8, 21ms, -1ms, -1ms},
+  };
+  for (const ReadCase& test : cases) {
+    InputArrivalBound bound(7, kStart);
+    bound.record_read({kStart + test.age, test.iteration, kStart + test.loop_bound});
+    EXPECT_EQ(bound.earliest_arrival(), kStart + test.bound) << test.name;
+  }
+}
+
+TEST(InputArrivalBound, IsKeptAcrossASuspensionOfReading) {
+  InputArrivalBound bound(7, kStart);
+  bound.record_resumed(12);
+  bound.record_read({kStart + 30ms, 13, kStart + 29ms});
+  EXPECT_EQ(bound.earliest_arrival(), kStart);
+}
+
+}  // namespace
+}  // namespace gorsebeam::net
