--- a/src/net/address.h
+++ b/src/net/address.h
@@ -7,8 +7,8 @@
 
 namespace gorsebeam::net {
 
-/// Parses "127.0.0.4:6432"; no names are looked up. Returns null where the text is no numeric
-/// address with a port of at least `min_port`.
+/// Parses an address such as "127.0.0.4:6432"; names are not resolved. Returns null if the text is
+/// not a numeric address with a port of at least `min_port`.
 AddressHandle parse_address(const std::string& text, unsigned min_port = 1);
 
 }  // namespace gorsebeam::net
--- a/src/net/handles.h
+++ b/src/net/handles.h
@@ -1,4 +1,4 @@
-/// RAII owners of GLib handles. They are used on the thread of the main loop only.
+/// RAII owners of GLib handles. They are used on the main loop's thread only.
 #pragma once
 
 #include <gio/gio.h>
--- a/src/net/input_buffer.cpp
+++ b/src/net/input_buffer.cpp
@@ -19,7 +19,8 @@
   buffered_bytes -= removed;
 }
 
-// Memory of an empty buffer is freed at once, as hundreds of connections are idle at a time.
+// The memory of an empty buffer is freed at once, because hundreds of connections are idle at a
+// time.
 void InputBuffer::consume(std::size_t count) {
   begin_ += count;
   if (begin_ >= end_)
--- a/src/net/input_buffer.h
+++ b/src/net/input_buffer.h
@@ -7,11 +7,11 @@
 
 namespace gorsebeam::net {
 
-/// Bytes that all buffers of all connections hold now. Memory is bounded by this sum, not only by
-/// the size of each message.
+/// Memory of all buffers of all connections, in bytes. It has a limit of its own, beside the limit
+/// for the size of each message.
 std::size_t total_buffered_bytes();
 
-/// Adds to or subtracts from `total_buffered_bytes`; for the owners of buffers only.
+/// Adds to and subtracts from `total_buffered_bytes`; for the owners of buffers only.
 void count_buffered(std::size_t added, std::size_t removed);
 
 /// Views of the content stay valid until the next call of a non-const member function.
@@ -30,13 +30,13 @@
   /// Drops the first `count` bytes; an empty buffer frees its memory.
   void consume(std::size_t count);
 
-  /// Makes space for at least `min_size` more bytes and returns where they are to be written.
+  /// Makes space for at least `min_size` more bytes and returns its address.
   char* reserve_space(std::size_t min_size);
 
-  /// Bytes that can be written at the place that `reserve_space` returned.
+  /// Size of the space that `reserve_space` returned.
   [[nodiscard]] std::size_t free_space() const { return bytes_.size() - end_; }
 
-  /// Adds `count` bytes, which were written at the place that `reserve_space` returned.
+  /// Adds the first `count` bytes of the space that `reserve_space` returned.
   void append_written(std::size_t count) { end_ += count; }
 
   /// Drops all bytes and frees the memory.
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -60,14 +60,15 @@
       }) {}
 
 TimePoint Listener::earliest_arrival() const {
-  const TimePoint of_iteration = net::earliest_arrival();
-  return backlog_since_ ? std::min(*backlog_since_, of_iteration) : of_iteration;
+  const TimePoint arrival = net::earliest_arrival();
+  return backlog_arrival_ ? std::min(*backlog_arrival_, arrival) : arrival;
 }
 
-// While it is paused the queue fills at any time, and what is said of it ends.
+// While the listener is paused, new connections enter the queue at unknown times, so that the bound
+// of those that are in it no longer applies.
 void Listener::pause() {
   is_paused_ = true;
-  backlog_since_.reset();
+  backlog_arrival_.reset();
   source_.reset();
 }
 
@@ -110,7 +111,7 @@
 
 bool Listener::accept_all_queued() {
   AcceptResult result = socket_ ? AcceptResult::Accepted : AcceptResult::QueueEmpty;
-  for (int i = 0; i < kMaxAcceptsAtClose && can_go_on(result); ++i)
+  for (int i = 0; i < kMaxAcceptsAtClose && can_continue(result); ++i)
     result = accept_one();
   return result == AcceptResult::QueueEmpty;
 }
@@ -120,11 +121,11 @@
   const TimePoint earliest = listener->earliest_arrival();
   AcceptResult result = AcceptResult::Accepted;
   // The handler may pause the listener, which resets the source.
-  for (int i = 0; i < kMaxAcceptsPerIteration && can_go_on(result) && listener->source_; ++i)
+  for (int i = 0; i < kMaxAcceptsPerIteration && can_continue(result) && listener->source_; ++i)
     result = listener->accept_one();
-  listener->backlog_since_.reset();
+  listener->backlog_arrival_.reset();
   if (result != AcceptResult::QueueEmpty && listener->source_)
-    listener->backlog_since_ = earliest;
+    listener->backlog_arrival_ = earliest;
   const bool makes_progress =
       result == AcceptResult::Accepted || result == AcceptResult::QueueEmpty;
   if (!makes_progress && listener->source_)
@@ -132,12 +133,12 @@
   return listener->source_ ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
 }
 
-bool Listener::can_go_on(AcceptResult result) {
+bool Listener::can_continue(AcceptResult result) {
   return result == AcceptResult::Accepted || result == AcceptResult::ConnectionLost;
 }
 
-// By accept(2), without descriptors or memory the connection stays in the queue. Most other errors
-// are those of one connection, which has left the queue, and the call is to be repeated.
+// As accept(2) says, a lack of descriptors or memory leaves the connection in the queue. Most other
+// errors concern one connection, which has left the queue, and the call is to be repeated.
 Listener::AcceptResult Listener::accept_one() {
   GError* raw = nullptr;
   SocketHandle socket(g_socket_accept(socket_.get(), nullptr, &raw));
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -30,25 +30,25 @@
   /// Listens on a numeric address such as "127.0.0.1:6432"; port 0 means any free one.
   [[nodiscard]] std::optional<ListenError> listen(const std::string& address);
 
-  /// The address with the port that the kernel assigned; empty while it is not open.
+  /// The address with the port that the kernel assigned; empty while the socket is not open.
   [[nodiscard]] std::string address() const;
 
-  /// While it is paused, clients wait in the kernel's queue.
+  /// While the listener is paused, new connections stay in the kernel's queue.
   void pause();
   void resume();
 
-  /// Accepts what the kernel has queued already, then closes the socket. A connection in the queue
-  /// may hold a request, and closing the socket under it would reset it: returns false, and stays
-  /// open, while they cannot be accepted, for lack of descriptors or memory.
+  /// Accepts the connections that the kernel has queued, then closes the socket. A queued
+  /// connection may hold a request, and closing the socket would reset it: returns false and leaves
+  /// the socket open if a queued connection cannot be accepted for lack of descriptors or memory.
   [[nodiscard]] bool drain_and_close();
 
-  /// As drain_and_close(), but closes the socket in any case.
+  /// As `drain_and_close`, but closes the socket in any case.
   void close();
 
   [[nodiscard]] bool is_open() const { return socket_ != nullptr; }
 
-  /// The earliest time of `now()` at which the connection that is accepted now can have come: with
-  /// more in the queue than one turn accepts, earlier than the turn itself says.
+  /// The earliest time of `now()` at which the connection that is being accepted can have arrived.
+  /// It is before `net::earliest_arrival()` if an earlier iteration left connections in the queue.
   [[nodiscard]] TimePoint earliest_arrival() const;
 
 private:
@@ -57,18 +57,22 @@
   enum class AcceptResult {
     Accepted,
     QueueEmpty,
-    ConnectionLost,  ///< One ended in the queue; the next may be sound.
-    NoResources,     ///< None can be taken now, for lack of descriptors or memory.
+    ConnectionLost,  ///< A queued connection failed; the next may be intact.
+    NoResources,     ///< No connection can be accepted, for lack of descriptors or memory.
   };
 
   AcceptResult accept_one();
+
   /// Whether another call may accept a connection.
-  [[nodiscard]] static bool can_go_on(AcceptResult result);
-  /// Returns whether the queue is empty.
+  [[nodiscard]] static bool can_continue(AcceptResult result);
+
+  /// Accepts a bounded number of queued connections. Returns whether the queue is empty.
   [[nodiscard]] bool accept_all_queued();
   void close_socket();
   void start_watching();
-  /// Stops watching for a while: the socket stays readable, and the loop would turn for nothing.
+
+  /// Stops watching the socket for a short time. It stays readable, and each iteration of the loop
+  /// would fail to accept again.
   void back_off();
 
   AcceptHandler handle_accepted_;
@@ -76,8 +80,9 @@
   SourceHandle source_;
   Timer backoff_timer_;
   bool is_paused_ = false;  ///< By the owner.
-  /// What the last turn left in the queue came after this.
-  std::optional<TimePoint> backlog_since_;
+
+  /// The earliest arrival of the connections that the last iteration left in the queue.
+  std::optional<TimePoint> backlog_arrival_;
 };
 
 }  // namespace gorsebeam::net
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -51,23 +51,23 @@
   return buffer.GetString();
 }
 
-// Standard error may be a pipe whose reader has stopped. A line is written only if it cannot block,
-// as a full pipe would hold up the whole process: a pipe that is writable takes a line at once. A
-// call that is interrupted says nothing, and costs no line.
+// Standard error may be a pipe whose reader has stopped; a write to a full pipe would block the
+// whole process. A pipe that is writable accepts a line at once. If a signal interrupts the call,
+// the line is written.
 bool is_log_writable() {
   pollfd descriptor{STDERR_FILENO, POLLOUT, 0};
   return poll(&descriptor, 1, 0) != 0;
 }
 
-/// Lines of one event name within the present second.
+/// Lines of one event name within the current second.
 struct RecentLines {
   gint64 since = 0;  ///< Monotonic time in microseconds at which the second began.
   int written = 0;
   int suppressed = 0;
 };
 
-/// Returns how many lines of this event were suppressed before, or nothing where this line is to be
-/// suppressed as well.
+/// Returns how many lines of this event were suppressed since the last one, or nothing if this line
+/// is to be suppressed too.
 std::optional<int> admit_line(const char* event) {
   static std::map<std::string, RecentLines> events;  // bounded: event names are literals
   RecentLines& recent = events[event];
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -1,4 +1,4 @@
-/// The operators' log, on standard error: one structured line an event, as text or JSON.
+/// The operators' log on standard error: one structured line per event, as text or JSON.
 #pragma once
 
 #include "logging/log_record.h"
@@ -7,15 +7,15 @@
 
 enum class LogFormat { Text, Json };
 
-/// Applies to every line from now on.
+/// Applies to each line that is written after this call.
 void set_log_format(LogFormat wanted);
 
-/// Lines of one event name that are written within a second; more are counted and left out, and so
-/// are those that would have to wait for the reader of standard error.
+/// The number of lines of one event name that are written within a second. Further lines are
+/// suppressed and counted, and so are lines whose write would block on standard error.
 constexpr int kMaxLinesPerSecond = 5;
 
 /// Text: "gorsebeam: EVENT name=value". JSON: an object with "time" (Unix ms), "event" and the
-/// fields. The first line after some were left out says how many in `suppressed`.
+/// fields. The first line after suppressed ones has their number in `suppressed`.
 void log(logging::LogRecord record);
 
 }  // namespace gorsebeam::net
--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -24,7 +24,7 @@
   raised_signals[static_cast<std::size_t>(number)] = 1;
   const std::uint64_t one = 1;
   if (write(wake_descriptor, &one, sizeof one) < 0) {
-  }  // the counter is full, so the loop is woken already
+  }  // the counter is full, so that the loop wakes anyway
   errno = saved_errno;
 }
 
--- a/src/net/signals.h
+++ b/src/net/signals.h
@@ -1,5 +1,5 @@
-/// Signals as events of the main loop, without a thread of their own. GLib's signal sources use a
-/// thread, which can hold a lock while the main thread waits for it where only one thread runs at a
+/// Reports signals as events of the main loop. No thread is used: GLib's signal sources start one,
+/// which can hold a lock that the main thread waits for, in environments that run one thread at a
 /// time.
 #pragma once
 
@@ -10,13 +10,14 @@
 
 namespace gorsebeam::net {
 
-/// At most one instance exists in a process. Each of the given signals runs the handler from the
-/// main loop, once for several that arrive together. The destructor restores the previous actions.
+/// At most one instance exists in a process. Each of the signals runs the handler from the main
+/// loop; several instances of a signal that arrive together run it once. The destructor restores
+/// the previous actions.
 class Signals {
 public:
   using Handler = std::function<void(int number)>;
 
-  /// Throws std::runtime_error where no descriptor is left.
+  /// Throws std::runtime_error if no descriptor is left.
   Signals(const std::vector<int>& numbers, Handler handler);
   Signals(const Signals&) = delete;
   Signals& operator=(const Signals&) = delete;
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -1,4 +1,4 @@
-// Errors of accept(2): which connections are lost, and whether the loop turns for nothing.
+// Errors of accept(2): which connections are lost, and whether the loop busy-waits.
 #include "net/listener.h"
 #include "net/stream.h"
 #include "net/timer.h"
@@ -17,12 +17,12 @@
 
 namespace {
 
-std::deque<int> next_errors;  // of the next calls; 0: the call is made
+std::deque<int> next_errors;  // of the next calls; 0: the call succeeds
 int accept_calls = 0;
 
 }  // namespace
 
-// GLib accepts by this call.
+// GLib calls this function to accept.
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 extern "C" int accept(int descriptor, sockaddr* address, socklen_t* length) {
   ++accept_calls;
@@ -67,7 +67,7 @@
 
   ~ListenerTest() override { next_errors.clear(); }
 
-  /// Connects `count` clients_ while the listener_ is paused, so that all of them are queued.
+  /// Connects `count` clients while the listener is paused, so that all of them are queued.
   void queue_clients(std::size_t count) {
     listener_.pause();
     for (std::size_t i = 0; i < count; ++i)
@@ -87,8 +87,8 @@
   std::vector<std::unique_ptr<Client>> clients_;
 };
 
-// The socket stays readable, so that a loop that watched it would turn without end.
-TEST_F(ListenerTest, WaitsForDescriptorsWithoutTurningTheLoop) {
+// The socket stays readable, so that a loop that watched it would never block in a poll.
+TEST_F(ListenerTest, WaitsForDescriptorsWithoutBusyWaiting) {
   constexpr std::chrono::milliseconds kShortage(100);
   constexpr int kMaxCalls = 10;  // one in 20 ms, and a few
   queue_clients(1);
@@ -112,7 +112,7 @@
   await_accepted(4);
 }
 
-// What is queued behind the lost connection may hold a request.
+// A connection that is queued behind the lost one may hold a request.
 TEST_F(ListenerTest, ClosesOnlyOnceTheQueueIsEmpty) {
   queue_clients(4);
   next_errors = {ECONNABORTED, 0, ECONNABORTED};
--- a/tests/timer_test.cpp
+++ b/tests/timer_test.cpp
@@ -1,4 +1,4 @@
-// Timers on the main loop: the iterations that they cause, and their order.
+// Timers on the main loop: the iterations that they cause and their order.
 #include "net/timer.h"
 
 #include <glib.h>
@@ -59,14 +59,14 @@
   EXPECT_EQ(order, "abc");
 }
 
-// What a late timer stands for may have arrived: a ready source of the same turn runs first.
+// The input that a late timer waits for may be ready: the sources of the same iteration run first.
 TEST(Timer, FiresAfterTheSourcesThatAreReadyWhenItIsLate) {
   std::string order;
   Timer late([&] {
     order += 't';
   });
   late.after(-1000ms);
-  // Attached behind the timers' own source, as every socket is.
+  // Attached after the source of the timers, as each socket is.
   g_idle_add_full(
       G_PRIORITY_DEFAULT,
       [](gpointer text) -> gboolean {
