--- a/src/frontend/client_connection.cpp
+++ b/src/frontend/client_connection.cpp
@@ -14,34 +14,12 @@
 
 constexpr Duration kMaxMessageTime = 5s / 2;    // an error or a close is due 3 s after connect
 constexpr Duration kMaxResponseWriteTime = 5s;  // longer than any deadline
-constexpr std::size_t kMaxMessagesPerIteration = 16;  // of one connection in a turn of the loop
+constexpr std::size_t kMaxMessagesPerIteration = 16;  // of one connection
 constexpr std::size_t kMessageSlack = 1024;
 
-// Bytes that are read behind a pending request while memory is short.
+// Bytes that are read after a pending request while memory is short.
 constexpr std::size_t kMaxReadAheadUnderPressure = 8 * 1024;
 
-const char* name_of(CloseReason reason) {
-  switch (reason) {
-  case CloseReason::PeerClosed:
-    return "peer_closed";
-  case CloseReason::ClientEnded:
-    return "client_ended";
-  case CloseReason::ErrorSent:
-    return "error_sent";
-  case CloseReason::Idle:
-    return "idle";
-  case CloseReason::Evicted:
-    return "replaced";
-  case CloseReason::Shutdown:
-    return "shutdown";
-  case CloseReason::Overdue:
-    return "overdue";
-  case CloseReason::Exception:
-    return "exception";
-  }
-  return "unknown";
-}
-
 }  // namespace
 
 ClientConnection::ClientConnection(Frontend& frontend, net::SocketHandle socket)
@@ -51,70 +29,82 @@
         process_input_guarded();
       }) {}
 
+bool ClientConnection::has_pending_request() const {
+  return state_ == State::StartingRequest || state_ == State::RequestInFlight;
+}
+
+bool ClientConnection::is_closing() const {
+  return state_ == State::Closing || state_ == State::Lingering || state_ == State::Closed;
+}
+
+bool ClientConnection::is_idle() const {
+  return !has_pending_request() && input().empty() && stream_->all_written();
+}
+
 TimePoint ClientConnection::earliest_arrival() const {
   return input_arrival_.value_or(net::earliest_arrival());
 }
 
-bool ClientConnection::is_idle() const {
-  return !is_busy_ && stream_->input().size() == 0 && stream_->all_written();
+std::size_t ClientConnection::max_message_bytes() const {
+  return frontend_.limits().message_bytes;
 }
 
 void ClientConnection::received() {
-  if (state_ != State::Open)
-    return stream_->input().consume(stream_->input().size());
+  if (is_closing())
+    return consume(input().size());
   input_arrival_ = stream_->input_arrival();
-  // Bounds what a client can make us hold: behind a pending request its next ones wait in the
-  // kernel. While memory allows more is read, so that the disconnection of a client that sends much
-  // is noticed; beyond that its end is watched without reading on.
+  limit_read_ahead();
+  process_input();
+  input_arrival_.reset();
+  if (state_ != State::Closed && !has_pending_request())
+    frontend_.enforce_buffer_limit();
+}
+
+// Bounds the memory that a client can occupy: the messages after a pending request stay in the
+// kernel. While memory allows it, more is read, so that the disconnection of a client that sends
+// many messages is noticed. Beyond that the end of its sending side is watched without reading.
+void ClientConnection::limit_read_ahead() {
   const FrontendLimits& limits = frontend_.limits();
   const bool has_memory = net::total_buffered_bytes() <= limits.buffered_bytes / 2;
   const std::size_t max_read_ahead = has_memory ? limits.message_bytes : kMaxReadAheadUnderPressure;
+  const bool is_pending = has_pending_request();
   const std::size_t max_size =
-      is_busy_ ? request_size_ + max_read_ahead : limits.message_bytes + kMessageSlack;
-  if (stream_->input().size() > max_size)
-    stream_->pause_reading(is_busy_ ? net::PeerCloseWatch::On : net::PeerCloseWatch::Off);
-  process_input();
-  input_arrival_.reset();
-  if (stream_->open() && !is_busy_)
-    frontend_.enforce_buffer_limit();
+      is_pending ? request_size_ + max_read_ahead : limits.message_bytes + kMessageSlack;
+  if (input().size() > max_size)
+    stream_->pause_reading(is_pending ? net::PeerCloseWatch::On : net::PeerCloseWatch::Off);
 }
 
 void ClientConnection::flushed() {
   last_progress_at_ = net::now();
-  if (state_ != State::Open)
+  if (is_closing())
     return linger();
   process_input();
 }
 
-// A request may be answered while it is being begun, so parsing is a loop here and not a recursion.
-// It is bounded, as hundreds of commands written at once must not delay the other connections; the
-// rest continues in the next turn.
+void ClientConnection::peer_closed() {
+  close_idle(CloseReason::PeerClosed);
+}
+
+void ClientConnection::ended(const std::string& reason) {
+  end_reason_ = reason;
+  close(CloseReason::PeerClosed);
+}
+
+// A request may be answered within `begin_request`, so that messages are parsed in a loop here and
+// not by recursion. The loop is bounded, because hundreds of commands that are written at once must
+// not delay the other connections; the rest is parsed in the next iteration of the event loop.
 void ClientConnection::process_input() {
-  if (is_processing_)
-    return;
-  is_processing_ = true;
   std::size_t messages = 0;
-  while (!is_busy_ && state_ == State::Open && stream_->open() && stream_->all_written()) {
+  while (state_ == State::AwaitingInput && stream_->all_written()) {
     if (messages == kMaxMessagesPerIteration) {
       stream_->pause_reading();
-      resume_timer_.after(0ms);
-      is_processing_ = false;
-      return;
+      return resume_timer_.after(0ms);
     }
     ++messages;
-    const std::size_t size_before = stream_->input().size();
-    parse();
-    if (stream_->input().size() < size_before) {
-      last_progress_at_ = net::now();
-      has_sent_message_ = true;
-    }
-    if (!is_busy_ && stream_->input().size() == size_before)
-      break;
-    if (stream_->input().size() == 0)
+    if (!parse_next())
       break;
   }
-  is_processing_ = false;
-  if (is_busy_ || !stream_->open() || state_ != State::Open)
+  if (state_ != State::AwaitingInput)
     return;
   if (stream_->all_written())
     stream_->resume_reading();
@@ -122,6 +112,17 @@
     stream_->pause_reading();
 }
 
+bool ClientConnection::parse_next() {
+  const std::size_t size_before = input().size();
+  parse();
+  const bool has_consumed = input().size() < size_before;
+  if (has_consumed) {
+    last_progress_at_ = net::now();
+    has_sent_message_ = true;
+  }
+  return has_consumed && !input().empty();
+}
+
 void ClientConnection::process_input_guarded() {
   try {
     process_input();
@@ -133,97 +134,100 @@
 
 bool ClientConnection::begin_request(Request request, std::size_t size) {
   if (stream_->has_peer_closed()) {
-    handle_client_disconnect();
+    close_idle(CloseReason::PeerClosed);
     return true;
   }
-  is_busy_ = true;
-  is_starting_ = true;
+  state_ = State::StartingRequest;
   request_size_ = size;
   if (frontend_.is_stopping()) {
-    net::log({"request_rejected", {{"request", request.id}, {"reason", "shutdown"}}});
-    reject(0ms);
-    is_starting_ = false;
+    reject_request(request.id);
     return true;
   }
   std::string id = request.id;
   const bool accepted = frontend_.broker().begin_request(std::move(request), *this);
-  is_starting_ = false;
-  is_busy_ = is_busy_ && accepted;  // it may have been answered already
-  if (is_busy_)
+  // The request may have been answered within the call.
+  if (state_ != State::StartingRequest)
+    return accepted;
+  state_ = accepted ? State::RequestInFlight : State::AwaitingInput;
+  if (accepted)
     request_id_ = std::move(id);
   return accepted;
 }
 
+void ClientConnection::reject_request(const std::string& id) {
+  net::log({"request_rejected", {{"request", id}, {"reason", "shutdown"}}});
+  reject(0ms);
+}
+
 void ClientConnection::finish_request() {
-  is_busy_ = false;
+  const bool was_in_flight = state_ == State::RequestInFlight;
+  state_ = State::AwaitingInput;
   answered_count_ = std::min<std::size_t>(answered_count_ + 1, 2);
   request_id_.clear();
   last_progress_at_ = net::now();
-  if (frontend_.is_stopping() && stream_->input().size() == 0)
+  if (frontend_.is_stopping() && input().empty())
     return close_when_written(CloseReason::Shutdown);
-  if (!is_starting_)
+  // Otherwise `process_input` is on the stack and continues.
+  if (was_in_flight)
     process_input();
 }
 
-const char* ClientConnection::overdue_reason(TimePoint now) const {
-  if (is_busy_)
-    return nullptr;
+std::optional<RejectReason> ClientConnection::overdue_reason(TimePoint now) const {
+  if (has_pending_request())
+    return std::nullopt;
   const Duration waited = now - last_progress_at_;
   if (!stream_->all_written())
-    return waited > kMaxResponseWriteTime ? "an answer was not taken" : nullptr;
+    return waited > kMaxResponseWriteTime ? std::optional(RejectReason::ResponseNotRead)
+                                          : std::nullopt;
   if (waited <= kMaxMessageTime)
-    return nullptr;
-  if (stream_->input().size() > 0)
-    return "a message did not end";
-  return !has_sent_message_ && !has_unread() ? "nothing was said" : nullptr;
+    return std::nullopt;
+  if (!input().empty())
+    return RejectReason::IncompleteMessage;
+  if (has_sent_message_ || has_unread())
+    return std::nullopt;
+  return RejectReason::NothingSent;
 }
 
-void ClientConnection::reject_and_close(const char* reason) {
-  if (state_ == State::Open && stream_->all_written())
+void ClientConnection::reject_and_close(RejectReason reason) {
+  if (!is_closing() && stream_->all_written())
     send_closing_error(reason);
-  if (stream_->open() && !is_lingering())
+  if (!is_lingering())
     close(CloseReason::Overdue);
 }
 
-// The client has disconnected: its pending request ends without an answer. What was written to it
-// before is still sent.
-void ClientConnection::handle_client_disconnect() {
-  begin_closing(CloseReason::PeerClosed);
-  if (is_busy_)
-    frontend_.broker().client_disconnected(request_id_);
-  is_busy_ = false;
-  close_idle(CloseReason::PeerClosed);
-}
-
+// If the client has disconnected, a pending request is dropped; output from before is still sent.
 void ClientConnection::close_idle(CloseReason reason) {
   begin_closing(reason);
   linger();
 }
 
+void ClientConnection::close_when_written(CloseReason reason) {
+  begin_closing(reason);
+  last_progress_at_ = net::now();
+  if (stream_->all_written())
+    linger();
+}
+
 void ClientConnection::begin_closing(CloseReason reason) {
-  if (state_ != State::Open)
+  if (is_closing())
     return;
+  const bool drops_request = has_pending_request();
   state_ = State::Closing;
-  if (is_busy_ && reason != CloseReason::PeerClosed)
+  if (drops_request && reason != CloseReason::PeerClosed)
     frontend_.broker().report_closed_unanswered(request_id_);
   net::log({"client_closed",
             {{"reason", name_of(reason)},
-             {"pending_request", is_busy_ ? request_id_ : "none"},
-             {"unread_bytes", std::to_string(stream_->input().size())},
+             {"pending_request", drops_request ? request_id_ : "none"},
+             {"unread_bytes", std::to_string(input().size())},
              {"error", end_reason_}}});
+  if (drops_request)
+    frontend_.broker().client_disconnected(request_id_);
 }
 
-void ClientConnection::close_when_written(CloseReason reason) {
-  begin_closing(reason);
-  last_progress_at_ = net::now();
-  if (stream_->all_written())
-    linger();
-}
-
-// A close with unread bytes, or bytes that arrive after it, causes a reset at the client, which may
-// then never read its last answer. So the sending side is closed first.
+// If a socket is closed while input is unread, or input arrives after the close, the client
+// receives a reset and may not read the last response. The sending side is therefore closed first.
 void ClientConnection::linger() {
-  if (is_lingering() || !stream_->open())
+  if (state_ != State::Closing)
     return;
   state_ = State::Lingering;
   last_progress_at_ = net::now();
@@ -234,17 +238,12 @@
 }
 
 void ClientConnection::close(CloseReason reason) {
+  if (state_ == State::Closed)
+    return;
   begin_closing(reason);
-  if (is_busy_)
-    frontend_.broker().client_disconnected(request_id_);
-  is_busy_ = false;
   stream_->close();
-  frontend_.remove(this);
-}
-
-void ClientConnection::ended(const std::string& reason) {
-  end_reason_ = reason;
-  close(CloseReason::PeerClosed);
+  frontend_.remove(this);  // before the state changes: it finds the connection by `is_lingering`
+  state_ = State::Closed;
 }
 
 }  // namespace gorsebeam::frontend
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -2,134 +2,150 @@
 /// connection derives from it. All functions run on the main loop's thread.
 #pragma once
 
+#include "close_reason.h"
+
 #include "net/stream.h"
 #include "net/timer.h"
 #include "proxy/request_broker.h"
 
 #include <cstddef>
-#include <cstdint>
 #include <memory>
+#include <optional>
 #include <string>
+#include <string_view>
 
 namespace gorsebeam::frontend {
 
 class Frontend;
 
-/// Why the gateway ends a client connection, as the log names it.
-enum class CloseReason {
-  PeerClosed,   ///< The client closed or reset it.
-  ClientEnded,  ///< The client asked for the end in its protocol.
-  ErrorSent,    ///< It broke the protocol, was overdue or was rejected, and was told so.
-  Idle,         ///< It rested for long while there were many.
-  Evicted,      ///< It rested, and a new connection needed its place.
-  Shutdown,     ///< The gateway stops.
-  Overdue,      ///< As ErrorSent, but the error could not be sent at once.
-  Exception,    ///< A defect in the gateway.
-};
-
 class ClientConnection : public net::Stream::Events, public proxy::ClientCall {
 public:
   /// `frontend` owns the connection and outlives it.
   ClientConnection(Frontend& frontend, net::SocketHandle socket);
   ~ClientConnection() override = default;
 
-  /// No request is pending, and nothing received or written is buffered.
+  /// No request is pending, and no input or output is buffered.
   [[nodiscard]] bool is_idle() const;
 
   [[nodiscard]] bool has_client_left() const override { return stream_->has_peer_closed(); }
 
-  /// Whether bytes or the client's end wait in the kernel.
+  /// Whether the kernel holds unread input or the end of the client's sending side.
   [[nodiscard]] bool has_unread() const { return stream_->readable(); }
 
-  /// The sending side is closed, and the connection waits for the client to hang up.
+  /// The sending side is closed, and the connection waits until the client closes its side.
   [[nodiscard]] bool is_lingering() const { return state_ == State::Lingering; }
 
   /// Answered requests; 2 stands for two or more.
   [[nodiscard]] std::size_t answered_count() const { return answered_count_; }
 
-  /// The earliest time at which the message that is parsed now can have arrived.
-  [[nodiscard]] TimePoint earliest_arrival() const;
-
-  /// When it last made progress: was accepted, sent a message, was answered or received an answer.
+  /// When the connection last made progress: it was accepted, a message was parsed, a request was
+  /// answered, or buffered output was sent.
   [[nodiscard]] TimePoint last_progress_at() const { return last_progress_at_; }
 
-  /// Buffered bytes that closing it would free; none while a request is pending.
+  /// Buffered bytes that closing the connection would free; 0 while a request is pending.
   [[nodiscard]] std::size_t reclaimable_bytes() const {
-    return is_busy_ ? 0 : stream_->buffered_bytes();
+    return has_pending_request() ? 0 : stream_->buffered_bytes();
   }
 
-  /// Why it is to be closed: nothing sent, an incomplete message, an answer not received. Null
-  /// where it is not overdue.
-  [[nodiscard]] const char* overdue_reason(TimePoint now) const;
+  /// Why the connection is to be rejected at `now`; nothing if it is not overdue.
+  [[nodiscard]] std::optional<RejectReason> overdue_reason(TimePoint now) const;
+
+  /// The connection is beyond the limit: the protocol rejects it after the client's first message.
+  void mark_over_limit() { is_over_limit_ = true; }
 
-  /// Closes it; the reason is sent in the protocol's form if it can be sent at once.
-  void reject_and_close(const char* reason);
+  /// Closes the connection; the error is sent if the kernel accepts it at once.
+  void reject_and_close(RejectReason reason);
 
   /// Closes the sending side of an idle connection, which then lingers.
   void close_idle(CloseReason reason);
 
-  /// Closes it now and drops a pending request.
+  /// Closes the connection now and drops a pending request.
   void close(CloseReason reason);
 
 protected:
-  /// Consumes what it can of the input, until it needs more bytes or has begun a request. Called
-  /// again after that.
+  /// Consumes complete messages of the input until it needs more bytes or has begun a request. It
+  /// is called again when there is more input or the request is complete.
   virtual void parse() = 0;
 
-  /// Sends an error in the protocol's form and begins to close: for a connection that broke the
-  /// protocol or is overdue.
-  virtual void send_closing_error(const char* reason) = 0;
+  /// Sends the error in the protocol's form and calls `close_when_written`.
+  virtual void send_closing_error(RejectReason reason) = 0;
+
+  /// The input that has not been consumed.
+  [[nodiscard]] std::string_view input() const { return stream_->input().view(); }
+
+  /// Drops the first `size` bytes of the input.
+  void consume(std::size_t size) { stream_->input().consume(size); }
+
+  /// Sends the spans, or buffers a copy of what the kernel does not accept.
+  void send(const net::ByteSpans& spans) { stream_->write(spans); }
+
+  /// The limit for the size of one message.
+  [[nodiscard]] std::size_t max_message_bytes() const;
 
-  /// Accepted beyond the limit: to be rejected in the protocol's form after the client's greeting.
   [[nodiscard]] bool is_over_limit() const { return is_over_limit_; }
 
+  /// The earliest time at which the message that is being parsed can have arrived.
+  [[nodiscard]] TimePoint earliest_arrival() const;
+
   /// Passes the request, which is in the first `size` bytes of the input, to the broker. Returns
-  /// false if a request of this id is pending already. The request is rejected once the frontend
-  /// stops; it is dropped with its connection if the client has disconnected.
+  /// false if a request with this id is pending already. The request is rejected if the frontend
+  /// stops. If the client has disconnected, the request is dropped with its connection.
   [[nodiscard]] bool begin_request(Request request, std::size_t size);
 
-  /// Called when the answer to the pending request has been written and its input consumed.
+  /// Called when the response to the pending request has been written and its input consumed.
   void finish_request();
 
-  /// Closes the connection after what is written. It then lingers: the sending side is closed, and
-  /// what the client still sends is read and dropped until it hangs up.
+  /// Closes the connection once its output is sent. It then lingers: the sending side is closed,
+  /// and input is dropped until the client closes its side.
   void close_when_written(CloseReason reason);
 
-  Frontend& frontend_;
-  std::shared_ptr<net::Stream> stream_;
-
 private:
-  friend class Frontend;
-
+  /// Each transition has one function:
+  ///
+  ///     AwaitingInput -> StartingRequest -> RequestInFlight   begin_request
+  ///     StartingRequest -> AwaitingInput                      begin_request, if it is not accepted
+  ///     StartingRequest, RequestInFlight -> AwaitingInput     finish_request
+  ///     these three -> Closing                                begin_closing
+  ///     Closing -> Lingering                                  linger
+  ///     any -> Closed                                         close
   enum class State {
-    Open,
-    Closing,    ///< Input is ignored; the last bytes are being written.
+    AwaitingInput,
+    StartingRequest,  ///< A request is being passed to the broker, which may answer it at once.
+    RequestInFlight,
+    Closing,    ///< Input is ignored; the last output is being sent.
     Lingering,  ///< The sending side is closed.
+    Closed,
   };
 
   void received() final;
   void flushed() final;
   void ended(const std::string& reason) final;
+  void peer_closed() final;
 
-  void peer_closed() final { handle_client_disconnect(); }
+  [[nodiscard]] bool has_pending_request() const;
+  [[nodiscard]] bool is_closing() const;
 
+  void limit_read_ahead();
   void process_input();
   void process_input_guarded();
+
+  /// Parses once. Returns whether there is more input that may be complete.
+  [[nodiscard]] bool parse_next();
+
+  void reject_request(const std::string& id);
   void begin_closing(CloseReason reason);
   void linger();
-  void handle_client_disconnect();
-
-  std::string request_id_;
-  std::string end_reason_;  ///< As the socket reported it; empty: it did not.
-  std::optional<TimePoint>
-      input_arrival_;  ///< Of the bytes that are being handled; empty: they were read before.
-  std::size_t request_size_ = 0;
-  State state_ = State::Open;
-  bool is_busy_ = false;        ///< A request is pending.
-  bool is_processing_ = false;  ///< `process_input` is on the stack.
-  bool is_starting_ = false;    ///< The request is being passed to the broker.
+
+  Frontend& frontend_;
+  std::shared_ptr<net::Stream> stream_;
+  std::string request_id_;  ///< Of the request in flight.
+  std::string end_reason_;  ///< The stream's reason; empty if the stream did not end by itself.
+  /// Of the input that is being handled; empty if it was received in an earlier iteration.
+  std::optional<TimePoint> input_arrival_;
+  std::size_t request_size_ = 0;  ///< Bytes of the pending request in the input.
+  State state_ = State::AwaitingInput;
   bool is_over_limit_ = false;
-  bool has_sent_message_ = false;  ///< Something that the client sent was parsed.
+  bool has_sent_message_ = false;  ///< At least one message of the client was parsed.
   std::size_t answered_count_ = 0;
   TimePoint last_progress_at_{};
   net::Timer resume_timer_;
--- /dev/null
+++ b/src/frontend/close_reason.h
@@ -0,0 +1,33 @@
+/// Why the gateway ends a client connection, and what it sends to the client in that case.
+#pragma once
+
+namespace gorsebeam::frontend {
+
+/// Why a client connection ends.
+enum class CloseReason {
+  PeerClosed,   ///< The client closed or reset it.
+  ClientEnded,  ///< The client ended it in its protocol.
+  ErrorSent,    ///< The gateway rejected it, or a message on it, with an error that was sent.
+  Idle,         ///< It was idle while too many connections were open.
+  Evicted,      ///< It was idle, and a new connection needed the capacity.
+  Shutdown,     ///< The gateway stops.
+  Overdue,      ///< As `ErrorSent`, but the error could not be sent completely.
+  Exception,    ///< A defect in the gateway.
+};
+
+/// The reason as the log event `client_closed` names it.
+[[nodiscard]] const char* name_of(CloseReason reason);
+
+/// Why the gateway rejects a connection that has not broken the protocol.
+enum class RejectReason {
+  NothingSent,         ///< The client has not sent a message in time.
+  IncompleteMessage,   ///< The client has not completed a message in time.
+  ResponseNotRead,     ///< The client has not read a response in time.
+  TooManyConnections,  ///< The connection is beyond the limit.
+  MemoryShort,         ///< Its input is the largest while the buffers exceed their limit.
+};
+
+/// The error text that is sent to the client.
+[[nodiscard]] const char* text_of(RejectReason reason);
+
+}  // namespace gorsebeam::frontend
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration kStopSweepInterval = 50ms;
-constexpr Duration kMaxLinger = 250ms;  // a client hangs up long before
+constexpr Duration kMaxLinger = 250ms;  // clients close their side much sooner
 
 }  // namespace
 
@@ -23,11 +23,7 @@
         stop_accepting();
       }),
       maintenance_timer_([this] {
-        const TimePoint now = net::now();
-        close_overdue(now);
-        close_surplus(now);
-        maintenance_timer_.after(
-            connection_admission::surplus_check_interval(connections_.size(), limits_.connections));
+        run_maintenance();
       }),
       linger_timer_([this] {
         close_expired_lingering();
@@ -73,15 +69,15 @@
 void Frontend::add_accepted(net::SocketHandle socket) {
   const bool is_over_limit = connections_.size() >= limits_.connections && !evict_idle_connection();
   auto connection = make_connection_(*this, std::move(socket));
-  connection->is_over_limit_ = is_over_limit;
-  if (is_over_limit)
+  if (is_over_limit) {
+    connection->mark_over_limit();
     net::log({"client_rejected",
               {{"reason", "too_many_connections"},
                {"connections", std::to_string(connections_.size())}}});
+  }
   ClientConnection* key = connection.get();
   connections_[key] = std::move(connection);
-  // Spare descriptors are limited: clients beyond those that are rejected with an error wait in the
-  // kernel's queue.
+  // Spare descriptors are limited: further connections stay in the kernel's queue.
   if (is_full())
     listener_->pause();
 }
@@ -102,8 +98,8 @@
   const IdleConnections idle = idle_connections();
   const std::vector<std::size_t> order =
       connection_admission::rank_evictable(idle.descriptions, net::now());
-  // The kernel is asked about one connection after the other, and not about all: with every place
-  // taken a system call for each connection at each accept held the loop up for over a second.
+  // Sockets are polled one by one until one can be evicted: at full capacity a system call for each
+  // connection at each accept stalled the loop for over a second.
   for (const std::size_t index : order) {
     if (idle.connections[index]->has_unread())
       continue;
@@ -113,11 +109,21 @@
   return false;
 }
 
+void Frontend::run_maintenance() {
+  const TimePoint now = net::now();
+  close_overdue(now);
+  close_surplus(now);
+  maintenance_timer_.after(
+      connection_admission::surplus_check_interval(connections_.size(), limits_.connections));
+}
+
 void Frontend::close_overdue(TimePoint now) {
-  std::vector<std::pair<const char*, ClientConnection*>> overdue;
-  for (const auto& [connection, owned] : connections_)
-    if (const char* reason = connection->overdue_reason(now))
-      overdue.emplace_back(reason, connection);
+  // Collected first, as a rejection removes the connection from the map.
+  std::vector<std::pair<RejectReason, ClientConnection*>> overdue;
+  for (const auto& [connection, owned] : connections_) {
+    if (const auto reason = connection->overdue_reason(now))
+      overdue.emplace_back(*reason, connection);
+  }
   for (const auto& [reason, connection] : overdue)
     connection->reject_and_close(reason);
 }
@@ -137,8 +143,8 @@
       connection->close_idle(CloseReason::Idle);
       continue;
     }
-    connection->is_over_limit_ = true;  // selects the protocol's error code
-    connection->reject_and_close("too many connections");
+    connection->mark_over_limit();  // selects the protocol's error code
+    connection->reject_and_close(RejectReason::TooManyConnections);
   }
 }
 
@@ -154,7 +160,7 @@
   net::log({"client_closed",
             {{"reason", "memory_limit"},
              {"message_bytes", std::to_string(largest->reclaimable_bytes())}}});
-  largest->reject_and_close("memory is short");
+  largest->reject_and_close(RejectReason::MemoryShort);
 }
 
 void Frontend::add_lingering(ClientConnection* connection) {
@@ -163,21 +169,24 @@
     return;
   lingering_.push_back(std::move(found->second));
   connections_.erase(found);
-  // Bounds the descriptors: the connection that has lingered longest is closed. After the stop no
-  // new connection needs its descriptor.
+  // Bounds the descriptors: the connection that has lingered longest is closed. Once the frontend
+  // stops, no new connection needs its descriptor.
   if (lingering_.size() > limits_.lingering && !is_stopping_)
     lingering_.front()->close(CloseReason::Idle);
+  set_linger_timer();
+  resume_listening();
+}
+
+void Frontend::set_linger_timer() {
   if (!lingering_.empty())
     linger_timer_.at(lingering_.front()->last_progress_at() + kMaxLinger);
-  resume_listening();
 }
 
 void Frontend::close_expired_lingering() {
   const TimePoint now = net::now();
   while (!lingering_.empty() && now - lingering_.front()->last_progress_at() >= kMaxLinger)
     lingering_.front()->close(CloseReason::Idle);
-  if (!lingering_.empty())
-    linger_timer_.at(lingering_.front()->last_progress_at() + kMaxLinger);
+  set_linger_timer();
 }
 
 void Frontend::remove(ClientConnection* connection) {
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -1,4 +1,5 @@
-/// Accepts the clients of one protocol within bounds, and ends their connections after SIGTERM.
+/// Accepts the connections of one protocol's clients within limits, and closes them at the
+/// shutdown.
 #pragma once
 
 #include "client_connection.h"
@@ -20,11 +21,11 @@
 namespace gorsebeam::frontend {
 
 struct FrontendLimits {
-  std::size_t connections = 480;  ///< Served at once.
-  std::size_t rejecting = 32;     ///< Accepted beyond that, to be rejected with an error.
-  std::size_t lingering = 32;     ///< Have received their last bytes and are not closed yet.
-  std::size_t message_bytes = 256 * 1024;
-  std::size_t buffered_bytes = 16 << 20;  ///< Of all connections together, upstream ones included.
+  std::size_t connections = 480;  ///< Connections that are served at the same time.
+  std::size_t rejecting = 32;     ///< Accepted beyond `connections`, to be rejected with an error.
+  std::size_t lingering = 32;     ///< Connections that linger (see `ClientConnection`).
+  std::size_t message_bytes = 256 * 1024;  ///< Size of one message.
+  std::size_t buffered_bytes = 16 << 20;   ///< Of all connections together, upstream ones included.
 };
 
 /// Owns the client connections of one protocol. All functions run on the main loop's thread.
@@ -37,15 +38,15 @@
   Frontend(proxy::RequestBroker& broker, const FrontendLimits& limits,
            ConnectionFactory make_connection);
 
-  /// May be called again with another address: the old one is closed once the new one is open, and
-  /// connections continue.
+  /// May be called again with another address: the old socket is closed once the new one is open;
+  /// connections are not affected.
   [[nodiscard]] std::optional<net::ListenError> listen(const std::string& address);
 
-  /// The listening address with its actual port; empty while it does not listen.
+  /// The listening address with its actual port; empty while the frontend does not listen.
   [[nodiscard]] std::string address() const { return listener_->address(); }
 
-  /// Accepts no more connections and forwards no more requests; retires each connection that is
-  /// idle, or as soon as it is. Requests that arrive after that are rejected with an error where
+  /// Accepts no more connections and forwards no more requests. Closes each idle connection, and
+  /// each other one once it is idle. Requests that arrive meanwhile are rejected with an error if
   /// that can still be sent.
   void stop_accepting();
 
@@ -56,30 +57,30 @@
     return connections_.empty() && lingering_.empty() && !(is_stopping_ && listener_->is_open());
   }
 
-  /// The earliest time at which the connection that is accepted now can have come.
+  /// The earliest time at which the connection that is being accepted can have arrived.
   [[nodiscard]] TimePoint earliest_accept_arrival() const { return listener_->earliest_arrival(); }
 
   proxy::RequestBroker& broker() { return broker_; }
 
   [[nodiscard]] const FrontendLimits& limits() const { return limits_; }
 
-  /// Takes effect at once; connections beyond the new limits are retired as they become idle.
+  /// Takes effect at once; connections beyond the new limits are closed once they are idle.
   void set_limits(const FrontendLimits& limits);
 
-  /// Destroys a closed connection in the next turn of the loop.
+  /// Destroys a closed connection in the next iteration of the event loop.
   void remove(ClientConnection* connection);
 
-  /// Keeps the connection until the client hangs up or the time for that is over.
+  /// Keeps a connection that lingers until the client closes its side or 0.25 s have passed.
   void add_lingering(ClientConnection* connection);
 
-  /// Closes the connection with the largest incomplete message while all buffers together exceed
-  /// their limit; called as input grows.
+  /// Closes the connection with the largest buffers and no pending request if all buffers together
+  /// exceed their limit; called when input was received.
   void enforce_buffer_limit();
 
 private:
   using OwnedConnection = std::unique_ptr<ClientConnection>;
 
-  /// `connections[i]` is described by the entry of `descriptions` with the index `i`.
+  /// The entry of `descriptions` with the index `i` describes `connections[i]`.
   struct IdleConnections {
     std::vector<connection_admission::IdleConnection> descriptions;
     std::vector<ClientConnection*> connections;
@@ -89,14 +90,16 @@
   void add_accepted(net::SocketHandle socket);
   [[nodiscard]] bool is_full() const;
 
-  /// Connections that are idle; something may be unread in the kernel.
+  /// The idle connections; the kernel may hold unread input of them.
   [[nodiscard]] IdleConnections idle_connections() const;
 
-  /// Retires one idle connection in favour of a new one; false where there is none.
+  /// Closes one idle connection to make room for a new one. Returns false if there is none.
   bool evict_idle_connection();
+  void run_maintenance();
   void close_overdue(TimePoint now);
   void close_surplus(TimePoint now);
   void close_expired_lingering();
+  void set_linger_timer();
   void remove_lingering(ClientConnection* connection);
   void resume_listening();
 
@@ -105,7 +108,7 @@
   ConnectionFactory make_connection_;
   std::unique_ptr<net::Listener> listener_;
   std::map<ClientConnection*, OwnedConnection> connections_;
-  std::vector<OwnedConnection> removed_;
+  std::vector<OwnedConnection> removed_;  ///< Closed, and destroyed in the next iteration.
   std::list<OwnedConnection> lingering_;  ///< In the order in which they began to linger.
   net::Timer removal_timer_;
   net::Timer stop_timer_;
--- a/src/frontend/parsed_request.h
+++ b/src/frontend/parsed_request.h
@@ -1,4 +1,4 @@
-/// What a protocol's parser makes of a client's message before the request is admitted. Pure.
+/// The result of a protocol's parser for a client's message, before admission. Pure.
 #pragma once
 
 #include "gorsebeam/router.h"
--- a/src/mongo/client_connection.cpp
+++ b/src/mongo/client_connection.cpp
@@ -44,7 +44,7 @@
         encode_header(payload_size, ++last_sent_id_, message_id_, Opcode::Msg);
     proxy::ByteSpans parts{header, flags};
     parts.insert(parts.end(), value.begin(), value.end());
-    stream_->write(parts);
+    send(parts);
     complete_request();
   }
 
@@ -68,7 +68,7 @@
   }
 
   [[nodiscard]] wire::Framed<Message> read_pending_message() const {
-    return read_message(stream_->input().view(), frontend_.limits().message_bytes);
+    return read_message(input(), max_message_bytes());
   }
 
   void handle_message(const Message& message) {
@@ -90,7 +90,7 @@
                                      ? hello_reply(command.document)
                                      : encode_error_reply({ErrorCode::UnsupportedOpQueryCommand,
                                                            "only a greeting may be an OP_QUERY"});
-    stream_->write({encode_op_reply(document, ++last_sent_id_, message_id_)});
+    send({encode_op_reply(document, ++last_sent_id_, message_id_)});
     consume_message();
     if (is_over_limit())
       close_when_written(frontend::CloseReason::ErrorSent);
@@ -126,7 +126,7 @@
       return encode_error_reply(too_many_connections());
     if (auto name = application_name(hello))
       admission_.set_team(std::move(*name));
-    return encode_hello_reply(frontend_.limits().message_bytes, net::now());
+    return encode_hello_reply(max_message_bytes(), net::now());
   }
 
   /// Begins the request of `command`, or returns why it is rejected.
@@ -147,10 +147,10 @@
   }
 
   void send_reply(const std::string& document) {
-    stream_->write({encode_op_msg(document, ++last_sent_id_, message_id_)});
+    send({encode_op_msg(document, ++last_sent_id_, message_id_)});
   }
 
-  void consume_message() { stream_->input().consume(message_size_); }
+  void consume_message() { consume(message_size_); }
 
   /// Replies to a message that began no request.
   void reply(const std::string& document) {
@@ -168,11 +168,15 @@
     if (error == ProtocolError::ReplyForbidden)
       close_when_written(frontend::CloseReason::ErrorSent);
     else
-      send_closing_error(describe(error));
+      end_with_text(describe(error));
   }
 
-  void send_closing_error(const char* reason) override {
-    send_reply(encode_error_reply({ErrorCode::InvalidBson, reason}));
+  void send_closing_error(frontend::RejectReason reason) override {
+    end_with_text(frontend::text_of(reason));
+  }
+
+  void end_with_text(const char* text) {
+    send_reply(encode_error_reply({ErrorCode::InvalidBson, text}));
     close_when_written(frontend::CloseReason::ErrorSent);
   }
 
--- a/src/net/arrival_bound.h
+++ b/src/net/arrival_bound.h
@@ -64,7 +64,7 @@
   /// Reading resumes after it was suspended: input may have waited during the suspension.
   void record_resumed(std::uint64_t iteration) { last_input_iteration_ = iteration; }
 
-  /// The earliest arrival of what was read last.
+  /// The earliest arrival of the input of the last read.
   [[nodiscard]] TimePoint earliest_arrival() const { return earliest_arrival_; }
 
 private:
--- a/src/net/late_timer_policy.h
+++ b/src/net/late_timer_policy.h
@@ -23,8 +23,8 @@
   /// fires in the next iteration.
   void record_deferral(TimePoint now) { deferred_until_ = now; }
 
-  /// Returns the lateness that is to be logged, of the first timer that is due; nothing where it is
-  /// short, or was reported in the iteration that deferred the timer.
+  /// Returns the lateness of the first timer that is due, if it is to be logged: above
+  /// `kSlowIteration`, and not logged already in the iteration that deferred the timer.
   [[nodiscard]] std::optional<Duration> lateness_to_log(TimePoint first_due_at,
                                                         TimePoint now) const;
 
--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -19,7 +19,7 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// What is added to the monotonic clock for Unix time; fixed at the first call.
+/// The difference between Unix time and the monotonic clock; fixed at the first call.
 microseconds unix_time_offset() {
   static const microseconds kOffset{g_get_real_time() - g_get_monotonic_time()};
   return kOffset;
--- a/src/postgres/client_connection.cpp
+++ b/src/postgres/client_connection.cpp
@@ -35,7 +35,7 @@
 
   // The statement stays in the input until its request is complete.
   proxy::ByteSpans body(Duration left) override {
-    const std::string_view text = stream_->input().view().substr(kQueryHeaderSize, text_size_);
+    const std::string_view text = input().substr(kQueryHeaderSize, text_size_);
     return rewriter_.rewrite(text, deadline_, left);
   }
 
@@ -66,8 +66,7 @@
   void parse() override {
     if (phase_ == Phase::AwaitingStartup)
       return parse_startup_message();
-    const wire::Framed<Message> message =
-        read_message(stream_->input().view(), frontend_.limits().message_bytes);
+    const wire::Framed<Message> message = read_message(input(), max_message_bytes());
     if (message)
       handle_message(message.value());
     else if (message.error() == FramingError::Malformed)
@@ -75,8 +74,7 @@
   }
 
   void parse_startup_message() {
-    const wire::Framed<StartupMessage> message =
-        read_startup(stream_->input().view(), kMaxStartupSize);
+    const wire::Framed<StartupMessage> message = read_startup(input(), kMaxStartupSize);
     if (message)
       handle_startup(message.value());
     else if (message.error() == FramingError::Malformed)
@@ -89,15 +87,15 @@
     case StartupKind::Cancel:
       return close_when_written(frontend::CloseReason::ClientEnded);
     case StartupKind::Encryption:
-      stream_->write({"N"});
-      return stream_->input().consume(message.size);
+      send({"N"});
+      return consume(message.size);
     case StartupKind::UnsupportedVersion:
       return end_with_error({kFeatureNotSupported, "only version 3 of the protocol is served"});
     case StartupKind::Session:
       if (const std::optional<SqlError> error = begin_session(startup.user))
         return end_with_error(*error);
-      stream_->write({encode_startup_reply(), kReadyForQuery});
-      return stream_->input().consume(message.size);
+      send({encode_startup_reply(), kReadyForQuery});
+      return consume(message.size);
     }
   }
 
@@ -118,7 +116,7 @@
     const MessageKind kind = kind_of(message);
     const bool ends_skipping = kind == MessageKind::Sync || kind == MessageKind::Terminate;
     if (phase_ == Phase::SkippingToSync && !ends_skipping)
-      return consume(message);
+      return drop(message);
     switch (kind) {
     case MessageKind::Query:
       return handle_query(message);
@@ -172,12 +170,12 @@
     return std::nullopt;
   }
 
-  void consume(const Message& message) { stream_->input().consume(message.encoded.size()); }
+  void drop(const Message& message) { consume(message.encoded.size()); }
 
   /// Replies to a message that began no request.
   void reply(const Message& message, const proxy::ByteSpans& parts) {
-    stream_->write(parts);
-    consume(message);
+    send(parts);
+    drop(message);
   }
 
   void reject_message(const Message& message, const SqlError& error) {
@@ -186,18 +184,19 @@
 
   /// Sends the response to the pending request, which ends it.
   void complete_request(const proxy::ByteSpans& parts) {
-    stream_->write(parts);
-    stream_->input().consume(text_size_ + kQueryFramingSize);
+    send(parts);
+    consume(text_size_ + kQueryFramingSize);
     finish_request();
   }
 
   void end_with_error(const SqlError& error) {
-    stream_->write({encode_error(Severity::Fatal, error)});
+    send({encode_error(Severity::Fatal, error)});
     close_when_written(frontend::CloseReason::ErrorSent);
   }
 
-  void send_closing_error(const char* reason) override {
-    end_with_error({is_over_limit() ? kTooManyConnections : kQueryCanceled, reason});
+  void send_closing_error(frontend::RejectReason reason) override {
+    const char* code = is_over_limit() ? kTooManyConnections : kQueryCanceled;
+    end_with_error({code, frontend::text_of(reason)});
   }
 
   frontend::RequestAdmission admission_;
--- a/tests/frontend_accept_test.cpp
+++ b/tests/frontend_accept_test.cpp
@@ -1,4 +1,4 @@
-// What a new connection costs while every place is taken.
+// The system calls that a new connection costs while all capacity is in use.
 #include "frontend/frontend.h"
 #include "net/address.h"
 #include "net/timer.h"
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-// Counts the calls that GLib makes, for a socket's condition as for the main loop.
+// Counts the calls that GLib makes, for the condition of a socket and for the main loop.
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 extern "C" int poll(pollfd* descriptors, nfds_t count, int timeout_ms) {
   ++poll_calls;
@@ -33,10 +33,10 @@
 
 using namespace gorsebeam;
 
-constexpr std::size_t kPlaces = 64;
+constexpr std::size_t kCapacity = 64;
 constexpr std::size_t kNewClients = 32;
 
-/// Drops what the client sends.
+/// Drops all input.
 class SilentConnection : public frontend::ClientConnection {
 public:
   using ClientConnection::ClientConnection;
@@ -50,9 +50,9 @@
   void fail() override {}
 
 private:
-  void parse() override { stream_->input().consume(stream_->input().size()); }
+  void parse() override { consume(input().size()); }
 
-  void send_closing_error(const char*) override {
+  void send_closing_error(frontend::RejectReason) override {
     close_when_written(frontend::CloseReason::ErrorSent);
   }
 };
@@ -90,7 +90,7 @@
 
   static frontend::FrontendLimits make_limits() {
     frontend::FrontendLimits limits;
-    limits.connections = kPlaces;
+    limits.connections = kCapacity;
     return limits;
   }
 
@@ -125,19 +125,19 @@
   std::vector<std::unique_ptr<Client>> clients_;
 };
 
-// Each accept replaces a connection at rest, and asks the kernel about that one. It asked about all
-// of them once: with the descriptors full of resting clients the loop stood still for over a
-// second.
-TEST_F(FullFrontend, AsksTheKernelAboutOneRestingConnectionAtAnAccept) {
+// Each accept evicts an idle connection, and polls the socket of that one. Polling the sockets of
+// all idle connections at each accept stalled the loop for over a second.
+TEST_F(FullFrontend, PollsOneIdleConnectionAtAnAccept) {
   ASSERT_FALSE(frontend_.listen("127.0.0.1:0"));
-  connect_clients(kPlaces);
-  run_loop_for(100ms);  // a connection is replaced only after 50 ms at rest
+  connect_clients(kCapacity);
+  run_loop_for(100ms);  // a connection is evicted only after 50 ms
   const int calls_before = poll_calls;
 
   connect_clients(kNewClients);
 
   const auto calls = static_cast<std::size_t>(poll_calls - calls_before);
-  EXPECT_LT(calls, kNewClients * kPlaces / 4) << "a quarter of one call a connection and accept";
+  EXPECT_LT(calls, kNewClients * kCapacity / 4)
+      << "a quarter of one call for each connection and accept";
 }
 
 }  // namespace
