--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -173,13 +173,13 @@
   const Plan& plan = read.value();
   if (const auto reason = restart_reason(plan))
     return log_rejected_reload(plan_.file_path + ": " + *reason);
-  // The last step that can fail, as it changes something.
+  // The last step that can fail, because it changes the running process.
   if (const auto error = move_mongo_listener(plan))
     return log_rejected_reload(error->message);
   apply_plan(plan);
 }
 
-// The router knows endpoints by their names and keeps their state; pending requests are not
+// The router identifies endpoints by their names and keeps their state; pending requests are not
 // affected.
 void Gateway::apply_plan(const Plan& plan) {
   apply_file(plan.file.gateway);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,4 +1,4 @@
-/// Runs one gateway process: start, reload on SIGHUP and graceful shutdown on SIGTERM.
+/// Runs one gateway process: start, reload on SIGHUP, graceful shutdown on SIGTERM and SIGINT.
 #pragma once
 
 #include "plan.h"
@@ -21,16 +21,17 @@
 /// All functions run on the main loop's thread.
 class Gateway {
 public:
-  /// Throws settings::FormatError where the process may open too few files.
+  /// Throws settings::FormatError if the process's limit on open files is too low.
   explicit Gateway(Plan plan);
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
   ~Gateway();
 
-  /// Begins to listen; returns an error where a frontend cannot.
+  /// Begins to listen; returns an error if a frontend cannot.
   [[nodiscard]] std::optional<net::ListenError> start();
 
-  /// Runs until it is asked to stop and all requests are answered.
+  /// Runs until a signal ends the process: until all requests are answered, or the deadline of the
+  /// shutdown has passed.
   void run();
 
 private:
@@ -39,21 +40,22 @@
   void quit_when_drained();
   void start_discovery();
 
-  /// Reads all files again, on SIGHUP. All is read and checked before anything changes: a bad file
-  /// is logged and changes nothing.
+  /// Reads all files again, on SIGHUP. They are read and validated before anything changes: an
+  /// invalid file is logged and changes nothing.
   void reload();
   void apply_plan(const Plan& plan);
 
-  /// Why a valid plan cannot be applied to the running process; nothing where it can.
+  /// Why a valid plan cannot be applied to the running process; nothing if it can.
   [[nodiscard]] std::optional<std::string> restart_reason(const Plan& plan) const;
 
   /// Moves the MongoDB listener if its address differs.
   [[nodiscard]] std::optional<net::ListenError> move_mongo_listener(const Plan& plan);
 
-  /// Applies what the operators' file alone decides: the log's format and the SQL classifier.
+  /// Applies the settings that only the operators' file has: the log's format and the SQL
+  /// classifier.
   void apply_file(const config::pb::Gateway& file);
 
-  /// Applies a version of the configuration; null stands for what has not changed.
+  /// Applies a version of the configuration; null stands for a type that has not changed.
   void apply_version(const config::pb::Contracts* contracts, const config::pb::Members* endpoints,
                      const config::pb::Limits* limits);
 
@@ -63,8 +65,9 @@
   std::shared_ptr<const gorsebeam::sql_classifier::SqlClassifier>
       classifier_;  ///< Null while statements are not parsed.
   std::unique_ptr<ProtocolPath> postgres_;
-  std::unique_ptr<ProtocolPath> mongo_;                       ///< Null where MongoDB is not served.
-  std::unique_ptr<discovery::EndpointWatch> endpoint_watch_;  ///< Null where endpoints are listed.
+  std::unique_ptr<ProtocolPath> mongo_;  ///< Null if MongoDB is not served.
+  std::unique_ptr<discovery::EndpointWatch>
+      endpoint_watch_;  ///< Null if the file lists the endpoints.
   std::unique_ptr<control_plane::ControlPlaneClient> control_plane_;
   net::Timer stop_accepting_timer_;
   net::Timer drain_timer_;
--- a/src/gateway/plan.h
+++ b/src/gateway/plan.h
@@ -1,4 +1,4 @@
-/// All settings that the gateway reads before it listens.
+/// The settings that the gateway reads before it listens.
 #pragma once
 
 #include "common/result.h"
@@ -14,10 +14,10 @@
   config::PlatformConfig config;
   config::OperatorFile file;
   std::string config_path;  ///< Read again on SIGHUP.
-  std::string file_path;    ///< Read again on SIGHUP; empty where there is no operators' file.
+  std::string file_path;    ///< Read again on SIGHUP; empty if there is no operators' file.
 };
 
-/// Reads and validates both files. An error names file, line and field.
+/// Reads and validates both files. An error names the file, the line and the field.
 [[nodiscard]] common::Result<Plan, settings::FileError> read_plan(const std::string& config_path,
                                                                   const std::string& file_path);
 
--- a/src/gateway/protocol_path.h
+++ b/src/gateway/protocol_path.h
@@ -1,4 +1,4 @@
-/// Serves one protocol: a frontend, a request broker of its own and connections to its endpoints.
+/// Serves one protocol: its frontend, its request broker and the connections to its endpoints.
 #pragma once
 
 #include "resource_shares.h"
@@ -19,10 +19,10 @@
                connection_pool::UpstreamProtocolFactory make_upstream_protocol,
                const ResourceShare& share, frontend::Frontend::ConnectionFactory make_connection);
 
-  /// Applies the operators' limits within the path's own share.
+  /// Applies the operators' limits; none exceeds the path's share.
   void apply_limits(const config::pb::Limits& limits);
 
-  /// No client connection and no pending request is left.
+  /// No client connection and no open request is left.
   [[nodiscard]] bool is_drained() const;
 
   proxy::RequestBroker& broker() { return broker_; }
--- a/src/gateway/resource_shares.cpp
+++ b/src/gateway/resource_shares.cpp
@@ -41,8 +41,8 @@
       share_sockets / 2 - share.frontend.rejecting - share.frontend.lingering;
   share.pool.connections = share_sockets - share_sockets / 2;
   share.pool.per_member = max_connections_per_endpoint(share.pool.connections);
-  // Buffers may use a quarter of the memory; half of that is kept free of incomplete messages, so
-  // that answers always have space.
+  // Buffers may use a quarter of the memory. Incomplete messages may use half of that quarter, so
+  // that responses always have space.
   share.frontend.buffered_bytes = memory_bytes / 8;
   share.pool.buffered = memory_bytes / 4;
   return share;
--- a/src/gateway/resource_shares.h
+++ b/src/gateway/resource_shares.h
@@ -15,13 +15,13 @@
 };
 
 /// The share of each of `protocol_count` protocols. `max_sockets` is reduced to the process's limit
-/// on open files; throws settings::FormatError where too few remain. Spare descriptors are kept for
-/// the listeners, discovery, logs and accepted connections that are to be rejected; half of each
-/// share is for clients, half for endpoints.
+/// on open files; throws settings::FormatError if that is too low. Spare descriptors are reserved
+/// for the listeners, discovery, logs and accepted connections that are to be rejected. Half of
+/// each share is for clients, half for endpoints.
 ResourceShare compute_share(std::size_t max_sockets, std::size_t memory_mib,
                             std::size_t protocol_count);
 
-/// How many of a pool's connections may lead to one endpoint.
+/// How many of a pool's connections may be to the same endpoint.
 std::size_t max_connections_per_endpoint(std::size_t pool_connections);
 
 }  // namespace gorsebeam::gateway
--- a/src/logging/log_record.h
+++ b/src/logging/log_record.h
@@ -1,4 +1,5 @@
-/// One line of the operators' log: a stable event name and its fields. Pure; `net/log` writes it.
+/// One line of the operators' log: a stable event name and its fields. Pure; `net/log` writes the
+/// line.
 #pragma once
 
 #include "gorsebeam/actions.h"
@@ -19,7 +20,7 @@
   Fields fields;
 };
 
-/// The record of a router's message.
+/// The record of a message of the router.
 [[nodiscard]] LogRecord to_record(const LogMessage& message);
 
 /// A reason as log fields name it, such as "out_of_time".
@@ -28,8 +29,9 @@
 /// A status as log fields name it, such as "connect_failed".
 [[nodiscard]] const char* status_name(AttemptStatus status);
 
-/// "endpoint_ejected endpoint=7 reason=consecutive_timeouts". A value that is not a single word is
-/// quoted, and control characters are replaced, so that no value can begin a line of its own.
+/// Text such as "endpoint_ejected endpoint=7 reason=consecutive_timeouts". A value that is not a
+/// single word is quoted, and control characters are replaced, so that no value can start a new
+/// line.
 [[nodiscard]] std::string to_text(const LogRecord& record);
 
 }  // namespace gorsebeam::logging
