--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -96,8 +96,8 @@
     return;
   if (*suppressed > 0)
     record.fields.emplace_back("suppressed", std::to_string(*suppressed));
-  const bool json = format == LogFormat::Json;
-  logger().info("{}", json ? to_json(record) : "gorsebeam: " + logging::to_text(record));
+  const bool is_json = format == LogFormat::Json;
+  logger().info("{}", is_json ? to_json(record) : "gorsebeam: " + logging::to_text(record));
 }
 
 }  // namespace gorsebeam::net
