--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr int kBacklog = 512;
-constexpr int kMaxAcceptsPerTurn = 16;
+constexpr int kMaxAcceptsPerIteration = 16;
 constexpr int kMaxAcceptsAtClose = 4 * kBacklog;
-constexpr Duration kBackOff = 20ms;
+constexpr Duration kAcceptBackoff = 20ms;
 
 SocketHandle open_listening_socket(GSocketAddress* address, ErrorHandle& error) {
   GError* raw = nullptr;
@@ -55,19 +55,20 @@
 }
 
 Listener::Listener(AcceptHandler handle_accepted)
-    : handle_accepted_(std::move(handle_accepted)), back_off_timer_([this] {
+    : handle_accepted_(std::move(handle_accepted)), backoff_timer_([this] {
         start_watching();
       }) {}
 
 TimePoint Listener::earliest_arrival() const {
-  const TimePoint of_turn = net::earliest_arrival();
-  return backlog_since_ ? std::min(*backlog_since_, of_turn) : of_turn;
+  const TimePoint arrival = net::earliest_arrival();
+  return backlog_arrival_ ? std::min(*backlog_arrival_, arrival) : arrival;
 }
 
-// While it is paused the queue fills at any time, and what is said of it ends.
+// While the listener is paused, new connections enter the queue at unknown times, so that the bound
+// of those that are in it no longer applies.
 void Listener::pause() {
   is_paused_ = true;
-  backlog_since_.reset();
+  backlog_arrival_.reset();
   source_.reset();
 }
 
@@ -79,13 +80,13 @@
 void Listener::start_watching() {
   if (!socket_ || source_ || is_paused_)
     return;
-  back_off_timer_.stop();
+  backoff_timer_.stop();
   source_.watch(socket_.get(), G_IO_IN, &Listener::on_ready, this);
 }
 
 void Listener::back_off() {
   source_.reset();
-  back_off_timer_.after(kBackOff);
+  backoff_timer_.after(kAcceptBackoff);
 }
 
 bool Listener::drain_and_close() {
@@ -102,7 +103,7 @@
 
 void Listener::close_socket() {
   source_.reset();
-  back_off_timer_.stop();
+  backoff_timer_.stop();
   if (socket_)
     g_socket_close(socket_.get(), nullptr);
   socket_.reset();
@@ -110,7 +111,7 @@
 
 bool Listener::accept_all_queued() {
   AcceptResult result = socket_ ? AcceptResult::Accepted : AcceptResult::QueueEmpty;
-  for (int i = 0; i < kMaxAcceptsAtClose && can_go_on(result); ++i)
+  for (int i = 0; i < kMaxAcceptsAtClose && can_continue(result); ++i)
     result = accept_one();
   return result == AcceptResult::QueueEmpty;
 }
@@ -120,11 +121,11 @@
   const TimePoint earliest = listener->earliest_arrival();
   AcceptResult result = AcceptResult::Accepted;
   // The handler may pause the listener, which resets the source.
-  for (int i = 0; i < kMaxAcceptsPerTurn && can_go_on(result) && listener->source_; ++i)
+  for (int i = 0; i < kMaxAcceptsPerIteration && can_continue(result) && listener->source_; ++i)
     result = listener->accept_one();
-  listener->backlog_since_.reset();
+  listener->backlog_arrival_.reset();
   if (result != AcceptResult::QueueEmpty && listener->source_)
-    listener->backlog_since_ = earliest;
+    listener->backlog_arrival_ = earliest;
   const bool makes_progress =
       result == AcceptResult::Accepted || result == AcceptResult::QueueEmpty;
   if (!makes_progress && listener->source_)
@@ -132,12 +133,12 @@
   return listener->source_ ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
 }
 
-bool Listener::can_go_on(AcceptResult result) {
+bool Listener::can_continue(AcceptResult result) {
   return result == AcceptResult::Accepted || result == AcceptResult::ConnectionLost;
 }
 
-// By accept(2), without descriptors or memory the connection stays in the queue. Most other errors
-// are those of one connection, which has left the queue, and the call is to be repeated.
+// As accept(2) says, a lack of descriptors or memory leaves the connection in the queue. Most other
+// errors concern one connection, which has left the queue, and the call is to be repeated.
 Listener::AcceptResult Listener::accept_one() {
   GError* raw = nullptr;
   SocketHandle socket(g_socket_accept(socket_.get(), nullptr, &raw));
--- a/src/proxy/interfaces.h
+++ b/src/proxy/interfaces.h
@@ -32,7 +32,7 @@
 
 /// Bytes in pieces, which are written one after the other. Borrowed from the object that returns
 /// them.
-using Parts = std::vector<std::string_view>;
+using ByteSpans = std::vector<std::string_view>;
 
 /// Identifies an attempt between the broker and the upstream; never 0, never used again.
 using AttemptId = std::uint64_t;
@@ -45,7 +45,7 @@
   /// Of a write whose commit is not at the replication position.
   std::optional<ReplicationPosition> commit_position;
   LoadReport load_report;
-  Parts value;  ///< With `Ok`: the response body, valid during the call that passes it.
+  ByteSpans value;  ///< With `Ok`: the response body, valid during the call that passes it.
 };
 
 /// A client's open request, owned by its frontend.
@@ -63,10 +63,10 @@
   /// Returns the request body for an endpoint that must answer within `left`. Called at most once
   /// for each attempt, until the request is complete. The parts are valid until the next call of
   /// a function of this object.
-  virtual Parts body(Duration left) = 0;
+  virtual ByteSpans body(Duration left) = 0;
 
   /// Final answer: the response body, which is valid during the call.
-  virtual void respond(const Parts& value) = 0;
+  virtual void respond(const ByteSpans& value) = 0;
 
   /// Final answer: the client can safely send the request again, after `retry_after` if that is
   /// above 0.
--- a/tests/request_tracker_test.cpp
+++ b/tests/request_tracker_test.cpp
@@ -15,9 +15,9 @@
 struct UnusedCall : ClientCall {
   [[nodiscard]] bool has_client_disconnected() const override { return false; }
 
-  Parts body(Duration) override { return {}; }
+  ByteSpans body(Duration) override { return {}; }
 
-  void respond(const Parts&) override {}
+  void respond(const ByteSpans&) override {}
 
   void reject(Duration) override {}
 
