--- a/src/config_versions/configuration.h
+++ b/src/config_versions/configuration.h
@@ -59,6 +59,9 @@
   std::uint64_t newest_generation = 0;
 };
 
+/// What has been accepted of each type.
+using AcceptedVersions = std::array<AcceptedVersion, kResourceTypeCount>;
+
 /// The versions of a snapshot, for the types that it holds.
 using SnapshotVersions = std::array<std::optional<AcceptedVersion>, kResourceTypeCount>;
 
--- a/src/config_versions/version_tracker.h
+++ b/src/config_versions/version_tracker.h
@@ -14,18 +14,18 @@
 #pragma once
 
 #include "actions.h"
+#include "apply_scheduler.h"
 #include "configuration.h"
+#include "pending_responses.h"
 #include "stream_lifecycle.h"
 
 #include <array>
-#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
 
 namespace gorsebeam::config_versions {
 
-/// All durations are in nanoseconds.
 struct Settings {
   StreamSettings stream;
   /// How long a response waits for another type that it refers to.
@@ -74,7 +74,7 @@
   [[nodiscard]] TimePoint next_deadline() const;
 
   [[nodiscard]] const AcceptedVersion& accepted(ResourceType type) const {
-    return types_[index_of(type)].accepted;
+    return accepted_[index_of(type)];
   }
 
   [[nodiscard]] bool is_streaming() const { return stream_.is_streaming(); }
@@ -83,54 +83,46 @@
   [[nodiscard]] const std::string& address() const { return stream_.address(); }
 
 private:
-  /// A response that is valid by itself and refers to what another type has not brought yet.
-  struct PendingDependency {
-    DiscoveryResponse response;
-    TimePoint deadline{};
-    std::string missing;
-  };
+  [[nodiscard]] AcceptedVersion& accepted_of(ResourceType type) {
+    return accepted_[index_of(type)];
+  }
 
-  struct TypeState {
-    AcceptedVersion accepted;
-    std::optional<PendingDependency> pending;
-    /// The version that the control service was last told to run here, on whatever stream.
-    std::string acknowledged_version;
-  };
+  [[nodiscard]] std::string& acknowledged_version_of(ResourceType type) {
+    return acknowledged_versions_[index_of(type)];
+  }
 
-  /// A set of types: bit i stands for the type of index i.
-  using TypeSet = unsigned;
+  [[nodiscard]] Bodies running_bodies() const;
 
-  [[nodiscard]] TypeState& state_of(ResourceType type) { return types_[index_of(type)]; }
+  /// Replaces the versions of the given types by those of the file; returns whether the content of
+  /// one of them differs.
+  [[nodiscard]] bool replace_by_file(TimePoint now, FileVersions versions, TypeSet types);
 
-  [[nodiscard]] Bodies running_bodies() const;
-  [[nodiscard]] bool is_pending(TypeSet types) const;
-  [[nodiscard]] Bodies bodies_with_pending(TypeSet types) const;
+  void clear_pending_without_stream();
 
-  void drop_pending_without_stream();
+  void add_pending(TimePoint now, const DiscoveryResponse& response, Actions& actions);
+  void accept_pending(TimePoint now, Actions& actions);
+  void accept_running_content(ResourceType type, const DiscoveryResponse& response,
+                              Actions& actions);
+  void accept_new_content(TimePoint now, ResourceType type, const DiscoveryResponse& response,
+                          Actions& actions);
+  void adopt_identity(ResourceType type, const DiscoveryResponse& response);
+  void acknowledge(ResourceType type, const DiscoveryResponse& response, std::string detail,
+                   Actions& actions);
 
-  void reject_superseded(TypeState& state, const DiscoveryResponse& successor, Actions& actions);
-  void reject_expired(TimePoint now, Actions& actions);
   void reject(const DiscoveryResponse& response, const RejectionError& error, Actions& actions);
-  void wait_for_dependency(TimePoint now, const DiscoveryResponse& response, Actions& actions);
-  void accept_pending(TimePoint now, Actions& actions);
-  [[nodiscard]] bool accept_all(TimePoint now, TypeSet types, Actions& actions);
-  [[nodiscard]] bool accept(TimePoint now, ResourceType type, const DiscoveryResponse& response,
-                            Actions& actions);
-  [[nodiscard]] bool replace_running(TimePoint now, TypeState& state,
-                                     const DiscoveryResponse& response, Actions& actions);
+  void reject_superseded(ResourceType type, const DiscoveryResponse& successor, Actions& actions);
+  void reject_expired(TimePoint now, Actions& actions);
 
-  void schedule_apply(TimePoint now, Actions& actions);
   void apply(TimePoint now, Actions& actions);
-  [[nodiscard]] bool is_apply_due(TimePoint now) const;
 
   Settings settings_;
   Validator validator_;
   StreamLifecycle stream_;
-  std::array<TypeState, kResourceTypeCount> types_;
-  bool apply_pending_ = false;
-  /// Negative: never.
-  std::optional<TimePoint> last_applied_at_;
-  std::array<std::uint64_t, kResourceTypeCount> applied_hashes_{};
+  AcceptedVersions accepted_;
+  /// The version of each type that was last acknowledged to the control service, on any stream.
+  std::array<std::string, kResourceTypeCount> acknowledged_versions_;
+  PendingResponses pending_;
+  ApplyScheduler apply_scheduler_;
 };
 
 }  // namespace gorsebeam::config_versions
