--- a/src/control_plane/control_plane_client.h
+++ b/src/control_plane/control_plane_client.h
@@ -1,19 +1,20 @@
-/// The one way in for what an operator configures: the file at the start, the file read again, and
-/// what a control service sends all go through the version tracker, and what it applies is handed
-/// to the gateway. Carries between the tracker, the gRPC channel, the snapshot file and the log;
-/// without a control service nothing is connected or written.
+/// Connects the version tracker with its environment: it passes the operators' file, the messages
+/// of the control service and the time to the tracker, and performs the tracker's actions on the
+/// gRPC channel, the snapshot, the log and the gateway. Without a control service it neither
+/// connects nor writes anything.
 #pragma once
 
+#include "configuration_update.h"
+#include "snapshot_manager.h"
+
 #include "config/operator_file.h"
 #include "config_versions/version_tracker.h"
 #include "grpc/channel.h"
 #include "net/timer.h"
-#include "snapshot_store/async_snapshot_writer.h"
 
 #include <cstdint>
 #include <functional>
 #include <optional>
-#include <string>
 #include <string_view>
 
 namespace gorsebeam::control_plane {
@@ -21,14 +22,13 @@
 /// All runs on the main loop's thread.
 class ControlPlaneClient : grpc::Channel::Events {
 public:
-  /// Receives what is in force from now on; null for a type that has not changed.
-  using ApplyCallback = std::function<void(const config::pb::Contracts*, const config::pb::Members*,
-                                           const config::pb::Limits*)>;
+  /// Puts the changed content in force, which has been checked.
+  using ApplyCallback = std::function<void(const ConfigurationUpdate&)>;
 
   /// `seed` spreads the reconnections of many gateways.
   ControlPlaneClient(const config::OperatorFile& file, std::uint64_t seed, ApplyCallback apply);
 
-  /// Restores the snapshot, applies what there is and connects.
+  /// Restores the snapshot, applies the resulting versions and connects.
   void start();
 
   /// Disconnects; no version is applied from now on.
@@ -39,6 +39,8 @@
   reload_file(const config::OperatorFile& file);
 
 private:
+  enum class State { Active, Stopped };
+
   void on_connected() override;
   void on_bytes_received() override;
   void on_message(std::string_view bytes) override;
@@ -48,11 +50,9 @@
   [[nodiscard]] std::optional<config_versions::ValidationError>
   validate(const config_versions::Bodies& bodies) const;
   [[nodiscard]] bool uses_snapshots() const;
-  void load_snapshot();
-  void write_snapshot();
-  [[nodiscard]] std::string describe_pushed_versions() const;
 
   void execute_actions();
+  void execute_all(const config_versions::Actions& actions);
   void execute(const config_versions::OpenStream& action);
   void execute(const config_versions::CloseStream& action);
   void execute(const config_versions::SendPing& action);
@@ -70,12 +70,14 @@
   config::pb::Gateway file_;
   std::uint64_t seed_;
   ApplyCallback apply_;
+  State state_ = State::Active;
   config_versions::VersionTracker tracker_;
+  /// Actions that the tracker has requested and that are not executed yet.
   config_versions::Actions actions_;
-  bool executing_ = false;
-  bool stopped_ = false;
+  /// Set while actions are executed, as an action may cause events.
+  bool is_executing_ = false;
   grpc::Channel channel_;
-  snapshot_store::AsyncSnapshotWriter snapshot_writer_;
+  SnapshotManager snapshots_;
   net::Timer timer_;
 };
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -85,10 +85,8 @@
   const config::pb::Gateway& file = plan_.file.gateway;
   apply_file(file);
   control_plane_ = std::make_unique<control_plane::ControlPlaneClient>(
-      plan_.file, plan_.config.seed,
-      [this](const config::pb::Contracts* contracts, const config::pb::Members* endpoints,
-             const config::pb::Limits* limits) {
-        apply_version(contracts, endpoints, limits);
+      plan_.file, plan_.config.seed, [this](const control_plane::ConfigurationUpdate& update) {
+        apply_update(update);
       });
   if (!plan_.file.context.postgres_listed)
     start_discovery();
@@ -193,24 +191,34 @@
   net::log({"reload_complete", {{"discovery", plan.config.discovery_address}}});
 }
 
-void Gateway::apply_version(const config::pb::Contracts* contracts,
-                            const config::pb::Members* endpoints,
-                            const config::pb::Limits* limits) {
-  if (contracts) {
-    auto contract_set = std::make_shared<proxy::ContractSet>(
-        config::to_contract_set(*contracts, plan_.config.profile.classes));
-    contracts_.replace_contracts(std::move(contract_set), net::now());
-  }
-  if (endpoints && plan_.file.context.postgres_listed)
+void Gateway::apply_update(const control_plane::ConfigurationUpdate& update) {
+  if (update.contracts)
+    apply_contracts(*update.contracts);
+  if (update.members)
+    apply_endpoints(*update.members);
+  if (update.limits)
+    apply_limits(*update.limits);
+}
+
+void Gateway::apply_contracts(const config::pb::Contracts& contracts) {
+  auto contract_set = std::make_shared<proxy::ContractSet>(
+      config::to_contract_set(contracts, plan_.config.profile.classes));
+  contracts_.replace_contracts(std::move(contract_set), net::now());
+}
+
+void Gateway::apply_endpoints(const config::pb::Members& endpoints) {
+  if (plan_.file.context.postgres_listed)
     postgres_->broker().update_endpoints(EndpointList::Kind::Full,
-                                         config::to_endpoints(endpoints->postgres()));
-  if (endpoints && mongo_)
+                                         config::to_endpoints(endpoints.postgres()));
+  if (mongo_)
     mongo_->broker().update_endpoints(EndpointList::Kind::Full,
-                                      config::to_endpoints(endpoints->mongo()));
-  if (limits)
-    postgres_->apply_limits(*limits);
-  if (limits && mongo_)
-    mongo_->apply_limits(*limits);
+                                      config::to_endpoints(endpoints.mongo()));
+}
+
+void Gateway::apply_limits(const config::pb::Limits& limits) {
+  postgres_->apply_limits(limits);
+  if (mongo_)
+    mongo_->apply_limits(limits);
 }
 
 void Gateway::run() {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -53,9 +53,11 @@
   /// Applies what the operators' file alone decides: the log's format and the SQL classifier.
   void apply_file(const config::pb::Gateway& file);
 
-  /// Applies a version of the configuration; null stands for what has not changed.
-  void apply_version(const config::pb::Contracts* contracts, const config::pb::Members* endpoints,
-                     const config::pb::Limits* limits);
+  /// Puts changed contracts, endpoints and limits in force.
+  void apply_update(const control_plane::ConfigurationUpdate& update);
+  void apply_contracts(const config::pb::Contracts& contracts);
+  void apply_endpoints(const config::pb::Members& endpoints);
+  void apply_limits(const config::pb::Limits& limits);
 
   Plan plan_;
   net::MainLoopHandle loop_;
