--- a/fuzz/control.cpp
+++ b/fuzz/control.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::size_t kFramingPieceBytes = 7;
 constexpr std::size_t kHttp2PieceBytes = 64;
-constexpr std::int64_t kTimePerPiece = 1'000'000;
+constexpr Duration kTimePerPiece = 1ms;
 
 config::ValidationContext make_site() {
   config::ValidationContext site;
@@ -54,7 +54,7 @@
     const auto response = xds::decode_response(bytes, site_);
     if (!response)
       return;
-    ++now_;
+    now_ += 1ns;
     actions_.clear();
     tracker_.on_response(now_, response.value(), actions_);
     for (const config_versions::Action& action : actions_)
@@ -70,8 +70,9 @@
       return;
     if (validate(applied->bodies))
       std::abort();
-    config::to_contract_set(xds::contracts_of(applied->bodies[0]), site_.classes);
-    config::to_endpoints(xds::members_of(applied->bodies[1]).postgres());
+    static_cast<void>(
+        config::to_contract_set(xds::contracts_of(applied->bodies[0]), site_.classes));
+    static_cast<void>(config::to_endpoints(xds::members_of(applied->bodies[1]).postgres()));
   }
 
   [[nodiscard]] std::optional<config_versions::ValidationError>
@@ -89,7 +90,7 @@
   config::ValidationContext site_ = make_site();
   config_versions::VersionTracker tracker_;
   config_versions::Actions actions_;
-  TimePoint now_ = 1;
+  TimePoint now_{1ns};
 };
 
 void feed_frames(std::string_view bytes, CheckedTracker& tracker) {
@@ -111,7 +112,7 @@
   grpc::Session session("127.0.0.1:1", xds::kAggregatedStreamPath);
   discard_output(session);
   std::string message;
-  std::int64_t now = 0;
+  TimePoint now{};
   for (std::size_t at = 0; at < bytes.size() && !session.error(); at += kHttp2PieceBytes) {
     now += kTimePerPiece;
     session.receive(bytes.substr(at, kHttp2PieceBytes), now);
