--- a/src/leases/lease_client.cpp
+++ b/src/leases/lease_client.cpp
@@ -98,8 +98,8 @@
   held_leases_ = std::move(new_leases);
 }
 
-void LeaseClient::leave(ClientActions& actions) {
-  state_ = State::Left;
+void LeaseClient::resign(ClientActions& actions) {
+  state_ = State::Resigned;
   for (const auto& [role, lease] : held_leases_)
     actions.emplace_back(LeaseLost{role, lease.token, LossReason::Released});
   held_leases_.clear();
--- a/src/leases/lease_client.h
+++ b/src/leases/lease_client.h
@@ -48,7 +48,7 @@
   void tick(TimePoint now, ClientActions& actions);
   void handle_response(TimePoint now, const LeaseResponse& response, ClientActions& actions);
   /// Gives up all roles at once, for good.
-  void leave(ClientActions& actions);
+  void resign(ClientActions& actions);
 
   [[nodiscard]] TimePoint next_deadline() const { return deadline_; }
 
@@ -58,7 +58,7 @@
                                                         const std::string& role) const;
 
 private:
-  enum class State { Active, Left };
+  enum class State { Active, Resigned };
 
   struct HeldLease {
     FencingToken token = 0;
--- a/src/leases/lease_manager.cpp
+++ b/src/leases/lease_manager.cpp
@@ -62,9 +62,9 @@
   gateway.zone = request.zone;
   gateway.last_request_at = now;
   // An incarnation that left does not come back; requests that arrive late change nothing.
-  if (request.is_leaving || gateway.state == GatewayState::Leaving) {
-    gateway.state = GatewayState::Leaving;
-    return release_roles_of(now, request.holder);
+  if (request.has_resigned || gateway.state == GatewayState::Resigned) {
+    gateway.state = GatewayState::Resigned;
+    return expire_leases_of(now, request.holder);
   }
   const bool misses_responses = request.number > request.last_response + kMaxUnansweredRequests;
   gateway.state = misses_responses ? GatewayState::MissesResponses : GatewayState::Responsive;
@@ -76,7 +76,7 @@
   deadline_ = std::min(deadline_, now + settings_.lease_duration / 50);
 }
 
-void LeaseManager::release_roles_of(TimePoint now, const std::string& holder) {
+void LeaseManager::expire_leases_of(TimePoint now, const std::string& holder) {
   pending_requests_.erase(holder);
   for (auto& [role, lease] : leases_)
     if (table_->grant_of(role).holder == holder)
@@ -224,9 +224,9 @@
     if (is_available(now, grant.holder))
       return;
     const auto holder = gateways_.find(grant.holder);
-    const bool has_left =
-        holder != gateways_.end() && holder->second.state == GatewayState::Leaving;
-    if (!grant.holder.empty() && !has_left)
+    const bool has_resigned =
+        holder != gateways_.end() && holder->second.state == GatewayState::Resigned;
+    if (!grant.holder.empty() && !has_resigned)
       record_lapse(now, grant.holder);
   }
   const std::optional<std::string> successor = choose_successor(now, role, lease);
--- a/src/leases/lease_manager.h
+++ b/src/leases/lease_manager.h
@@ -80,7 +80,7 @@
   enum class GatewayState {
     Responsive,
     MissesResponses,  ///< It sends requests and does not receive the responses.
-    Leaving,          ///< Final for this incarnation.
+    Resigned,         ///< Final for this incarnation.
   };
 
   struct Gateway {
@@ -120,7 +120,7 @@
     return settings_.lease_duration + settings_.max_clock_drift();
   }
 
-  void release_roles_of(TimePoint now, const std::string& holder);
+  void expire_leases_of(TimePoint now, const std::string& holder);
   [[nodiscard]] LeaseResponse renew(const PendingRequest& pending);
   [[nodiscard]] bool is_available(TimePoint now, const std::string& holder) const;
   [[nodiscard]] std::optional<std::string> least_loaded_gateway(TimePoint now,
--- a/src/leases/messages.h
+++ b/src/leases/messages.h
@@ -40,7 +40,7 @@
   std::string zone;
   std::uint64_t number = 0;         ///< Grows from 1.
   std::uint64_t last_response = 0;  ///< The newest request that was answered.
-  bool is_leaving = false;          ///< The sender has given up all roles and accepts none.
+  bool has_resigned = false;        ///< The sender has given up all roles and accepts none.
 };
 
 struct LeaseResponse {
--- a/tests/fleet/event_digest.cpp
+++ b/tests/fleet/event_digest.cpp
@@ -161,7 +161,7 @@
     add(request->zone);
     add(request->number);
     add(request->last_response);
-    add(request->is_leaving);
+    add(request->has_resigned);
   } else if (const auto* acquired = std::get_if<leases::LeaseAcquired>(&action)) {
     add(acquired->role);
     add(acquired->token);
