--- a/fuzz/control.cpp
+++ b/fuzz/control.cpp
@@ -95,11 +95,13 @@
 
 void feed_frames(std::string_view bytes, CheckedTracker& tracker) {
   grpc::MessageReader reader;
-  std::string message;
   for (std::size_t at = 0; at < bytes.size(); at += kFramingPieceBytes) {
     reader.feed(bytes.substr(at, kFramingPieceBytes));
-    while (reader.next(message) == grpc::MessageReader::Status::Complete)
-      tracker.receive_message(message);
+    auto message = reader.next();
+    while (message && message.value()) {
+      tracker.receive_message(*message.value());
+      message = reader.next();
+    }
   }
 }
 
@@ -111,13 +113,12 @@
 void feed_http2(std::string_view bytes, CheckedTracker& tracker) {
   grpc::Session session("127.0.0.1:1", xds::kAggregatedStreamPath);
   discard_output(session);
-  std::string message;
   TimePoint now{};
   for (std::size_t at = 0; at < bytes.size() && !session.error(); at += kHttp2PieceBytes) {
     now += kTimePerPiece;
     session.receive(bytes.substr(at, kHttp2PieceBytes), now);
-    while (session.next_message(message))
-      tracker.receive_message(message);
+    while (const auto message = session.next_message())
+      tracker.receive_message(*message);
     discard_output(session);
   }
 }
--- a/src/grpc/channel.cpp
+++ b/src/grpc/channel.cpp
@@ -52,7 +52,7 @@
   write_output();
 }
 
-// What the kernel does not accept stays in the session until the connection has been flushed.
+// Output that the kernel does not accept stays in the session until the connection is flushed.
 void Channel::write_output() {
   while (session_ && stream_ && stream_->all_written()) {
     const std::string_view bytes = session_->next_output();
@@ -63,13 +63,16 @@
 }
 
 void Channel::received() {
-  const auto session = session_;  // a message may close the channel, or open it anew
+  const auto session = session_;  // an event handler may close the channel, or open it anew
   session->receive(stream_->input().view(), net::now());
   stream_->input().consume(stream_->input().size());
   events_.on_bytes_received();
-  std::string message;
-  while (session_ == session && session->next_message(message))
-    events_.on_message(message);
+  while (session_ == session) {
+    const std::optional<std::string> message = session->next_message();
+    if (!message)
+      break;
+    events_.on_message(*message);
+  }
   if (session_ != session)
     return;
   write_output();
--- a/src/grpc/channel.h
+++ b/src/grpc/channel.h
@@ -34,7 +34,7 @@
     /// The connection is established, and the call is submitted.
     virtual void on_connected() = 0;
 
-    /// Bytes came, of whatever kind.
+    /// Bytes arrived, whether or not they complete a message.
     virtual void on_bytes_received() = 0;
 
     virtual void on_message(std::string_view message) = 0;
--- /dev/null
+++ b/src/grpc/frame_rate_limiter.cpp
@@ -0,0 +1,19 @@
+#include "frame_rate_limiter.h"
+
+#include <utility>
+
+namespace gorsebeam::grpc {
+
+FrameRateLimiter::Verdict FrameRateLimiter::count_control_frame(TimePoint now) {
+  if (now - second_started_at_ >= 1s) {
+    second_started_at_ = now;
+    control_frames_ = 0;
+    previous_data_frames_ = std::exchange(data_frames_, 0);
+  }
+  ++control_frames_;
+  const int permitted = kMaxControlFramesPerSecond +
+                        kControlFramesPerDataFrame * (data_frames_ + previous_data_frames_);
+  return control_frames_ <= permitted ? Verdict::WithinLimit : Verdict::LimitExceeded;
+}
+
+}  // namespace gorsebeam::grpc
--- a/src/grpc/message_framing.cpp
+++ b/src/grpc/message_framing.cpp
@@ -1,6 +1,7 @@
 #include "message_framing.h"
 
 #include <cstdint>
+#include <utility>
 
 namespace gorsebeam::grpc {
 namespace {
@@ -34,30 +35,31 @@
   return "";
 }
 
-MessageReader::Status MessageReader::next(std::string& message) {
+common::Result<std::optional<std::string>, FramingError> MessageReader::next() {
+  const std::optional<std::string> incomplete;
   if (error_)
-    return Status::Malformed;
+    return *error_;
   if (bytes_.empty())
-    return Status::Incomplete;
+    return incomplete;
   if (bytes_[0] != kUncompressed)
     return fail(FramingError::CompressedMessage);
   if (bytes_.size() < kPrefixSize)
-    return Status::Incomplete;
+    return incomplete;
   const std::uint32_t size = message_size(bytes_);
   if (size > kMaxMessageBytes)
     return fail(FramingError::MessageTooLong);
   if (bytes_.size() < kPrefixSize + size)
-    return Status::Incomplete;
-  message.assign(bytes_, kPrefixSize, size);
+    return incomplete;
+  std::optional<std::string> message(bytes_.substr(kPrefixSize, size));
   bytes_.erase(0, kPrefixSize + size);
   if (bytes_.empty())
-    std::string().swap(bytes_);  // an idle stream holds no memory
-  return Status::Complete;
+    std::string().swap(bytes_);  // an idle stream allocates no memory
+  return common::Result<std::optional<std::string>, FramingError>(std::move(message));
 }
 
-MessageReader::Status MessageReader::fail(FramingError error) {
+FramingError MessageReader::fail(FramingError error) {
   error_ = error;
-  return Status::Malformed;
+  return error;
 }
 
 }  // namespace gorsebeam::grpc
--- /dev/null
+++ b/tests/grpc_session_parts_test.cpp
@@ -0,0 +1,96 @@
+// The pure parts of a gRPC session: response headers, the bound on control frames and the send
+// buffer.
+
+#include "grpc/frame_rate_limiter.h"
+#include "grpc/message_framing.h"
+#include "grpc/response_headers.h"
+#include "grpc/send_buffer.h"
+
+#include <gtest/gtest.h>
+
+#include <array>
+#include <cstdint>
+#include <string>
+
+namespace gorsebeam::grpc {
+namespace {
+
+using Verdict = FrameRateLimiter::Verdict;
+
+/// Counts control frames until one is over the limit; returns the number within it.
+int count_accepted_control_frames(FrameRateLimiter& limiter, TimePoint now) {
+  int accepted = 0;
+  while (limiter.count_control_frame(now) == Verdict::WithinLimit)
+    ++accepted;
+  return accepted;
+}
+
+TEST(FrameRateLimiter, PermitsMoreControlFramesWithEachDataFrame) {
+  FrameRateLimiter limiter;
+  limiter.count_data_frame();
+  limiter.count_data_frame();
+
+  // The first control frame begins a second; the data frames then count as those of the one before.
+  const int accepted = count_accepted_control_frames(limiter, TimePoint(1s));
+
+  EXPECT_EQ(accepted, kMaxControlFramesPerSecond + 2 * kControlFramesPerDataFrame);
+}
+
+TEST(FrameRateLimiter, StartsAgainWithEachSecondAndForgetsOlderDataFrames) {
+  FrameRateLimiter limiter;
+  limiter.count_data_frame();
+  count_accepted_control_frames(limiter, TimePoint(1s));
+
+  EXPECT_EQ(count_accepted_control_frames(limiter, TimePoint(2s)), kMaxControlFramesPerSecond);
+}
+
+TEST(SendBuffer, ReadsFramedMessagesInPieces) {
+  SendBuffer buffer;
+  buffer.append("first");
+  buffer.append("");
+  const std::string expected = frame_message("first") + frame_message("");
+  EXPECT_EQ(buffer.size(), expected.size());
+
+  std::string read;
+  std::array<std::uint8_t, 4> piece{};
+  while (const std::size_t size = buffer.read(piece.data(), piece.size()))
+    read.append(reinterpret_cast<const char*>(piece.data()), size);
+
+  EXPECT_EQ(read, expected);
+  EXPECT_EQ(buffer.size(), 0U);
+}
+
+TEST(ResponseHeaders, AcceptAGrpcResponse) {
+  ResponseHeaders headers;
+  headers.add(":status", "200");
+  headers.add("content-type", "application/grpc+proto");
+
+  EXPECT_FALSE(headers.validate());
+}
+
+TEST(ResponseHeaders, RejectOtherStatusesAndContentTypes) {
+  ResponseHeaders headers;
+  headers.add(":status", "200");
+  headers.add("content-type", "text/html");
+  ASSERT_TRUE(headers.validate());
+  EXPECT_EQ(headers.validate()->code, SessionError::Code::NotGrpc);
+
+  headers.add(":status", "503");
+  EXPECT_EQ(headers.validate()->code, SessionError::Code::HttpStatus);
+  EXPECT_EQ(headers.validate()->message, "it answers with HTTP status 503");
+}
+
+TEST(ResponseHeaders, GiveTheReasonForTheEndOfTheCall) {
+  ResponseHeaders headers;
+  EXPECT_EQ(headers.call_ended_error("NO_ERROR").message, "it ended the call, NO_ERROR");
+
+  headers.add("grpc-status", "14");
+  EXPECT_EQ(headers.call_ended_error("NO_ERROR").message, "it ended the call with status 14");
+
+  headers.add("grpc-message", std::string(2 * kMaxHeaderValueBytes, 'x'));
+  EXPECT_EQ(headers.call_ended_error("NO_ERROR").message,
+            "it ended the call with status 14: " + std::string(kMaxHeaderValueBytes, 'x'));
+}
+
+}  // namespace
+}  // namespace gorsebeam::grpc
--- a/tests/message_framing_test.cpp
+++ b/tests/message_framing_test.cpp
@@ -3,53 +3,67 @@
 #include <gtest/gtest.h>
 
 #include <cstddef>
+#include <optional>
 #include <string>
 #include <vector>
 
 namespace gorsebeam::grpc {
 namespace {
 
-using Status = MessageReader::Status;
+using Message = std::optional<std::string>;
+
+/// Expects that the reader returns `expected` now and at each later call.
+void expect_final_error(MessageReader& reader, FramingError expected) {
+  for (int call = 0; call < 2; ++call) {
+    const auto message = reader.next();
+    ASSERT_FALSE(message) << "call " << call;
+    EXPECT_EQ(message.error(), expected) << "call " << call;
+  }
+  EXPECT_EQ(reader.error(), expected);
+}
 
 TEST(MessageReader, AssemblesMessagesFromSingleBytes) {
   MessageReader reader;
-  std::string message;
   const std::string bytes =
       frame_message("first") + frame_message("") + frame_message(std::string(70'000, 'x'));
   std::vector<std::size_t> sizes;
+
   for (const char byte : bytes) {
     reader.feed({&byte, 1});
-    while (reader.next(message) == Status::Complete)
-      sizes.push_back(message.size());
+    for (auto message = reader.next(); message && message.value(); message = reader.next())
+      sizes.push_back(message.value()->size());
   }
+
   EXPECT_EQ(sizes, (std::vector<std::size_t>{5, 0, 70'000}));
   EXPECT_TRUE(reader.is_between_messages());
 }
 
 TEST(MessageReader, WaitsForMessageOfMaximumSize) {
   MessageReader reader;
-  std::string message;
+
   reader.feed({"\0\0\x40\0\0", 5});  // 4 MiB
-  EXPECT_EQ(reader.next(message), Status::Incomplete);
+  const auto message = reader.next();
+
+  ASSERT_TRUE(message);
+  EXPECT_EQ(message.value(), Message());
   EXPECT_FALSE(reader.is_between_messages());
 }
 
-// The reader allocates nothing for such a message and stays in this state.
+// The reader allocates nothing for such a message.
 TEST(MessageReader, RejectsLengthAboveMaximum) {
   MessageReader reader;
-  std::string message;
+
   reader.feed({"\0\0\x40\0\1", 5});
-  EXPECT_EQ(reader.next(message), Status::Malformed);
-  EXPECT_EQ(reader.next(message), Status::Malformed);
-  EXPECT_EQ(reader.error(), FramingError::MessageTooLong);
+
+  expect_final_error(reader, FramingError::MessageTooLong);
 }
 
 TEST(MessageReader, RejectsCompressedMessage) {
   MessageReader reader;
-  std::string message;
+
   reader.feed({"\1", 1});
-  EXPECT_EQ(reader.next(message), Status::Malformed);
-  EXPECT_EQ(reader.error(), FramingError::CompressedMessage);
+
+  expect_final_error(reader, FramingError::CompressedMessage);
 }
 
 }  // namespace
