--- a/src/xds/discovery_codec.cpp
+++ b/src/xds/discovery_codec.cpp
@@ -21,55 +21,62 @@
   return {RejectionError::Code::InvalidResponse, std::move(message)};
 }
 
-// Reads resource `index` of the response into `resource`, and checks all that can be checked
-// without the others.
+// Parses one resource and checks it without the others.
 template <typename Message>
-std::optional<std::string> parse_resource(const google::protobuf::Any& any,
-                                          const std::string& type_url, Message& resource) {
+common::Result<Message, RejectionError> parse_resource(const google::protobuf::Any& any,
+                                                       const std::string& type_url,
+                                                       const std::string& place) {
   if (any.type_url() != type_url)
-    return "is of type " + any.type_url() + ", not of the response's";
+    return invalid_response(place + "is of type " + any.type_url() + ", not of the response's");
+  Message resource;
   if (!resource.ParseFromString(any.value()))
-    return "cannot be read";
+    return invalid_response(place + "cannot be read");
   if (const auto unknown = config::validate_no_unknown_fields(resource))
-    return unknown->to_string();
-  return std::nullopt;
+    return invalid_response(place + unknown->to_string());
+  return common::Result<Message, RejectionError>(std::move(resource));
 }
 
-// Merges all resources of a type into one set, which has one generation.
+// Merges all resources of a response into one message, which has one generation. There is at least
+// one resource; if there is one alone, it is moved and not copied.
 template <typename Message>
-std::optional<RejectionError> merge_resources(const v3::DiscoveryResponse& response,
-                                              DiscoveryResponse& decoded, Message& merged) {
+common::Result<Message, RejectionError> merge_resources(const v3::DiscoveryResponse& response,
+                                                        const std::string& type_url) {
+  std::optional<Message> merged;
   for (int i = 0; i < response.resources_size(); ++i) {
     const std::string place = "resource " + std::to_string(i + 1) + ": ";
-    const bool is_first = i == 0;
-    Message later;
-    Message& resource = is_first ? merged : later;  // a set in one resource is not copied
-    if (const auto error = parse_resource(response.resources(i), decoded.type_url, resource))
-      return invalid_response(place + *error);
-    if (is_first) {
-      decoded.generation = resource.generation();
-      decoded.rolls_back = resource.rolls_back();
+    auto parsed = parse_resource<Message>(response.resources(i), type_url, place);
+    if (!parsed)
+      return parsed.error();
+    Message& resource = parsed.value();
+    if (!merged) {
+      merged = std::move(resource);
       continue;
     }
-    if (resource.generation() != decoded.generation || resource.rolls_back() != decoded.rolls_back)
+    if (resource.generation() != merged->generation() ||
+        resource.rolls_back() != merged->rolls_back())
       return invalid_response(place +
                               "is of another generation than the first; a response holds one");
-    merged.MergeFrom(resource);
+    merged->MergeFrom(resource);
   }
-  return std::nullopt;
+  return std::move(*merged);
 }
 
+// Fills the content of `decoded`, or its error.
 template <typename Message>
 void decode_resources(const v3::DiscoveryResponse& response, const config::ValidationContext& site,
                       DiscoveryResponse& decoded) {
-  auto merged = std::make_shared<Message>();
-  decoded.error = merge_resources(response, decoded, *merged);
-  if (decoded.error)
+  auto merged = merge_resources<Message>(response, decoded.type_url);
+  if (!merged) {
+    decoded.error = merged.error();
     return;
-  if (const auto fault = config::validate_resource(*merged, site))
+  }
+  const auto body = std::make_shared<const Message>(std::move(merged.value()));
+  if (const auto fault = config::validate_resource(*body, site))
     decoded.error = invalid_response(fault->to_string());
-  decoded.content_hash = content_hash(*merged);
-  decoded.body = std::move(merged);
+  decoded.generation = body->generation();
+  decoded.rolls_back = body->rolls_back();
+  decoded.content_hash = content_hash(*body);
+  decoded.body = body;
 }
 
 std::optional<ResourceType> find_type(const std::string& url) {
--- a/src/xds/discovery_codec.h
+++ b/src/xds/discovery_codec.h
@@ -7,6 +7,7 @@
 #include "config/validation.h"
 #include "config_versions/configuration.h"
 
+#include <cstddef>
 #include <string>
 #include <string_view>
 
@@ -16,34 +17,35 @@
 constexpr const char* kAggregatedStreamPath =
     "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
 
-/// Resources of one response; one with more is rejected.
+/// Number of resources that one response may hold.
 constexpr int kMaxResources = 1000;
 
-/// Bytes of a type URL, version or nonce that are kept of a response.
+/// Bytes of the type URL, the version and the nonce of a response that are stored; the rest is cut
+/// off.
 constexpr std::size_t kMaxIdentifierBytes = 200;
 
-/// Bytes of an error that are sent back in a NACK.
+/// Bytes of an error that are sent in a NACK; the rest is cut off.
 constexpr std::size_t kMaxErrorDetailBytes = 2000;
 
-/// How the gateway names itself on the first request of each type on a stream.
+/// Identifies the gateway in the first request of each type on a stream.
 struct NodeIdentity {
   std::string id;
   std::string cluster;
 };
 
-/// States why bytes are no response at all; the stream is of no further use.
+/// States why bytes are not a response at all; the stream must be closed.
 struct DecodeError {
   enum class Code { NotADiscoveryResponse };
 
   Code code = Code::NotADiscoveryResponse;
 };
 
-/// Decodes a response and checks its resources by themselves, against `site`. A response whose
-/// content is wrong is a value, with its `error` set, as it must be answered by a NACK.
+/// Decodes a response and validates its resources against `site`, without those of other types. A
+/// response with invalid content is a value with its `error` set, as it must be answered by a NACK.
 [[nodiscard]] common::Result<config_versions::DiscoveryResponse, DecodeError>
 decode_response(std::string_view bytes, const config::ValidationContext& site);
 
-/// Encodes a request. The node is sent with subscriptions alone, which start a stream.
+/// Encodes a request. Only a subscription, which is the first request of a type, holds the node.
 [[nodiscard]] std::string encode_request(const config_versions::DiscoveryRequest& request,
                                          const NodeIdentity& node);
 
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -14,7 +14,7 @@
   return "type.googleapis.com/" + Message::descriptor()->full_name();
 }
 
-// Map fields have no order of their own; a deterministic serialization gives them one.
+// The order of map fields is undefined; the deterministic serialization sorts them.
 std::string serialize_deterministically(const google::protobuf::Message& message) {
   std::string bytes;
   {
