--- a/src/snapshot_store/async_snapshot_writer.h
+++ b/src/snapshot_store/async_snapshot_writer.h
@@ -1,4 +1,4 @@
-/// Writes snapshots in the background, as a disk may stall.
+/// Writes snapshots in another thread, so that a slow disk does not stall the main loop.
 #pragma once
 
 #include "snapshot_error.h"
@@ -9,9 +9,9 @@
 
 namespace gorsebeam::snapshot_store {
 
-/// Writes in GLib's thread pool, one snapshot at a time; of those that are requested meanwhile only
-/// the newest is written. All functions and the callback run on the main loop's thread. A write
-/// that is under way when the writer is destroyed goes on, and reports to nobody.
+/// Writes in GLib's thread pool, one snapshot at a time. Of the snapshots that are requested during
+/// a write, only the newest is written next. All functions and the callback run on the main loop's
+/// thread. A write that is in progress when the writer is destroyed continues, without a callback.
 class AsyncSnapshotWriter {
 public:
   /// Receives the error of each write, or nothing on success.
@@ -23,7 +23,7 @@
   AsyncSnapshotWriter(const AsyncSnapshotWriter&) = delete;
   AsyncSnapshotWriter& operator=(const AsyncSnapshotWriter&) = delete;
 
-  /// Writes `bytes` as the snapshot of `folder`, after the write that is under way.
+  /// Writes `bytes` as the snapshot of `folder`, after the write that is in progress.
   void write(const std::string& folder, std::string bytes);
 
 private:
--- a/src/snapshot_store/snapshot_codec.cpp
+++ b/src/snapshot_store/snapshot_codec.cpp
@@ -27,8 +27,8 @@
   return {reinterpret_cast<const char*>(canonical.digest), sizeof canonical.digest};
 }
 
-/// Returns the accepted version of one type, nothing if the snapshot does not hold it, or why it is
-/// not valid.
+// Returns the accepted version of one type, nothing if the snapshot does not hold it, or why it is
+// not valid.
 template <typename Message>
 common::Result<std::optional<AcceptedVersion>, SnapshotError>
 validate_part(const state::v1::Part& part, const Message& value,
@@ -51,17 +51,16 @@
   return std::optional<AcceptedVersion>(std::move(accepted));
 }
 
-/// Returns whether a control service set the type, and fills `part` if so.
-bool fill_part(const AcceptedVersion& accepted, state::v1::Part& part) {
-  if (accepted.running.is_from_file())
-    return false;
+// Converts an accepted version without its content.
+state::v1::Part make_part(const AcceptedVersion& accepted) {
+  state::v1::Part part;
   part.set_held(true);
   part.set_version(accepted.running.version);
   part.set_source(accepted.running.source);
   part.set_accepted_unix_ms(accepted.running.accepted_at.time_since_epoch() / 1ms);
   part.set_generation(accepted.running.generation);
   part.set_newest(accepted.newest_generation);
-  return true;
+  return part;
 }
 
 }  // namespace
@@ -95,12 +94,22 @@
   const AcceptedVersion& limits = tracker.accepted(ResourceType::Limits);
   state::v1::LastGood snapshot;
   snapshot.set_schema(kSchema);
-  if (fill_part(contracts, *snapshot.mutable_contracts()))
+  // The parts are written even if they are empty.
+  state::v1::Part& contracts_part = *snapshot.mutable_contracts();
+  state::v1::Part& members_part = *snapshot.mutable_members();
+  state::v1::Part& limits_part = *snapshot.mutable_limits();
+  if (!contracts.running.is_from_file()) {
+    contracts_part = make_part(contracts);
     *snapshot.mutable_contracts_value() = xds::contracts_of(contracts.running.body);
-  if (fill_part(members, *snapshot.mutable_members()))
+  }
+  if (!members.running.is_from_file()) {
+    members_part = make_part(members);
     *snapshot.mutable_members_value() = xds::members_of(members.running.body);
-  if (fill_part(limits, *snapshot.mutable_limits()))
+  }
+  if (!limits.running.is_from_file()) {
+    limits_part = make_part(limits);
     *snapshot.mutable_limits_value() = xds::limits_of(limits.running.body);
+  }
   return snapshot;
 }
 
--- a/src/snapshot_store/snapshot_error.h
+++ b/src/snapshot_store/snapshot_error.h
@@ -5,20 +5,21 @@
 
 namespace gorsebeam::snapshot_store {
 
+/// States why a snapshot cannot be used or written.
 struct SnapshotError {
   enum class Code {
     /// There is no snapshot file.
     NotFound,
     /// The path is no regular file, or larger than `kMaxSnapshotBytes`.
     NotASnapshotFile,
-    /// The file does not begin as a snapshot does.
+    /// The file does not begin with the header of a snapshot.
     InvalidHeader,
     ChecksumMismatch,
-    /// The checksum is right and the message cannot be parsed.
+    /// The checksum is correct and the message cannot be parsed.
     Unparsable,
     /// The snapshot was written by a newer program.
     UnsupportedSchema,
-    /// The content is not valid with the present configuration of the platform.
+    /// The content is not valid with the current configuration of the platform.
     InvalidContent,
     /// A system call failed.
     SystemError,
--- a/src/snapshot_store/snapshot_file.cpp
+++ b/src/snapshot_store/snapshot_file.cpp
@@ -18,7 +18,7 @@
 
 constexpr mode_t kSnapshotMode = 0640;
 
-/// Owns a descriptor; negative if the file could not be opened.
+/// Owns a file descriptor, which is negative if the file could not be opened.
 class FileDescriptor {
 public:
   FileDescriptor(const std::string& path, int flags)
@@ -40,7 +40,7 @@
   int descriptor_;
 };
 
-/// Describes the error of the last system call.
+// Describes the error of the last system call.
 SnapshotError system_error(const std::string& path) {
   return {Code::SystemError, path + ": " + std::strerror(errno)};
 }
--- a/src/snapshot_store/snapshot_file.h
+++ b/src/snapshot_store/snapshot_file.h
@@ -1,4 +1,4 @@
-/// Reads and writes the snapshot file of an operator's state folder. The functions block on the
+/// Reads and writes the snapshot file of the operators' state folder. The functions block on the
 /// disk.
 #pragma once
 
@@ -25,8 +25,9 @@
 [[nodiscard]] common::Result<state::v1::LastGood, SnapshotError>
 load_snapshot(const std::string& folder);
 
-/// Replaces the snapshot of `folder` by `bytes`, all or nothing: it writes a temporary file beside
-/// it, syncs it, renames it, and syncs the folder. Returns a SystemError, or nothing on success.
+/// Replaces the snapshot of `folder` by `bytes` atomically: it writes a temporary file in the
+/// folder, syncs it, renames it, and syncs the folder. Returns a SystemError, or nothing on
+/// success.
 [[nodiscard]] std::optional<SnapshotError> save_snapshot(const std::string& folder,
                                                          const std::string& bytes);
 
