--- a/src/raft/messages.h
+++ b/src/raft/messages.h
@@ -11,24 +11,24 @@
 
 namespace gorsebeam::raft {
 
-/// Sent by a node that found no persistent state: has the receiver ever taken part?
+/// Asks whether the state of the receiver is empty. Sent by a node that found no persistent state.
 struct RecoveryQuery {
-  std::uint64_t attempt = 0;  ///< Tells this start of the sender from earlier ones.
+  std::uint64_t attempt = 0;  ///< Distinguishes this start of the sender from earlier ones.
 };
 
 struct RecoveryReply {
   std::uint64_t attempt = 0;     ///< Of the query.
-  bool has_empty_state = false;  ///< The sender never left term 0 and holds no log entry.
+  bool has_empty_state = false;  ///< The sender is in term 0 and holds no log entry.
 };
 
-/// Would the receiver vote for the sender? (Raft thesis, section 9.6). The message's term is the
-/// one that the sender would start.
+/// Asks whether the receiver would vote for the sender (Raft thesis, section 9.6). The term of the
+/// message is the one that the sender would start.
 struct PreVoteRequest {
   Index last_log_index = 0;
   Term last_log_term = 0;
 };
 
-/// If granted, the message's term is that of the request; else the sender's own.
+/// The term of the message is that of the request if the vote is granted, otherwise the sender's.
 struct PreVoteResponse {
   bool granted = false;
 };
@@ -48,19 +48,21 @@
   Term previous_log_term = 0;
   std::vector<LogEntry> entries;
   Index leader_commit = 0;
-  std::uint64_t heartbeat_round =
-      0;  ///< Grows with each round of the leader; the response echoes it.
+  /// Grows with each round of the leader; the response repeats it.
+  std::uint64_t heartbeat_round = 0;
 };
 
 /// Answers AppendEntriesRequest and InstallSnapshotRequest.
 struct AppendEntriesResponse {
   bool success = false;
-  /// On success, the last entry known to agree with the leader's log; else where to continue from.
+  /// On success, the last entry that is known to agree with the leader's log; otherwise the entry
+  /// after which the leader continues.
   Index match_index = 0;
   std::uint64_t heartbeat_round = 0;
 };
 
-/// Raft thesis, section 5.1; the snapshot is small and goes in one message.
+/// Replaces the receiver's log by a snapshot (Raft thesis, section 5.1), which is small and is sent
+/// in one message.
 struct InstallSnapshotRequest {
   Snapshot snapshot;
   std::uint64_t heartbeat_round = 0;
@@ -73,7 +75,7 @@
 struct Message {
   std::string from;
   std::string to;
-  Term term = 0;  ///< The sender's, but for pre-votes.
+  Term term = 0;  ///< The sender's, except in pre-votes.
   MessageBody body;
 };
 
--- a/src/raft/node.cpp
+++ b/src/raft/node.cpp
@@ -5,17 +5,16 @@
 namespace gorsebeam::raft {
 
 Node::Node(Settings settings, std::optional<PersistentState> stored)
-    : settings_(std::move(settings)), state_was_empty_(!stored.has_value()),
-      random_(settings_.random_seed) {
+    : settings_(std::move(settings)), found_no_state_(!stored.has_value()),
+      persistence_(stored ? stored->last_log_index() : 0), random_(settings_.random_seed) {
   if (stored)
     state_ = std::move(*stored);
   commit_index_ = state_.snapshot.index;
   last_applied_ = state_.snapshot.index;
-  persisted_log_index_ = state_.last_log_index();
 }
 
 void Node::start(TimePoint now, Actions& actions) {
-  if (state_was_empty_)
+  if (found_no_state_)
     return become_recovering(now, actions);
   if (state_.snapshot.index > 0)
     actions.push_back(RestoreSnapshot{state_.snapshot});
@@ -38,21 +37,10 @@
 }
 
 void Node::send_after_persist(Message message, Actions& actions) {
-  const std::uint64_t required = state_changed_ ? issued_persist_ + 1 : issued_persist_;
-  if (is_persisted(required))
-    return send(std::move(message), actions);
-  if (storage_failed_)
-    return;
-  // To bound memory, two messages of a type to a receiver are kept: the oldest, which can be sent
-  // first, and the newest.
-  const auto has_same_type = [&](const HeldMessage& held) {
-    return held.message.body.index() == message.body.index() && held.message.to == message.to;
-  };
-  const auto newest = std::find_if(held_messages_.rbegin(), held_messages_.rend(), has_same_type);
-  if (std::count_if(held_messages_.begin(), held_messages_.end(), has_same_type) >= 2)
-    *newest = {required, std::move(message)};
+  if (persistence_.is_persisted(persistence_.required_write()))
+    send(std::move(message), actions);
   else
-    held_messages_.push_back({required, std::move(message)});
+    persistence_.hold(std::move(message));
 }
 
 void Node::send_to_others(const MessageBody& body, Actions& actions) {
@@ -62,31 +50,13 @@
 }
 
 void Node::persist_if_changed(Actions& actions) {
-  if (!state_changed_)
-    return;
-  state_changed_ = false;
-  ++issued_persist_;
-  pending_persists_.push_back({issued_persist_, state_.last_log_index()});
-  actions.push_back(PersistState{issued_persist_, state_});
+  if (const auto number = persistence_.start_write(state_.last_log_index()))
+    actions.push_back(PersistState{*number, state_});
 }
 
-void Node::handle_persisted(TimePoint now, std::uint64_t number, Actions& actions) {
-  persisted_number_ = std::max(persisted_number_, std::min(number, issued_persist_));
-  while (!pending_persists_.empty() && pending_persists_.front().number <= persisted_number_) {
-    persisted_log_index_ = pending_persists_.front().last_log_index;
-    pending_persists_.pop_front();
-  }
-  if (storage_failed_)
-    persist_retry_at_ = kNever;
-  storage_failed_ = false;
-  std::vector<HeldMessage> still_held;
-  for (HeldMessage& held : held_messages_) {
-    if (held.required_persist <= persisted_number_)
-      send(std::move(held.message), actions);
-    else
-      still_held.push_back(std::move(held));
-  }
-  held_messages_ = std::move(still_held);
+void Node::handle_persisted(TimePoint now, WriteNumber number, Actions& actions) {
+  for (Message& message : persistence_.finish_writes(number))
+    send(std::move(message), actions);
   if (is_campaigning())
     advance_election(now, actions);
   if (role_ == Role::Leader)
@@ -95,10 +65,7 @@
 }
 
 void Node::handle_persist_failure(TimePoint now, Actions& actions) {
-  storage_failed_ = true;
-  // What they commit the node to may never reach the storage. Others repeat their requests.
-  held_messages_.clear();
-  persist_retry_at_ = now + settings_.min_election_timeout;
+  persistence_.fail(now + settings_.min_election_timeout);
   if (role_ == Role::Leader || is_campaigning())
     become_follower(now, state_.current_term, "", actions);
   persist_if_changed(actions);
@@ -106,10 +73,7 @@
 
 void Node::truncate_log_from(Index first) {
   state_.truncate_from(first);
-  // Neither finished nor pending writes vouch for the removed entries any more.
-  persisted_log_index_ = std::min(persisted_log_index_, first - 1);
-  for (PendingPersist& pending : pending_persists_)
-    pending.last_log_index = std::min(pending.last_log_index, first - 1);
+  persistence_.truncate_log(first - 1);
 }
 
 // ---- Role transitions
@@ -119,7 +83,8 @@
   leader_ = leader;
   if (role != Role::Leader)
     progress_.clear();
-  responses_.clear();
+  has_empty_state_.clear();
+  granted_votes_.clear();
   reset_election_timer(now);
   actions.push_back(RoleChanged{role_, state_.current_term, leader_});
 }
@@ -131,9 +96,10 @@
 }
 
 void Node::become_recovering(TimePoint now, Actions& actions) {
-  heartbeat_round_ = random_();  // Tells replies to this start from replies to earlier ones.
+  // Distinguishes replies to this start from those to earlier ones.
+  recovery_attempt_ = random_();
   change_role(now, Role::Recovering, "", actions);
-  send_to_others(RecoveryQuery{heartbeat_round_}, actions);
+  send_to_others(RecoveryQuery{recovery_attempt_}, actions);
   deadline_ = now + settings_.heartbeat_interval;
 }
 
@@ -143,7 +109,7 @@
   if (term > state_.current_term) {
     state_.current_term = term;
     state_.voted_for.clear();
-    state_changed_ = true;
+    persistence_.mark_changed();
   }
   change_role(now, Role::Follower, leader, actions);
 }
@@ -163,9 +129,9 @@
 void Node::become_candidate(TimePoint now, Actions& actions) {
   ++state_.current_term;
   state_.voted_for = settings_.self;
-  state_changed_ = true;
+  persistence_.mark_changed();
   change_role(now, Role::Candidate, "", actions);
-  own_vote_persist_ = issued_persist_ + 1;
+  own_vote_write_ = persistence_.required_write();
   const Index last = state_.last_log_index();
   for (const std::string& name : settings_.voters) {
     if (name == settings_.self)
@@ -176,13 +142,11 @@
 }
 
 bool Node::has_election_quorum() const {
-  const bool own_vote_counts = role_ == Role::PreCandidate || is_persisted(own_vote_persist_);
-  std::size_t votes = own_vote_counts ? 1 : 0;
-  for (const auto& [name, granted] : responses_)
-    if (granted)
-      ++votes;
-  // No first term starts while a node is still recovering: it could never learn later that it has
-  // not voted.
+  const bool own_vote_counts =
+      role_ == Role::PreCandidate || persistence_.is_persisted(own_vote_write_);
+  const std::size_t votes = granted_votes_.size() + (own_vote_counts ? 1 : 0);
+  // The first term does not start while a node is recovering: the node could not find out later
+  // whether it had voted.
   const bool is_first_term = role_ == Role::PreCandidate && state_.current_term == 0;
   return votes >= (is_first_term ? settings_.voters.size() : majority());
 }
@@ -208,7 +172,7 @@
   ++heartbeat_round_;
   // Entries of earlier terms are committed only together with an entry of this term (paper, 5.4.2).
   state_.append("");
-  state_changed_ = true;
+  persistence_.mark_changed();
   for (auto& [name, progress] : progress_)
     send_entries(name, progress, actions);
   deadline_ = now + settings_.heartbeat_interval;
@@ -217,10 +181,7 @@
 // ---- Time
 
 void Node::tick(TimePoint now, Actions& actions) {
-  if (now >= persist_retry_at_) {
-    persist_retry_at_ = now + settings_.min_election_timeout;
-    state_changed_ = true;
-  }
+  persistence_.retry_if_due(now, now + settings_.min_election_timeout);
   if (now >= deadline_)
     handle_deadline(now, actions);
   persist_if_changed(actions);
@@ -228,7 +189,7 @@
 
 void Node::handle_deadline(TimePoint now, Actions& actions) {
   if (role_ == Role::Recovering) {
-    send_to_others(RecoveryQuery{heartbeat_round_}, actions);
+    send_to_others(RecoveryQuery{recovery_attempt_}, actions);
     deadline_ = now + settings_.heartbeat_interval;
     return;
   }
@@ -240,7 +201,7 @@
       become_follower(now, state_.current_term, "", actions);
     return;
   }
-  if (storage_failed_)
+  if (persistence_.has_storage_failed())
     reset_election_timer(now);
   else
     become_pre_candidate(now, actions);
@@ -257,7 +218,7 @@
 void Node::send_heartbeats(TimePoint now, Actions& actions) {
   ++heartbeat_round_;
   for (auto& [name, progress] : progress_) {
-    progress.entries_in_flight = false;  // Lost or late: send them again.
+    progress.entries_in_flight = false;  // They may be lost, so they are sent again.
     send_entries(name, progress, actions);
   }
   deadline_ = now + settings_.heartbeat_interval;
--- a/src/raft/node_messages.cpp
+++ b/src/raft/node_messages.cpp
@@ -12,7 +12,7 @@
   return last_log_index >= state_.last_log_index();
 }
 
-// Leader stickiness (thesis, 4.2.3): a node that was cut off must not unseat a sound leader.
+// Leader stickiness (thesis, 4.2.3): a node that was isolated must not depose a working leader.
 bool Node::has_heard_from_leader(TimePoint now) const {
   if (role_ == Role::Leader)
     return true;
@@ -56,18 +56,17 @@
 
 void Node::handle_recovery_reply(TimePoint now, const Message& message, const RecoveryReply& reply,
                                  Actions& actions) {
-  if (role_ != Role::Recovering || reply.attempt != heartbeat_round_)
+  if (role_ != Role::Recovering || reply.attempt != recovery_attempt_)
     return;
-  bool& has_empty_state = responses_[message.from];
+  bool& has_empty_state = has_empty_state_[message.from];
   has_empty_state = has_empty_state || reply.has_empty_state;
   const bool all_are_empty =
-      std::all_of(responses_.begin(), responses_.end(), [](const auto& response) {
-        return response.second;
+      std::all_of(has_empty_state_.begin(), has_empty_state_.end(), [](const auto& node) {
+        return node.second;
       });
-  if (responses_.size() + 1 < settings_.voters.size() || !all_are_empty)
+  if (has_empty_state_.size() + 1 < settings_.voters.size() || !all_are_empty)
     return;
-  heartbeat_round_ = 0;
-  state_changed_ = true;  // The next start must find a state.
+  persistence_.mark_changed();  // The next start must find a state.
   change_role(now, Role::Follower, "", actions);
   persist_if_changed(actions);
 }
@@ -77,7 +76,7 @@
 void Node::handle_pre_vote_request(TimePoint now, const Message& message,
                                    const PreVoteRequest& request, Actions& actions) {
   const bool granted = message.term > state_.current_term && !has_heard_from_leader(now) &&
-                       !storage_failed_ &&
+                       !persistence_.has_storage_failed() &&
                        is_log_up_to_date(request.last_log_index, request.last_log_term);
   Message response = make_message(message.from, PreVoteResponse{granted});
   if (!granted)
@@ -90,7 +89,7 @@
 void Node::handle_pre_vote_granted(TimePoint now, const Message& message, Actions& actions) {
   if (role_ != Role::PreCandidate || message.term != state_.current_term + 1)
     return;
-  responses_[message.from] = true;
+  granted_votes_.insert(message.from);
   advance_election(now, actions);
   persist_if_changed(actions);
 }
@@ -109,30 +108,30 @@
     return handle_vote_request(now, message, *vote, actions);
   if (const auto* vote_response = std::get_if<VoteResponse>(&message.body))
     return handle_vote_response(now, message, *vote_response, actions);
-  if (const auto* append = std::get_if<AppendEntriesRequest>(&message.body)) {
-    if (accept_leader(now, message, actions))
-      append_entries(message, *append, actions);
-    return;
-  }
-  if (const auto* install = std::get_if<InstallSnapshotRequest>(&message.body)) {
-    if (accept_leader(now, message, actions))
-      install_snapshot(message, *install, actions);
+  if (const auto* append_response = std::get_if<AppendEntriesResponse>(&message.body))
+    return handle_append_response(now, message, *append_response, actions);
+  // Two leaders of one term violate an invariant; this node cannot resolve it.
+  if (role_ == Role::Leader)
     return;
+  if (const auto* append = std::get_if<AppendEntriesRequest>(&message.body)) {
+    follow_leader(now, message, actions);
+    append_entries(message, *append, actions);
+  } else if (const auto* install = std::get_if<InstallSnapshotRequest>(&message.body)) {
+    follow_leader(now, message, actions);
+    install_snapshot(message, *install, actions);
   }
-  if (const auto* append_response = std::get_if<AppendEntriesResponse>(&message.body))
-    handle_append_response(now, message, *append_response, actions);
 }
 
 void Node::handle_vote_request(TimePoint now, const Message& message, const VoteRequest& request,
                                Actions& actions) {
   const bool can_vote = state_.voted_for.empty() || state_.voted_for == message.from;
-  const bool granted = can_vote && !storage_failed_ && role_ == Role::Follower &&
+  const bool granted = can_vote && !persistence_.has_storage_failed() && role_ == Role::Follower &&
                        is_log_up_to_date(request.last_log_index, request.last_log_term);
   if (!granted)
     return send(make_message(message.from, VoteResponse{}), actions);
   if (state_.voted_for.empty()) {
     state_.voted_for = message.from;
-    state_changed_ = true;
+    persistence_.mark_changed();
   }
   reset_election_timer(now);
   send_after_persist(make_message(message.from, VoteResponse{granted}), actions);
@@ -142,19 +141,16 @@
                                 Actions& actions) {
   if (!response.granted || role_ != Role::Candidate)
     return;
-  responses_[message.from] = true;
+  granted_votes_.insert(message.from);
   advance_election(now, actions);
 }
 
 // ---- A follower's side of replication
 
-bool Node::accept_leader(TimePoint now, const Message& message, Actions& actions) {
-  if (role_ == Role::Leader)
-    return false;  // Two leaders of one term: a fault that this node cannot resolve.
+void Node::follow_leader(TimePoint now, const Message& message, Actions& actions) {
   become_follower(now, message.term, message.from, actions);
   leader_heard_at_ = now;
   reset_election_timer(now);
-  return true;
 }
 
 void Node::append_entries(const Message& message, const AppendEntriesRequest& request,
@@ -163,7 +159,7 @@
   const Index last_new = previous + request.entries.size();
   for (std::size_t i = 0; i < request.entries.size(); ++i)
     if (request.entries[i].index != previous + 1 + i)
-      return;  // Malformed: no leader sends a gap.
+      return;  // Malformed: the entries of a leader have no gap.
   AppendEntriesResponse response;
   response.heartbeat_round = request.heartbeat_round;
   const Index last = state_.last_log_index();
@@ -173,8 +169,9 @@
     response.match_index = std::max(std::min(last, previous - 1), commit_index_);
     return send(make_message(message.from, response), actions);
   }
-  if (!merge_entries(request.entries))
+  if (contradicts_committed_log(request.entries))
     return;
+  merge_entries(request.entries);
   commit_index_ = std::max(commit_index_, std::min(request.leader_commit, last_new));
   apply_committed(actions);
   response.success = true;
@@ -182,18 +179,23 @@
   send_after_persist(make_message(message.from, response), actions);
 }
 
-bool Node::merge_entries(const std::vector<LogEntry>& entries) {
+// A committed entry never changes.
+bool Node::contradicts_committed_log(const std::vector<LogEntry>& entries) const {
+  return std::any_of(entries.begin(), entries.end(), [this](const LogEntry& entry) {
+    const bool is_committed = entry.index > state_.snapshot.index && entry.index <= commit_index_;
+    return is_committed && state_.term_at(entry.index) != entry.term;
+  });
+}
+
+void Node::merge_entries(const std::vector<LogEntry>& entries) {
   for (const LogEntry& entry : entries) {
     if (entry.index <= state_.snapshot.index || state_.term_at(entry.index) == entry.term)
       continue;
-    if (entry.index <= commit_index_)
-      return false;  // A committed entry never changes.
     if (entry.index <= state_.last_log_index())
       truncate_log_from(entry.index);
     state_.log.push_back(entry);
-    state_changed_ = true;
+    persistence_.mark_changed();
   }
-  return true;
 }
 
 void Node::install_snapshot(const Message& message, const InstallSnapshotRequest& request,
@@ -211,7 +213,7 @@
     commit_index_ = snapshot.index;
     last_applied_ = snapshot.index;
     snapshot_requested_ = false;
-    state_changed_ = true;
+    persistence_.mark_changed();
     actions.push_back(RestoreSnapshot{snapshot});
   }
   const AppendEntriesResponse response{true, commit_index_, request.heartbeat_round};
--- a/src/raft/node_replication.cpp
+++ b/src/raft/node_replication.cpp
@@ -7,7 +7,7 @@
 namespace gorsebeam::raft {
 namespace {
 
-// The largest value that at least `quorum` of the values reach.
+// Returns the largest value that at least `quorum` of the values reach.
 template <typename Number>
 Number quorum_value(std::vector<Number> values, std::size_t quorum) {
   std::sort(values.begin(), values.end(), std::greater<>());
@@ -40,7 +40,7 @@
   if (role_ != Role::Leader || state_.log.size() >= 2 * settings_.max_log_entries)
     return std::nullopt;
   state_.append(std::move(command));
-  state_changed_ = true;
+  persistence_.mark_changed();
   for (auto& [name, progress] : progress_)
     if (!progress.entries_in_flight)
       send_entries(name, progress, actions);
@@ -71,7 +71,7 @@
       return;
     record_match(message.from, progress, response, actions);
   } else {
-    // A rejection that is older than the newest match says nothing.
+    // A rejection that is older than the newest match is outdated.
     if (response.match_index < progress.match_index &&
         response.heartbeat_round <= progress.matched_in_round)
       return;
@@ -95,7 +95,7 @@
 void Node::record_rejection(const std::string& name, Progress& progress,
                             const AppendEntriesResponse& response, Actions& actions) {
   if (response.match_index < progress.match_index) {
-    // Entries are sent only behind the match index, so the node no longer holds what it
+    // Entries are sent only after the match index, so the node no longer holds the entries that it
     // acknowledged.
     if (progress.counts_for_quorum)
       actions.push_back(ReplicaRegressed{name});
@@ -111,7 +111,7 @@
 }
 
 void Node::advance_quorum(Actions& actions) {
-  std::vector<Index> match_indexes{persisted_log_index_};
+  std::vector<Index> match_indexes{persistence_.persisted_log_index()};
   std::vector<std::uint64_t> rounds{heartbeat_round_};
   for (const auto& [name, progress] : progress_) {
     if (!progress.counts_for_quorum)
@@ -151,7 +151,7 @@
   if (last_applied_ == state_.snapshot.index)
     return;
   state_.compact_to({last_applied_, state_.term_at(last_applied_), std::move(state)});
-  state_changed_ = true;
+  persistence_.mark_changed();
   persist_if_changed(actions);
 }
 
--- /dev/null
+++ b/src/raft/persistence_tracker.h
@@ -0,0 +1,96 @@
+/// Tracks which writes of a node's state are on stable storage, and holds back the messages that
+/// have to wait for one. Pure.
+#pragma once
+
+#include "raft/messages.h"
+#include "raft/persistent_state.h"
+
+#include "gorsebeam/time.h"
+
+#include <cstdint>
+#include <deque>
+#include <optional>
+#include <vector>
+
+namespace gorsebeam::raft {
+
+/// The number of a write of the state. The first write is 1; 0 stands for the state that was found
+/// at the start.
+using WriteNumber = std::uint64_t;
+
+/// Writes finish in the order in which they are started. At most two messages of each type and
+/// receiver are held back.
+class PersistenceTracker {
+public:
+  /// `last_log_index` is that of the state that was found on stable storage.
+  explicit PersistenceTracker(Index last_log_index) : persisted_log_index_(last_log_index) {}
+
+  /// Records that the state differs from what the last write holds.
+  void mark_changed() { has_changes_ = true; }
+
+  /// Returns the write that holds all changes so far; it may not have been started.
+  [[nodiscard]] WriteNumber required_write() const {
+    return has_changes_ ? last_started_ + 1 : last_started_;
+  }
+
+  /// Always false while the storage fails.
+  [[nodiscard]] bool is_persisted(WriteNumber number) const {
+    return !storage_failed_ && number <= last_finished_;
+  }
+
+  /// Whether no write has finished since the last failure.
+  [[nodiscard]] bool has_storage_failed() const { return storage_failed_; }
+
+  /// Starts a write if there are changes; returns its number. `last_log_index` is that of the
+  /// state.
+  [[nodiscard]] std::optional<WriteNumber> start_write(Index last_log_index);
+
+  /// Records that the write `number` and all earlier ones have finished. Returns the messages that
+  /// waited for them.
+  [[nodiscard]] std::vector<Message> finish_writes(WriteNumber number);
+
+  /// Records that a write has failed, and drops all messages that are held back: the changes that
+  /// they depend on may never be stored. Other nodes repeat their requests.
+  void fail(TimePoint retry_at);
+
+  /// Repeats the write of a storage that failed, if it is time; the next attempt follows at
+  /// `next_retry_at`.
+  void retry_if_due(TimePoint now, TimePoint next_retry_at);
+
+  /// Returns when a failed write is repeated, or `kNever`.
+  [[nodiscard]] TimePoint retry_at() const { return retry_at_; }
+
+  /// Holds back a message until the changes so far are on stable storage. Drops it while the
+  /// storage fails.
+  void hold(Message message);
+
+  /// Records that the log ends at `last_log_index` now: no write proves that a removed entry is on
+  /// stable storage.
+  void truncate_log(Index last_log_index);
+
+  /// Returns the last entry of the log that is on stable storage.
+  [[nodiscard]] Index persisted_log_index() const { return persisted_log_index_; }
+
+private:
+  struct HeldMessage {
+    WriteNumber required_write = 0;
+    Message message;
+  };
+
+  struct PendingWrite {
+    WriteNumber number = 0;
+    /// The last entry that the write holds and that has not been removed since.
+    Index last_log_index = 0;
+  };
+
+  bool has_changes_ = false;
+  bool storage_failed_ = false;
+  TimePoint retry_at_ = kNever;
+  WriteNumber last_started_ = 0;
+  WriteNumber last_finished_ = 0;
+  std::deque<PendingWrite> pending_writes_;
+  Index persisted_log_index_ = 0;
+  std::vector<HeldMessage> held_messages_;
+};
+
+}  // namespace gorsebeam::raft
--- a/src/raft/persistent_state.h
+++ b/src/raft/persistent_state.h
@@ -36,10 +36,11 @@
 
   /// The term of the entry at `index`, or of the snapshot if it ends there; 0 if neither holds it.
   [[nodiscard]] Term term_at(Index index) const;
-  /// `index` must be in the log, behind the snapshot.
+  /// The entry at `index`, which must be in the log, after the snapshot.
   [[nodiscard]] const LogEntry& entry_at(Index index) const;
-  /// At most `max_entries` entries, from `first` on, which is behind the snapshot.
+  /// At most `max_entries` entries that start with `first`, which must be after the snapshot.
   [[nodiscard]] std::vector<LogEntry> entries_from(Index first, std::size_t max_entries) const;
+  /// Appends an entry of the current term.
   void append(std::string command);
   /// Removes the entry at `first` and all later ones.
   void truncate_from(Index first);
--- a/tests/raft_test.cpp
+++ b/tests/raft_test.cpp
@@ -1,4 +1,4 @@
-/// Behaviour of raft::Node that the simulation draws too seldom or cannot see from outside.
+/// Behaviour of raft::Node that the simulation rarely produces or cannot observe.
 #include "raft/node.h"
 
 #include <gtest/gtest.h>
@@ -43,7 +43,7 @@
 
   void reconnect_all() { isolated_.clear(); }
 
-  /// Writes of this node do not finish any more.
+  /// Writes of this node do not finish from now on.
   void block_disk(const std::string& name) { blocked_disks_.insert(name); }
 
   /// Returns whether the node accepted the command.
@@ -69,7 +69,7 @@
     return "";
   }
 
-  /// One that does not lead.
+  /// A node that does not lead.
   [[nodiscard]] std::string follower() const { return leader() == "a" ? "b" : "a"; }
 
   [[nodiscard]] const Node& node(const std::string& name) const { return *nodes_.at(name); }
@@ -136,7 +136,7 @@
   TimePoint now_{};
 };
 
-TEST(RaftNode, ReconnectedNodeDoesNotUnseatSoundLeader) {
+TEST(RaftNode, ReconnectedNodeDoesNotDeposeWorkingLeader) {
   RaftCluster cluster;
   cluster.advance(5000ms);
   const std::string leader = cluster.leader();
@@ -157,7 +157,7 @@
   cluster.block_disk("b");
   cluster.block_disk("c");
 
-  // Node a campaigns and receives no vote; nor does another lead by its own vote alone.
+  // Node a campaigns and receives no vote; the others do not become leader by their own vote alone.
   cluster.advance(10'000ms);
 
   EXPECT_EQ(cluster.leader(), "");
@@ -170,7 +170,7 @@
   const std::string follower = cluster.follower();
   const std::optional<PersistentState> old_state = cluster.disk(follower);
   for (int i = 0; i < 3; ++i) {
-    cluster.propose(leader, "x");
+    cluster.propose(leader, "command");
     cluster.advance(500ms);
   }
 
@@ -203,7 +203,7 @@
 
   std::size_t accepted = 0;
   for (int i = 0; i < 100; ++i)
-    if (cluster.propose(leader, "x"))
+    if (cluster.propose(leader, "command"))
       ++accepted;
 
   EXPECT_LE(accepted, 8U);
