--- a/src/leases/lease_client.h
+++ b/src/leases/lease_client.h
@@ -1,8 +1,8 @@
-/// Every gateway's side of the lease service: it requests leases and knows which it holds.
+/// The gateway's side of the lease service: it requests leases and records which ones it holds.
 ///
-/// A deterministic state machine, as lease_manager.h describes. A lease is measured from before the
-/// request that obtained it, less the clock drift, so that it ends here before the manager regards
-/// it as expired (Gray & Cheriton, section 2).
+/// A deterministic state machine, as lease_manager.h describes. The duration of a lease is counted
+/// from before its request and reduced by the clock drift, so that the lease ends here before the
+/// manager regards it as expired (Gray & Cheriton, section 2).
 #pragma once
 
 #include "leases/messages.h"
@@ -17,6 +17,7 @@
 
 namespace gorsebeam::leases {
 
+/// The gateway may act in the role, under the token.
 struct LeaseAcquired {
   std::string role;
   FencingToken token = 0;
@@ -24,9 +25,10 @@
 
 enum class LossReason {
   Expired,   ///< By this gateway's clock.
-  Released,  ///< A response no longer names it, or this gateway leaves.
+  Released,  ///< A response no longer names the role, or this gateway has resigned.
 };
 
+/// The gateway must not act under the token any more.
 struct LeaseLost {
   std::string role;
   FencingToken token = 0;
@@ -41,19 +43,24 @@
   /// `holder` is NAME~INCARNATION.
   LeaseClient(Settings settings, std::string holder, std::string zone);
 
-  /// Call once. The first request follows after a random part of the interval, so that gateways
-  /// that start together do not send in step.
+  /// Call it once. The first request follows after a random part of the interval, so that gateways
+  /// that start together do not send at the same time.
   void start(TimePoint now);
-  /// Call at `next_deadline()`; an earlier call does no harm.
+
+  /// Call it at `next_deadline`, or at any other time.
   void tick(TimePoint now, ClientActions& actions);
+
+  /// Replaces the held leases by those of the response; ignores a response that is not newer.
   void handle_response(TimePoint now, const LeaseResponse& response, ClientActions& actions);
-  /// Gives up all roles at once, for good.
+
+  /// Gives up all roles at once and acquires none afterwards.
   void resign(ClientActions& actions);
 
+  /// The next time at which `tick` has an effect, or `kNever`.
   [[nodiscard]] TimePoint next_deadline() const { return deadline_; }
 
-  /// The token to act under; check it before every action. None: the role is not held, or its lease
-  /// has expired.
+  /// The token under which the gateway acts; check it before every action. Nothing if the gateway
+  /// does not hold the role, or its lease has expired.
   [[nodiscard]] std::optional<FencingToken> valid_token(TimePoint now,
                                                         const std::string& role) const;
 
--- a/src/leases/lease_manager.cpp
+++ b/src/leases/lease_manager.cpp
@@ -61,7 +61,7 @@
   Gateway& gateway = gateways_[request.holder];
   gateway.zone = request.zone;
   gateway.last_request_at = now;
-  // An incarnation that left does not come back; requests that arrive late change nothing.
+  // An incarnation that has resigned does not return; requests that arrive late change nothing.
   if (request.has_resigned || gateway.state == GatewayState::Resigned) {
     gateway.state = GatewayState::Resigned;
     return expire_leases_of(now, request.holder);
@@ -126,8 +126,8 @@
     return;
   Lease& lease = found->second;
   lease = {};
-  // The holder learns of the grant by the response to its next request. If it sends none, the role
-  // passes on after a lease.
+  // The holder receives the grant in the response to its next request. If it sends none, the role
+  // is granted to another gateway after a lease.
   const bool is_held = !table_->grant_of(role).holder.empty();
   lease.expires_at = is_held ? now + lease_with_drift() : now;
 }
@@ -167,7 +167,7 @@
       continue;
     const auto flaps = flap_histories_.find(gateway_name(holder));
     const bool is_avoided = flaps != flap_histories_.end() && now < flaps->second.avoided_until;
-    // Ties are spread over the gateways, in the same way at every leader.
+    // The hash distributes ties over the gateways, in the same way at every leader.
     std::string tie_break = role;
     tie_break += ' ';
     tie_break += holder;
@@ -193,12 +193,27 @@
   return successor;
 }
 
-void LeaseManager::record_lapse(TimePoint now, const std::string& holder) {
+void LeaseManager::record_lapse_unless_resigned(TimePoint now, const std::string& holder) {
+  const auto gateway = gateways_.find(holder);
+  const bool has_resigned =
+      gateway != gateways_.end() && gateway->second.state == GatewayState::Resigned;
+  if (holder.empty() || has_resigned)
+    return;
   FlapHistory& history = flap_histories_[gateway_name(holder)];
   history.recent_lapses = std::min(history.recent_lapses + 1, kMaxRecentLapses);
   history.avoided_until = now + settings_.lease_duration * (1 << history.recent_lapses);
 }
 
+// Returns whether another gateway has to be granted the role, whose lease has expired.
+bool LeaseManager::needs_successor(TimePoint now, const std::string& holder,
+                                   const Lease& lease) const {
+  // A proposal is repeated, as it may have been rejected by a full log or have been outdated.
+  if (lease.state == LeaseState::GrantProposed)
+    return now - lease.proposed_at >= settings_.lease_duration;
+  // A holder that sends requests again continues under its token.
+  return !lease.preferred_successor.empty() || !is_available(now, holder);
+}
+
 void LeaseManager::propose_grant(TimePoint now, const std::string& role,
                                  const std::string& successor, Lease& lease,
                                  ManagerActions& actions) {
@@ -214,21 +229,11 @@
     deadline_ = std::min(deadline_, lease.expires_at);
     return;
   }
-  const Grant& grant = table_->grant_of(role);
-  if (lease.state == LeaseState::GrantProposed) {
-    // A proposal is repeated in case it was lost with a full log or was outdated.
-    if (now - lease.proposed_at < settings_.lease_duration)
-      return;
-  } else if (lease.preferred_successor.empty()) {
-    // A holder that sends requests again continues under its token.
-    if (is_available(now, grant.holder))
-      return;
-    const auto holder = gateways_.find(grant.holder);
-    const bool has_resigned =
-        holder != gateways_.end() && holder->second.state == GatewayState::Resigned;
-    if (!grant.holder.empty() && !has_resigned)
-      record_lapse(now, grant.holder);
-  }
+  const std::string& holder = table_->grant_of(role).holder;
+  if (!needs_successor(now, holder, lease))
+    return;
+  if (lease.state == LeaseState::Renewable && lease.preferred_successor.empty())
+    record_lapse_unless_resigned(now, holder);
   const std::optional<std::string> successor = choose_successor(now, role, lease);
   if (successor)
     propose_grant(now, role, *successor, lease, actions);
--- a/src/leases/lease_manager.h
+++ b/src/leases/lease_manager.h
@@ -1,25 +1,25 @@
 /// The Raft leader's side of the lease service: it grants each role to one gateway and renews its
 /// lease (Gray & Cheriton, "Leases", 1989).
 ///
-/// A deterministic state machine: events with their time go in, actions come out. It performs no
-/// I/O, reads no clock and starts no thread; all calls come from one thread. Only durations are
+/// A deterministic state machine: it takes events with their time and returns actions. It performs
+/// no I/O, reads no clock and starts no thread; all calls come from one thread. Only durations are
 /// compared between gateways, and clocks are assumed to deviate from true time by at most
 /// `max_clock_drift_ppm`.
 ///
-/// Grants go through the log, renewals do not. The lease makes duplicate work rare: the holder
-/// measures it from before its request, less the drift; the manager waits the lease and the drift
-/// from when it received the request before it grants the role again. The fencing token, which only
-/// grows, makes duplicate work harmless: a holder that was suspended after it checked its clock may
-/// act late, and the receiver rejects its lower token (`TokenFence`).
+/// Grants are entries of the log, renewals are not. The lease makes duplicate work rare: the holder
+/// counts its duration from before its request and subtracts the drift; the manager counts it from
+/// the receipt of the request and adds the drift before it grants the role again. The fencing
+/// token, which only grows, makes duplicate work harmless: a holder that was suspended after it
+/// checked its clock may act late, and the receiver rejects its lower token (`TokenFence`).
 ///
-/// A request is answered only after a majority has confirmed, later than the request arrived, that
-/// this node still leads. A later leader was therefore elected after the request, and it waits a
-/// full lease from its election.
+/// The manager responds to a request only after a majority has confirmed, in a round that started
+/// after the request arrived, that this node still leads. A later leader was therefore elected
+/// after the request, and it waits for a full lease from its election.
 ///
 /// Invariants, checked by tests/fleet/ over thousands of seeds and by model/leases.pml:
-///  - no two gateways have a valid token of a role at the same true time, while all clocks keep
-///    within the drift;
-///  - of two grants of a role the later has the higher token;
+///  - no two gateways have a valid token of a role at the same true time, provided that no clock
+///    exceeds the drift;
+///  - of two grants of a role, the later one has the higher token;
 ///  - a TokenFence that has accepted a token accepts no lower one afterwards.
 ///
 /// Bounds: kMaxRoles roles; one record for each holder that sent a request within the last ten
@@ -39,7 +39,7 @@
 
 namespace gorsebeam::leases {
 
-/// Ask a majority whether this node leads, and pass the round's number to
+/// Start a round in which a majority confirms that this node leads, and pass its number to
 /// `handle_confirmation_started`.
 struct ConfirmLeadership {};
 
@@ -55,25 +55,34 @@
 public:
   explicit LeaseManager(Settings settings);
 
-  /// This node leads from now on, and `table` holds all entries that earlier leaders committed. The
-  /// table is borrowed until `stop_leading`, and follows the log.
+  /// Reports that this node leads from now on and that `table` holds all entries that earlier
+  /// leaders committed. The table is borrowed until `stop_leading`; its owner applies the log to
+  /// it.
   void start_leading(TimePoint now, const LeaseTable& table);
+
   void stop_leading();
 
   [[nodiscard]] bool is_leading() const { return table_ != nullptr; }
 
   void handle_request(TimePoint now, const LeaseRequest& request);
-  /// `round` covers all requests that were received so far.
+
+  /// Reports that `round` has started; it confirms all requests that were received so far.
   void handle_confirmation_started(std::uint64_t round);
+
+  /// Reports that this node led when `round`, or an earlier one, started.
   void handle_leadership_confirmed(TimePoint now, std::uint64_t round, ManagerActions& actions);
-  /// The grant of `role` in the table has changed.
+
+  /// Reports that the grant of `role` in the table has changed.
   void handle_grant_applied(TimePoint now, const std::string& role);
-  /// An operator's request: the holder is no longer renewed, and the gateway named
-  /// `preferred_successor` is granted the role next if it is available.
+
+  /// Stops the renewal of the role's lease and grants the role to the gateway of the name
+  /// `preferred_successor` next, if that one is available. Requested by an operator.
   void transfer(const std::string& role, const std::string& preferred_successor);
-  /// Call at `next_deadline()`; an earlier call does no harm.
+
+  /// Call it at `next_deadline`, or at any other time.
   void tick(TimePoint now, ManagerActions& actions);
 
+  /// The next time at which `tick` has an effect, or `kNever`.
   [[nodiscard]] TimePoint next_deadline() const { return is_leading() ? deadline_ : kNever; }
 
 private:
@@ -89,28 +98,28 @@
     TimePoint last_request_at{};
   };
 
-  /// Kept by gateway name, as incarnations differ.
+  /// Stored by gateway name, as a restarted gateway has another incarnation.
   struct FlapHistory {
-    int recent_lapses = 0;  ///< Leases that expired without the holder giving them up.
+    int recent_lapses = 0;  ///< Leases that expired although the holder had not resigned.
     TimePoint avoided_until{};
   };
 
   enum class LeaseState {
     Renewable,
-    GrantProposed,  ///< A successor's grant is on its way through the log; no renewal.
+    GrantProposed,  ///< A grant to a successor is proposed and not applied yet; no renewal.
   };
 
   struct Lease {
     LeaseState state = LeaseState::Renewable;
-    TimePoint expires_at{};  ///< When the holder has certainly stopped, by this node's clock.
+    TimePoint expires_at{};  ///< From then on the holder does not act, by this node's clock.
     TimePoint proposed_at{};
-    std::string preferred_successor;  ///< Gateway name; empty: none.
+    std::string preferred_successor;  ///< Gateway name; empty if there is none.
   };
 
   struct PendingRequest {
     LeaseRequest request;
     TimePoint received_at{};
-    std::uint64_t round = 0;  ///< That confirms it; 0: not started.
+    std::uint64_t round = 0;  ///< The round that confirms the request; 0 before it starts.
   };
 
   /// Compared field by field: flapping, roles held by the gateway, roles held in its zone, hash.
@@ -128,11 +137,13 @@
   [[nodiscard]] std::optional<std::string> choose_successor(TimePoint now, const std::string& role,
                                                             const Lease& lease) const;
   void forget_silent_gateways(TimePoint now);
+  [[nodiscard]] bool needs_successor(TimePoint now, const std::string& holder,
+                                     const Lease& lease) const;
+  void record_lapse_unless_resigned(TimePoint now, const std::string& holder);
   void grant_if_expired(TimePoint now, const std::string& role, Lease& lease,
                         ManagerActions& actions);
   void propose_grant(TimePoint now, const std::string& role, const std::string& successor,
                      Lease& lease, ManagerActions& actions);
-  void record_lapse(TimePoint now, const std::string& holder);
 
   Settings settings_;
   const LeaseTable* table_ = nullptr;                       ///< Borrowed; set while leading.
--- a/src/leases/messages.h
+++ b/src/leases/messages.h
@@ -1,5 +1,5 @@
-/// What gateways and the lease manager say to each other, and the settings and names both share.
-/// Points in time are on each gateway's own monotonic clock; those of two gateways are never
+/// The messages between gateways and the lease manager, and the settings and names that both use.
+/// Points in time are those of each gateway's own monotonic clock; those of two gateways are never
 /// compared.
 #pragma once
 
@@ -13,16 +13,16 @@
 
 namespace gorsebeam::leases {
 
-/// The index of the log entry that granted the role; 0: never granted.
+/// The index of the log entry that granted the role; 0 if it was never granted.
 using FencingToken = std::uint64_t;
 
 constexpr std::size_t kMaxRoles = 64;
 constexpr std::size_t kMaxNameBytes = 96;
 
 struct Settings {
-  std::vector<std::string> roles;  ///< At most kMaxRoles; the same at every gateway.
+  std::vector<std::string> roles;  ///< At most kMaxRoles, the same at every gateway.
   Duration lease_duration = 3s;
-  /// How far a clock's rate may deviate from true time; below 100,000.
+  /// The largest deviation of a clock's rate from true time, in parts per million; below 100,000.
   std::int64_t max_clock_drift_ppm = 500;
   std::uint64_t random_seed = 1;
 
@@ -34,24 +34,27 @@
 
 /// Sent by each gateway about four times a lease.
 struct LeaseRequest {
-  /// NAME~INCARNATION; the incarnation is drawn at each start, so a restarted gateway, or another
-  /// of the same name, is another holder.
+  /// NAME~INCARNATION. The incarnation is drawn at each start, so that a restarted gateway, or
+  /// another one of the same name, is another holder.
   std::string holder;
   std::string zone;
   std::uint64_t number = 0;         ///< Grows from 1.
-  std::uint64_t last_response = 0;  ///< The newest request that was answered.
+  std::uint64_t last_response = 0;  ///< The newest request for which a response was received.
   bool has_resigned = false;        ///< The sender has given up all roles and accepts none.
 };
 
+/// Holds all roles of the holder whose leases are granted or renewed.
 struct LeaseResponse {
   std::string holder;
   std::uint64_t request_number = 0;
   std::vector<std::pair<std::string, FencingToken>> held_roles;
 };
 
-/// 1 to kMaxNameBytes letters, digits, '.', '_', '-' and '~'.
+/// Returns whether the text has 1 to kMaxNameBytes characters, which are letters, digits, '.', '_',
+/// '-' and '~'.
 [[nodiscard]] bool is_valid_name(const std::string& text);
-/// The holder without its incarnation.
+
+/// Returns the holder without its incarnation.
 [[nodiscard]] std::string gateway_name(const std::string& holder);
 
 }  // namespace gorsebeam::leases
--- a/src/leases/token_fence.h
+++ b/src/leases/token_fence.h
@@ -1,4 +1,4 @@
-/// The receiver's check of fencing tokens: it rejects actions of holders that were superseded.
+/// The receiver's check of fencing tokens: it rejects actions of holders that have a successor.
 #pragma once
 
 #include "leases/messages.h"
@@ -10,7 +10,8 @@
 
 class TokenFence {
 public:
-  /// False: a higher token was seen for the role, or kMaxRoles other roles are known.
+  /// Returns whether the action may be performed: no higher token was accepted for the role, and
+  /// the role is one of the first kMaxRoles.
   [[nodiscard]] bool accept(const std::string& role, FencingToken token);
 
 private:
