--- a/src/config_versions/actions.h
+++ b/src/config_versions/actions.h
@@ -17,20 +17,20 @@
   std::string address;
 };
 
-/// Close the connection; no event of it may follow.
+/// Close the connection; it must cause no further event.
 struct CloseStream {};
 
 /// Send an HTTP/2 PING; its acknowledgement is reported by `on_bytes_received`.
 struct SendPing {};
 
-/// Put these bodies in force.
+/// Put the content in force.
 struct ApplyConfiguration {
   Bodies bodies;
   /// Whether the content of each type differs from the previous action of this kind.
   std::array<bool, kResourceTypeCount> changed{};
 };
 
-/// Write what is accepted to disk: it has changed.
+/// Write the accepted versions to disk, as they have changed.
 struct WriteSnapshot {};
 
 /// The response that a log event is about.
@@ -45,7 +45,7 @@
   std::string error;
 };
 
-/// Log: a response is accepted again after the stream was lost.
+/// Log: the first response is accepted after the stream was lost.
 struct StreamRestored {};
 
 /// Log: a response has arrived.
--- a/src/config_versions/configuration.h
+++ b/src/config_versions/configuration.h
@@ -1,5 +1,5 @@
-/// The values that the version tracker works on: resource types, versions and the messages of a
-/// control service, decoded and checked one by one.
+/// The values that the version tracker uses: resource types, versions, and the messages of a
+/// control service after they are decoded and validated one by one.
 #pragma once
 
 #include "gorsebeam/time.h"
@@ -14,7 +14,7 @@
 
 namespace gorsebeam::config_versions {
 
-/// The resource types of the control service; their order is that of every array of types.
+/// The resource types of the control service, in the order of every array that is indexed by type.
 enum class ResourceType : std::size_t { Contracts, Members, Limits };
 
 constexpr std::size_t kResourceTypeCount = 3;
@@ -28,7 +28,7 @@
   return static_cast<std::size_t>(type);
 }
 
-/// The content of one type. Its meaning belongs to the embedder; the tracker never reads it.
+/// The content of one type. Only the embedder interprets it.
 using Body = std::shared_ptr<const void>;
 using Bodies = std::array<Body, kResourceTypeCount>;
 
@@ -38,9 +38,9 @@
 /// One version of one type.
 struct Version {
   Body body;
-  /// As the control service named it; empty for a version of the operators' file.
+  /// The name that the control service gave to the version; empty for one of the operators' file.
   std::string version;
-  /// Grows with each change; 0 means unnumbered, which only the operators' file may be.
+  /// Grows with each change. 0 means unnumbered, which is valid only in the operators' file.
   std::uint64_t generation = 0;
   std::uint64_t content_hash = 0;
   /// `kFileSource`, or the address of the control service.
@@ -52,25 +52,26 @@
 
 using FileVersions = std::array<Version, kResourceTypeCount>;
 
-/// What has been accepted of one type.
+/// The accepted version of one type.
 struct AcceptedVersion {
   Version running;
-  /// The highest generation ever accepted; higher than `running.generation` after a rollback.
+  /// The highest generation that was ever accepted; it exceeds `running.generation` after a
+  /// rollback.
   std::uint64_t newest_generation = 0;
 };
 
-/// What has been accepted of each type.
+/// The accepted version of each type.
 using AcceptedVersions = std::array<AcceptedVersion, kResourceTypeCount>;
 
-/// The versions of a snapshot, for the types that it holds.
+/// The versions of a snapshot; nothing for a type that it does not hold.
 using SnapshotVersions = std::array<std::optional<AcceptedVersion>, kResourceTypeCount>;
 
 /// States why bodies are not valid together.
 struct ValidationError {
   enum class Code {
-    /// The content is wrong, whatever other types hold.
+    /// The content is invalid with any content of the other types.
     InvalidContent,
-    /// The content refers to something that another type may still bring.
+    /// The content refers to something that a later version of another type may define.
     UnresolvedReference,
   };
 
@@ -86,22 +87,22 @@
 struct RejectionError {
   enum class Code {
     UnknownResourceType,
-    /// The response cannot be used by itself, whatever runs.
+    /// The response is invalid, independent of what runs.
     InvalidResponse,
-    /// The response is valid by itself, but not with what runs.
+    /// The response is valid, but not together with what runs.
     InvalidContent,
     MissingGeneration,
     /// The generation is older than the newest accepted one.
     OlderGeneration,
-    /// The generation was accepted once and rolled back since.
+    /// The generation was accepted before and has been rolled back.
     RolledBackGeneration,
-    /// The generation was accepted once with other content.
+    /// The generation was accepted before with other content.
     ConflictingContent,
     /// The rollback names a generation that is older than the newest accepted one.
     OutdatedRollback,
     /// A later response of the type arrived while this one waited for another type.
     Superseded,
-    /// No other type brought what the response refers to in time.
+    /// No other type defined what the response refers to before the deadline.
     DependencyTimeout,
   };
 
@@ -109,7 +110,7 @@
   std::string message;
 };
 
-/// One response of the control service, decoded and checked by itself.
+/// One response of the control service, decoded and validated without the other types.
 struct DiscoveryResponse {
   /// Nothing if `type_url` names no known type.
   std::optional<ResourceType> type;
@@ -117,11 +118,11 @@
   std::string version;
   std::string nonce;
   std::uint64_t generation = 0;
-  /// The generation that this one rolls back, or 0.
+  /// The generation that this one rolls back; 0 if it is no rollback.
   std::uint64_t rolls_back = 0;
   std::uint64_t content_hash = 0;
   Body body;
-  /// Why the response cannot be used; nothing if it is valid by itself.
+  /// Why the response cannot be used; nothing if it is valid.
   std::optional<RejectionError> error;
 };
 
--- a/src/config_versions/generation_order.h
+++ b/src/config_versions/generation_order.h
@@ -1,4 +1,4 @@
-/// Decides whether a response may follow what has been accepted of its type.
+/// Decides whether a response may replace the accepted version of its type.
 #pragma once
 
 #include "configuration.h"
--- a/src/config_versions/stream_backoff.h
+++ b/src/config_versions/stream_backoff.h
@@ -5,9 +5,10 @@
 
 namespace gorsebeam::config_versions {
 
-/// Exponential backoff with full jitter: each delay is drawn evenly from zero to a bound that
-/// doubles with each failure, so that many gateways that lost one service do not return at once.
-/// Source: M. Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog, 2015.
+/// Exponential backoff with full jitter: each delay is drawn uniformly between zero and a bound
+/// that doubles with each failure, so that gateways that lost the same service do not reconnect at
+/// the same time. Source: M. Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog,
+/// 2015.
 class StreamBackoff {
 public:
   explicit StreamBackoff(std::uint64_t seed) : random_(seed | 1) {}
@@ -16,7 +17,7 @@
   /// exceeds `max_bound`.
   [[nodiscard]] Duration next_delay(Duration first_bound, Duration max_bound);
 
-  /// Makes the next bound the first one again.
+  /// Sets the bound back to the first one.
   void reset() { failures_ = 0; }
 
 private:
--- a/src/config_versions/stream_lifecycle.h
+++ b/src/config_versions/stream_lifecycle.h
@@ -1,5 +1,5 @@
-/// Decides when to connect to the control service, when to ping it and when to give a connection
-/// up. Pure: events with their time in, actions out.
+/// Decides when to connect to the control service, when to ping it and when to close a connection.
+/// Pure: it takes events with their time and returns actions.
 #pragma once
 
 #include "actions.h"
@@ -14,15 +14,17 @@
 namespace gorsebeam::config_versions {
 
 struct StreamSettings {
-  /// Addresses of the control service, tried in turn; none: no connection is ever opened.
+  /// Addresses of the control service, which are tried in turn. Without an address no connection is
+  /// opened.
   std::vector<std::string> addresses;
-  /// Bound of the first reconnection delay; it doubles with each failure.
+  /// Upper bound of the first reconnection delay; it doubles with each failure.
   Duration reconnect_first = 250ms;
-  /// Largest bound of a reconnection delay.
+  /// Largest upper bound of a reconnection delay.
   Duration reconnect_max = 30s;
   /// Time after which a connection that is not established counts as lost.
   Duration connect_timeout = 5s;
-  /// Silence after which a ping is sent, and after twice which the stream counts as lost.
+  /// Time without bytes after which a ping is sent; after twice this time the stream counts as
+  /// lost.
   Duration silence = 10s;
 };
 
@@ -34,8 +36,8 @@
   std::string message;
 };
 
-/// The state machine of one stream to the control service. After a loss there is always another
-/// attempt, within `reconnect_max`.
+/// The state machine of one stream to the control service. After each loss it attempts to connect
+/// again within `reconnect_max`.
 class StreamLifecycle {
 public:
   StreamLifecycle(StreamSettings settings, std::uint64_t seed);
@@ -43,18 +45,19 @@
   /// Connects, if there is an address.
   void start(TimePoint now, Actions& actions);
 
-  /// Takes over the settings. A change of addresses ends the stream and connects anew.
+  /// Replaces the settings. A change of addresses ends the stream and connects again.
   void update_settings(TimePoint now, StreamSettings settings, Actions& actions);
 
-  /// Returns whether an attempt was under way and has become the stream.
+  /// Reports that a connection is established. Returns whether it is the stream now; it is not if
+  /// no attempt was in progress.
   [[nodiscard]] bool on_opened(TimePoint now);
 
   void on_bytes_received(TimePoint now);
 
-  /// Does nothing unless there is a stream or an attempt.
+  /// Reports that the stream or the attempt has failed; ignored if there is neither.
   void on_lost(TimePoint now, const StreamError& error, Actions& actions);
 
-  /// Reports that a response was accepted: the next reconnection is immediate.
+  /// Reports that a response was accepted: the next reconnection delay has the first bound.
   void on_response_accepted(Actions& actions);
 
   void on_timer(TimePoint now, Actions& actions);
@@ -82,7 +85,7 @@
   State state_ = State::Disabled;
   std::string address_;
   std::size_t next_address_ = 0;
-  /// BackingOff: the next attempt. Connecting: when the attempt is given up.
+  /// BackingOff: the time of the next attempt. Connecting: the time at which the attempt fails.
   TimePoint deadline_ = kNever;
   TimePoint last_received_at_{};
   bool ping_sent_ = false;
--- a/src/config_versions/version_tracker.h
+++ b/src/config_versions/version_tracker.h
@@ -1,16 +1,16 @@
-/// Decides which version of each resource type runs, and what the control service is told: the
-/// client of the xDS transport protocol, state of the world, for types that refer to each other.
+/// Decides which version of each resource type runs. It is the client of the xDS transport protocol
+/// (state of the world) for types that refer to each other.
 /// Source: "xDS REST and gRPC protocol", Envoy documentation.
 ///
-/// Pure: events with their time in, actions out; no I/O, clock or thread. Memory is bounded: per
-/// type one version that runs and one that waits for another type.
+/// Pure: it takes events with their time and returns actions; it uses no I/O, clock or thread.
+/// Memory is bounded: for each type, one version that runs and one that waits for another type.
 ///
 /// Invariants, checked by tests/version_tracker_test.cpp and model/versions.pml:
-///  - what runs was accepted as a whole, and its types are valid together;
+///  - each running version was accepted as a whole, and the types are valid together;
 ///  - no older generation replaces a newer one without a rollback that names the newest;
-///  - after a loss, another attempt to connect follows within `reconnect_max`;
-///  - each response of a stream is answered at most once, and exactly once if the stream lasts for
-///    `dependency_timeout`.
+///  - after the loss of the stream, an attempt to connect follows within `reconnect_max`;
+///  - each response of a stream is acknowledged or rejected at most once, and exactly once if the
+///    stream lasts for `dependency_timeout`.
 #pragma once
 
 #include "actions.h"
@@ -28,40 +28,40 @@
 
 struct Settings {
   StreamSettings stream;
-  /// How long a response waits for another type that it refers to.
+  /// Time for which a response waits for another type that it refers to.
   Duration dependency_timeout = 3s;
   /// Shortest time between two ApplyConfiguration actions that responses cause.
   Duration apply_interval = 50ms;
   std::uint64_t seed = 1;
 };
 
-/// Times passed to one tracker never decrease. Actions are appended in the order in which they must
-/// be carried out.
+/// The caller passes times that never decrease, and performs the appended actions in their order.
 class VersionTracker {
 public:
   VersionTracker(Settings settings, Validator validator);
 
-  /// Sets what runs first. Call it before `start`.
+  /// Sets the versions that run first. Call it before `start`.
   void set_file_versions(FileVersions versions);
 
   /// Replaces the file's versions by those of a snapshot that are at least as new: all of them, or
   /// none if the result is not valid. Call it after `set_file_versions` and before `start`.
   [[nodiscard]] std::optional<ValidationError> restore_snapshot(SnapshotVersions snapshot);
 
-  /// Applies what there is and connects.
+  /// Applies the current versions and connects.
   void start(TimePoint now, Actions& actions);
 
-  /// Takes over the operators' file, read again. It replaces versions of the file, and versions of
-  /// a control service only where its generation is newer. Changes nothing on an error.
+  /// Replaces the versions by those of the operators' file, which was read again: each one of the
+  /// file, and one of a control service only if the file's generation is newer. Changes nothing on
+  /// an error.
   [[nodiscard]] std::optional<ValidationError>
   replace_file_versions(TimePoint now, FileVersions versions, Actions& actions);
 
-  /// Takes over the settings, read again. A change of addresses ends the stream.
+  /// Replaces the settings. A change of addresses ends the stream.
   void update_settings(TimePoint now, Settings settings, Actions& actions);
 
   void on_stream_opened(TimePoint now, Actions& actions);
 
-  /// Reports that anything at all came from the control service.
+  /// Reports that bytes of any kind arrived from the control service.
   void on_bytes_received(TimePoint now);
 
   void on_response(TimePoint now, const DiscoveryResponse& response, Actions& actions);
--- a/src/grpc/message_framing.cpp
+++ b/src/grpc/message_framing.cpp
@@ -54,7 +54,7 @@
   bytes_.erase(0, kPrefixSize + size);
   if (bytes_.empty())
     std::string().swap(bytes_);  // an idle stream allocates no memory
-  return common::Result<std::optional<std::string>, FramingError>(std::move(message));
+  return {std::move(message)};
 }
 
 FramingError MessageReader::fail(FramingError error) {
--- a/tests/persistence_tracker_test.cpp
+++ b/tests/persistence_tracker_test.cpp
@@ -19,6 +19,7 @@
 
 std::vector<Term> terms_of(const std::vector<Message>& messages) {
   std::vector<Term> terms;
+  terms.reserve(messages.size());
   for (const Message& message : messages)
     terms.push_back(message.term);
   return terms;
--- a/tests/snapshot_codec_test.cpp
+++ b/tests/snapshot_codec_test.cpp
@@ -28,7 +28,7 @@
   team->mutable_budget()->set_per_second(3);
   team->mutable_budget()->set_burst(2);
   team->add_class_()->set_name("any");
-  snapshot.mutable_members();  // written also where it is not held
+  snapshot.mutable_members();  // a part is written even if it is empty
   state::v1::Part* limits = snapshot.mutable_limits();
   limits->set_held(true);
   limits->set_version("l1");
@@ -40,7 +40,7 @@
   return snapshot;
 }
 
-// A snapshot file as the program wrote it at commit d929b66, from make_sample().
+// A snapshot file that the program wrote at commit d929b66 from make_sample().
 constexpr std::array<unsigned char, 140> kRecordedFile = {
     0x67, 0x6f, 0x72, 0x73, 0x65, 0x62, 0x65, 0x61, 0x6d, 0x20, 0x73, 0x74, 0x61, 0x74, 0x65, 0x0a,
     0xf0, 0xbf, 0x16, 0x5e, 0xf1, 0x12, 0x6e, 0xe8, 0x08, 0x01, 0x12, 0x22, 0x08, 0x01, 0x12, 0x02,
--- a/tests/version_tracker_digest_test.cpp
+++ b/tests/version_tracker_digest_test.cpp
@@ -1,4 +1,4 @@
-// Long drawn histories of events against the version tracker, whose actions are recorded as a hash.
+// Long random histories of events for the version tracker, whose actions are recorded as a hash.
 
 #include "config_versions/version_tracker.h"
 
@@ -29,8 +29,8 @@
 
   void add(const std::string& text) {
     add(static_cast<std::uint64_t>(text.size()));
-    for (const char c : text)
-      add_byte(static_cast<unsigned char>(c));
+    for (const char character : text)
+      add_byte(static_cast<unsigned char>(character));
   }
 
   void add(const std::optional<ResourceType>& type) {
@@ -121,8 +121,8 @@
   std::uint64_t value_ = 0xcbf29ce484222325ULL;
 };
 
-/// Plays drawn events against one tracker, and adds each action and the state after each event to
-/// the digest.
+/// Plays random events on one tracker, and adds each action and the state after each event to the
+/// digest.
 class DrawnHistory {
 public:
   DrawnHistory(std::uint64_t seed, ActionDigest& digest) : random_(seed + 1), digest_(digest) {
@@ -145,7 +145,7 @@
   }
 
 private:
-  // As validate_reference, and limits above 6 are valid with nothing.
+  // Like validate_reference; in addition, limits above 6 are never valid.
   static std::optional<ValidationError> validate(const Bodies& bodies) {
     if (value_of(bodies[2]) > 6)
       return ValidationError{ValidationError::Code::InvalidContent,
@@ -155,10 +155,10 @@
 
   std::uint64_t draw(std::uint64_t bound) {  // splitmix64
     random_ += 0x9e3779b97f4a7c15ULL;
-    std::uint64_t z = random_;
-    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
-    z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
-    return (z ^ (z >> 31)) % bound;
+    std::uint64_t mixed = random_;
+    mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9ULL;
+    mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111ebULL;
+    return (mixed ^ (mixed >> 31)) % bound;
   }
 
   Version draw_version() {
--- a/tests/version_tracker_fixture.h
+++ b/tests/version_tracker_fixture.h
@@ -1,4 +1,4 @@
-/// Builders for the tests of the version tracker: bodies are numbers, so that a test sees at once
+/// Builders for the tests of the version tracker. Bodies are numbers, so that a test can compare
 /// what runs.
 #pragma once
 
@@ -39,7 +39,7 @@
   return file;
 }
 
-/// Makes a response with a nonce of its own.
+/// Makes a response with a unique nonce.
 inline DiscoveryResponse make_response(ResourceType type, std::uint64_t generation, int content,
                                        std::uint64_t rolls_back = 0) {
   static int nonce = 0;
@@ -56,7 +56,7 @@
   return response;
 }
 
-/// Makes a response that is wrong by itself.
+/// Makes a response that is invalid without the other types.
 inline DiscoveryResponse make_invalid_response(ResourceType type, std::uint64_t generation,
                                                int content, const std::string& error) {
   DiscoveryResponse response = make_response(type, generation, content);
--- a/tests/version_tracker_history_test.cpp
+++ b/tests/version_tracker_history_test.cpp
@@ -1,5 +1,5 @@
-// Every short history of events against the version tracker, with the invariants of
-// version_tracker.h after each step.
+// Every short history of events for the version tracker, with the invariants of version_tracker.h
+// checked after each event.
 
 #include "config_versions/version_tracker.h"
 
@@ -129,7 +129,7 @@
     running_[type] = response.generation;
   }
 
-  // A stream that lasts has all its responses answered.
+  // Each response is answered if its stream lasts.
   void check_all_answered() {
     for (int i = 0; i < 4 && tracker_->is_streaming(); ++i) {
       tracker_->on_bytes_received(now_);
@@ -145,7 +145,7 @@
   std::unique_ptr<VersionTracker> tracker_;
   Actions actions_;
   TimePoint now_{1000ms};
-  /// Nonces of the present stream.
+  /// Nonces of the current stream.
   std::set<std::string> unanswered_;
   std::map<std::string, DiscoveryResponse> responses_;
   std::array<std::uint64_t, kResourceTypeCount> newest_{};
--- a/tests/version_tracker_test.cpp
+++ b/tests/version_tracker_test.cpp
@@ -24,7 +24,7 @@
 /// Runs a tracker that validates references, and collects its actions.
 class VersionTrackerTest : public ::testing::Test {
 protected:
-  /// Makes a tracker with so many addresses, "a0", "a1" and so on.
+  /// Makes a tracker with the given number of addresses, "a0", "a1" and so on.
   void create_tracker(std::size_t addresses) {
     for (std::size_t i = 0; i < addresses; ++i)
       settings_.stream.addresses.push_back("a" + std::to_string(i));
@@ -50,7 +50,7 @@
     tracker_->on_timer(now_, actions_);
   }
 
-  /// Returns the actions of one type, and forgets all.
+  /// Returns the actions of one type, and removes all actions.
   template <typename ActionType>
   std::vector<ActionType> drain() {
     std::vector<ActionType> found;
@@ -107,7 +107,7 @@
 
   EXPECT_EQ(answer(make_response(kLimits, 5, 1, 7)), kAcknowledged);
   EXPECT_EQ(tracker_->accepted(kLimits).newest_generation, 7U);
-  // A server that lags goes on sending what was rolled back.
+  // A server with outdated state continues to send what was rolled back.
   EXPECT_EQ(answer(make_response(kLimits, 7, 2)), "generation 7 was rolled back");
   EXPECT_EQ(answer(make_response(kLimits, 6, 4)),
             "generation 6 is older than 7, the newest accepted");
@@ -245,7 +245,7 @@
   return snapshot;
 }
 
-/// The same, with the members that it refers to.
+/// Like make_snapshot_of_contracts, with the members that the contracts refer to.
 SnapshotVersions make_complete_snapshot() {
   SnapshotVersions snapshot = make_snapshot_of_contracts();
   AcceptedVersion& members = snapshot[1].emplace();
