--- a/fuzz/control.cpp
+++ b/fuzz/control.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::size_t kFramingPieceBytes = 7;
 constexpr std::size_t kHttp2PieceBytes = 64;
-constexpr std::int64_t kTimePerPiece = 1'000'000;
+constexpr Duration kTimePerPiece = 1ms;
 
 config::ValidationContext make_site() {
   config::ValidationContext site;
@@ -55,7 +55,7 @@
     const auto response = xds::decode_response(bytes, site_);
     if (!response)
       return;
-    ++now_;
+    now_ += 1ns;
     actions_.clear();
     tracker_.on_response(now_, response.value(), actions_);
     for (const config_versions::Action& action : actions_)
@@ -71,10 +71,9 @@
       return;
     if (validate(configuration->bodies))
       std::abort();
-    const config::pb::Contracts& contracts = xds::contracts_of(configuration->bodies[0]);
-    const config::pb::Members& members = xds::members_of(configuration->bodies[1]);
-    static_cast<void>(config::to_contract_set(contracts, site_.classes));
-    static_cast<void>(config::to_endpoints(members.postgres()));
+    static_cast<void>(
+        config::to_contract_set(xds::contracts_of(applied->bodies[0]), site_.classes));
+    static_cast<void>(config::to_endpoints(xds::members_of(applied->bodies[1]).postgres()));
   }
 
   [[nodiscard]] std::optional<config_versions::ValidationError>
@@ -92,16 +91,18 @@
   config::ValidationContext site_ = make_site();
   config_versions::VersionTracker tracker_;
   config_versions::Actions actions_;
-  TimePoint now_ = 1;
+  TimePoint now_{1ns};
 };
 
 void feed_frames(std::string_view bytes, CheckedTracker& tracker) {
   grpc::MessageReader reader;
-  std::string message;
-  for (std::size_t offset = 0; offset < bytes.size(); offset += kFramingPieceBytes) {
-    reader.feed(bytes.substr(offset, kFramingPieceBytes));
-    while (reader.next(message) == grpc::MessageReader::Status::Complete)
-      tracker.receive_message(message);
+  for (std::size_t at = 0; at < bytes.size(); at += kFramingPieceBytes) {
+    reader.feed(bytes.substr(at, kFramingPieceBytes));
+    auto message = reader.next();
+    while (message && message.value()) {
+      tracker.receive_message(*message.value());
+      message = reader.next();
+    }
   }
 }
 
@@ -113,14 +114,12 @@
 void feed_http2(std::string_view bytes, CheckedTracker& tracker) {
   grpc::Session session("127.0.0.1:1", xds::kAggregatedStreamPath);
   discard_output(session);
-  std::string message;
-  std::int64_t now = 0;
-  for (std::size_t offset = 0; offset < bytes.size() && !session.error();
-       offset += kHttp2PieceBytes) {
+  TimePoint now{};
+  for (std::size_t at = 0; at < bytes.size() && !session.error(); at += kHttp2PieceBytes) {
     now += kTimePerPiece;
-    session.receive(bytes.substr(offset, kHttp2PieceBytes), now);
-    while (session.next_message(message))
-      tracker.receive_message(message);
+    session.receive(bytes.substr(at, kHttp2PieceBytes), now);
+    while (const auto message = session.next_message())
+      tracker.receive_message(*message);
     discard_output(session);
   }
 }
--- a/src/config_versions/version_tracker.h
+++ b/src/config_versions/version_tracker.h
@@ -1,67 +1,67 @@
-/// Decides which version of each resource type runs, and what the control service is told: the
-/// client of the xDS transport protocol, state of the world, for types that refer to each other.
+/// Decides which version of each resource type runs. It is the client of the xDS transport protocol
+/// (state of the world) for types that refer to each other.
 /// Source: "xDS REST and gRPC protocol", Envoy documentation.
 ///
-/// Pure: events with their time in, actions out; no I/O, clock or thread. Memory is bounded: per
-/// type one version that runs and one that waits for another type.
+/// Pure: it takes events with their time and returns actions; it uses no I/O, clock or thread.
+/// Memory is bounded: for each type, one version that runs and one that waits for another type.
 ///
 /// Invariants, checked by tests/version_tracker_test.cpp and model/versions.pml:
-///  - what runs was accepted as a whole, and its types are valid together;
+///  - each running version was accepted as a whole, and the types are valid together;
 ///  - no older generation replaces a newer one without a rollback that names the newest;
-///  - after a loss, another attempt to connect follows within `reconnect_max`;
-///  - each response of a stream is answered at most once, and exactly once if the stream lasts for
-///    `dependency_timeout`.
+///  - after the loss of the stream, an attempt to connect follows within `reconnect_max`;
+///  - each response of a stream is acknowledged or rejected at most once, and exactly once if the
+///    stream lasts for `dependency_timeout`.
 #pragma once
 
 #include "actions.h"
+#include "apply_scheduler.h"
 #include "configuration.h"
+#include "pending_responses.h"
 #include "stream_lifecycle.h"
 
 #include <array>
-#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
 
 namespace gorsebeam::config_versions {
 
-/// All durations are in nanoseconds.
 struct Settings {
   StreamSettings stream;
-  /// How long a response waits for another type that it refers to.
+  /// Time for which a response waits for another type that it refers to.
   Duration dependency_timeout = 3s;
   /// Shortest time between two ApplyConfiguration actions that responses cause.
   Duration apply_interval = 50ms;
   std::uint64_t seed = 1;
 };
 
-/// Times passed to one tracker never decrease. Actions are appended in the order in which they must
-/// be carried out.
+/// The caller passes times that never decrease, and performs the appended actions in their order.
 class VersionTracker {
 public:
   VersionTracker(Settings settings, Validator validator);
 
-  /// Sets what runs first. Call it before `start`.
+  /// Sets the versions that run first. Call it before `start`.
   void set_file_versions(FileVersions versions);
 
   /// Replaces the file's versions by those of a snapshot that are at least as new: all of them, or
   /// none if the result is not valid. Call it after `set_file_versions` and before `start`.
   [[nodiscard]] std::optional<ValidationError> restore_snapshot(SnapshotVersions snapshot);
 
-  /// Applies what there is and connects.
+  /// Applies the current versions and connects.
   void start(TimePoint now, Actions& actions);
 
-  /// Takes over the operators' file, read again. It replaces versions of the file, and versions of
-  /// a control service only where its generation is newer. Changes nothing on an error.
+  /// Replaces the versions by those of the operators' file, which was read again: each one of the
+  /// file, and one of a control service only if the file's generation is newer. Changes nothing on
+  /// an error.
   [[nodiscard]] std::optional<ValidationError>
   replace_file_versions(TimePoint now, FileVersions versions, Actions& actions);
 
-  /// Takes over the settings, read again. A change of addresses ends the stream.
+  /// Replaces the settings. A change of addresses ends the stream.
   void update_settings(TimePoint now, Settings settings, Actions& actions);
 
   void on_stream_opened(TimePoint now, Actions& actions);
 
-  /// Reports that anything at all came from the control service.
+  /// Reports that bytes of any kind arrived from the control service.
   void on_bytes_received(TimePoint now);
 
   void on_response(TimePoint now, const DiscoveryResponse& response, Actions& actions);
@@ -74,7 +74,7 @@
   [[nodiscard]] TimePoint next_deadline() const;
 
   [[nodiscard]] const AcceptedVersion& accepted(ResourceType type) const {
-    return types_[index_of(type)].accepted;
+    return accepted_[index_of(type)];
   }
 
   [[nodiscard]] bool is_streaming() const { return stream_.is_streaming(); }
@@ -83,54 +83,46 @@
   [[nodiscard]] const std::string& address() const { return stream_.address(); }
 
 private:
-  /// A response that is valid by itself and refers to what another type has not brought yet.
-  struct PendingDependency {
-    DiscoveryResponse response;
-    TimePoint deadline{};
-    std::string missing;
-  };
+  [[nodiscard]] AcceptedVersion& accepted_of(ResourceType type) {
+    return accepted_[index_of(type)];
+  }
 
-  struct TypeState {
-    AcceptedVersion accepted;
-    std::optional<PendingDependency> pending;
-    /// The version that the control service was last told to run here, on whatever stream.
-    std::string acknowledged_version;
-  };
+  [[nodiscard]] std::string& acknowledged_version_of(ResourceType type) {
+    return acknowledged_versions_[index_of(type)];
+  }
 
-  /// A set of types: bit i stands for the type of index i.
-  using TypeSet = unsigned;
+  [[nodiscard]] Bodies running_bodies() const;
 
-  [[nodiscard]] TypeState& state_of(ResourceType type) { return types_[index_of(type)]; }
+  /// Replaces the versions of the given types by those of the file; returns whether the content of
+  /// one of them differs.
+  [[nodiscard]] bool replace_by_file(TimePoint now, FileVersions versions, TypeSet types);
 
-  [[nodiscard]] Bodies running_bodies() const;
-  [[nodiscard]] bool is_pending(TypeSet types) const;
-  [[nodiscard]] Bodies bodies_with_pending(TypeSet types) const;
+  void clear_pending_without_stream();
 
-  void drop_pending_without_stream();
+  void add_pending(TimePoint now, const DiscoveryResponse& response, Actions& actions);
+  void accept_pending(TimePoint now, Actions& actions);
+  void accept_running_content(ResourceType type, const DiscoveryResponse& response,
+                              Actions& actions);
+  void accept_new_content(TimePoint now, ResourceType type, const DiscoveryResponse& response,
+                          Actions& actions);
+  void adopt_identity(ResourceType type, const DiscoveryResponse& response);
+  void acknowledge(ResourceType type, const DiscoveryResponse& response, std::string detail,
+                   Actions& actions);
 
-  void reject_superseded(TypeState& state, const DiscoveryResponse& successor, Actions& actions);
-  void reject_expired(TimePoint now, Actions& actions);
   void reject(const DiscoveryResponse& response, const RejectionError& error, Actions& actions);
-  void wait_for_dependency(TimePoint now, const DiscoveryResponse& response, Actions& actions);
-  void accept_pending(TimePoint now, Actions& actions);
-  [[nodiscard]] bool accept_all(TimePoint now, TypeSet types, Actions& actions);
-  [[nodiscard]] bool accept(TimePoint now, ResourceType type, const DiscoveryResponse& response,
-                            Actions& actions);
-  [[nodiscard]] bool replace_running(TimePoint now, TypeState& state,
-                                     const DiscoveryResponse& response, Actions& actions);
+  void reject_superseded(ResourceType type, const DiscoveryResponse& successor, Actions& actions);
+  void reject_expired(TimePoint now, Actions& actions);
 
-  void schedule_apply(TimePoint now, Actions& actions);
   void apply(TimePoint now, Actions& actions);
-  [[nodiscard]] bool is_apply_due(TimePoint now) const;
 
   Settings settings_;
   Validator validator_;
   StreamLifecycle stream_;
-  std::array<TypeState, kResourceTypeCount> types_;
-  bool apply_pending_ = false;
-  /// Negative: never.
-  std::optional<TimePoint> last_applied_at_;
-  std::array<std::uint64_t, kResourceTypeCount> applied_hashes_{};
+  AcceptedVersions accepted_;
+  /// The version of each type that was last acknowledged to the control service, on any stream.
+  std::array<std::string, kResourceTypeCount> acknowledged_versions_;
+  PendingResponses pending_;
+  ApplyScheduler apply_scheduler_;
 };
 
 }  // namespace gorsebeam::config_versions
