--- a/tests/mongo_replies_test.cpp
+++ b/tests/mongo_replies_test.cpp
@@ -14,22 +14,23 @@
 using namespace std::string_literals;
 
 TEST(MongoHello, EncodesReplyOfARouter) {
-  EXPECT_EQ(encode_hello_reply(4096, TimePoint(258ms)), "\x0d\1\0\0"
-                                                   "\x08helloOk\0\1"
-                                                   "\x08ismaster\0\1"
-                                                   "\x08isWritablePrimary\0\1"
-                                                   "\x02msg\0\x09\0\0\0isdbgrid\0"
-                                                   "\x10maxBsonObjectSize\0\0\x10\0\0"
-                                                   "\x10maxMessageSizeBytes\0\0\x10\0\0"
-                                                   "\x10maxWriteBatchSize\0\xe8\3\0\0"
-                                                   "\x09localTime\0\2\1\0\0\0\0\0\0"
-                                                   "\x10logicalSessionTimeoutMinutes\0\x1e\0\0\0"
-                                                   "\x10"
-                                                   "connectionId\0\1\0\0\0"
-                                                   "\x10minWireVersion\0\0\0\0\0"
-                                                   "\x10maxWireVersion\0\x11\0\0\0"
-                                                   "\x08readOnly\0\0"
-                                                   "\1ok\0\0\0\0\0\0\0\xf0\x3f\0"s);
+  EXPECT_EQ(encode_hello_reply(4096, TimePoint(258ms)),
+            "\x0d\1\0\0"
+            "\x08helloOk\0\1"
+            "\x08ismaster\0\1"
+            "\x08isWritablePrimary\0\1"
+            "\x02msg\0\x09\0\0\0isdbgrid\0"
+            "\x10maxBsonObjectSize\0\0\x10\0\0"
+            "\x10maxMessageSizeBytes\0\0\x10\0\0"
+            "\x10maxWriteBatchSize\0\xe8\3\0\0"
+            "\x09localTime\0\2\1\0\0\0\0\0\0"
+            "\x10logicalSessionTimeoutMinutes\0\x1e\0\0\0"
+            "\x10"
+            "connectionId\0\1\0\0\0"
+            "\x10minWireVersion\0\0\0\0\0"
+            "\x10maxWireVersion\0\x11\0\0\0"
+            "\x08readOnly\0\0"
+            "\1ok\0\0\0\0\0\0\0\xf0\x3f\0"s);
 }
 
 TEST(MongoHello, ReadsApplicationName) {
