--- a/fuzz/control.cpp
+++ b/fuzz/control.cpp
@@ -72,8 +72,8 @@
     if (validate(configuration->bodies))
       std::abort();
     static_cast<void>(
-        config::to_contract_set(xds::contracts_of(applied->bodies[0]), site_.classes));
-    static_cast<void>(config::to_endpoints(xds::members_of(applied->bodies[1]).postgres()));
+        config::to_contract_set(xds::contracts_of(configuration->bodies[0]), site_.classes));
+    static_cast<void>(config::to_endpoints(xds::members_of(configuration->bodies[1]).postgres()));
   }
 
   [[nodiscard]] std::optional<config_versions::ValidationError>
