--- a/src/config/conversion.cpp
+++ b/src/config/conversion.cpp
@@ -51,10 +51,10 @@
     proxy::TeamContract& contract = result.teams[team.name()];
     contract.groups.insert(team.group().begin(), team.group().end());
     for (const pb::ServiceClass& service_class : team.class_()) {
-      proxy::ClassPolicy& policy = contract.classes[classes.at(service_class.name())];
+      proxy::ClassLimits& limits = contract.classes[classes.at(service_class.name())];
       if (service_class.longest_wait_ms() > 0)
-        policy.max_deadline = std::chrono::milliseconds(service_class.longest_wait_ms());
-      policy.max_attempts = service_class.tries();
+        limits.max_deadline = std::chrono::milliseconds(service_class.longest_wait_ms());
+      limits.max_attempts = service_class.tries();
     }
     if (!team.has_budget())
       continue;
--- a/src/mongo/client_connection.cpp
+++ b/src/mongo/client_connection.cpp
@@ -38,13 +38,13 @@
     return rewriter_.rewrite(op_msg, request_kind_, left);
   }
 
-  void respond(const proxy::ByteSpans& value) override {
+  void respond(const proxy::ByteSpans& body) override {
     const std::string flags = encode_u32(0);
-    const std::size_t payload_size = flags.size() + wire::total_size(value);
+    const std::size_t payload_size = flags.size() + wire::total_size(body);
     const std::string header =
         encode_header(payload_size, ++last_sent_id_, message_id_, Opcode::Msg);
     proxy::ByteSpans parts{header, flags};
-    parts.insert(parts.end(), value.begin(), value.end());
+    parts.insert(parts.end(), body.begin(), body.end());
     send(parts);
     complete_request();
   }
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -99,7 +99,7 @@
   }
   if (is_ok(document)) {
     response.status = AttemptStatus::Ok;
-    response.value = {sections};
+    response.body = {sections};
     return response;
   }
   const ErrorCode code = error_code_of(document);
@@ -107,7 +107,7 @@
   if (code == ErrorCode::NotWritablePrimary)
     response.role = Role::Replica;
   if (response.status == AttemptStatus::Error)
-    response.value = {sections};
+    response.body = {sections};
   return response;
 }
 
--- a/src/postgres/client_connection.cpp
+++ b/src/postgres/client_connection.cpp
@@ -40,8 +40,8 @@
     return rewriter_.rewrite(text, deadline_, left);
   }
 
-  void respond(const proxy::ByteSpans& value) override {
-    proxy::ByteSpans parts = value;
+  void respond(const proxy::ByteSpans& body) override {
+    proxy::ByteSpans parts = body;
     parts.emplace_back(kReadyForQuery);
     complete_request(parts);
   }
--- a/src/postgres/upstream_protocol.cpp
+++ b/src/postgres/upstream_protocol.cpp
@@ -137,7 +137,7 @@
     if (has_invalid_rows_ || row_description_.empty() || row_.empty() || command_complete_.empty())
       return {Status::Malformed, 0, {}};
     response_.status = AttemptStatus::Ok;
-    response_.value = {row_description_, row_, command_complete_};
+    response_.body = {row_description_, row_, command_complete_};
     return {Status::Complete, size, std::move(response_)};
   }
 
--- a/src/proxy/contract_enforcer.cpp
+++ b/src/proxy/contract_enforcer.cpp
@@ -23,14 +23,14 @@
   if (found == contracts_->teams.end())
     return Decision::UnknownTeam;
   const TeamContract& contract = found->second;
-  const auto policy = contract.classes.find(request.class_index);
-  if (policy == contract.classes.end())
+  const auto limits = contract.classes.find(request.class_index);
+  if (limits == contract.classes.end())
     return Decision::ClassNotAllowed;
   if (!contract.groups.empty() && contract.groups.count(request.group) == 0)
     return Decision::GroupNotAllowed;
-  request.max_attempts = policy->second.max_attempts;
-  if (policy->second.max_deadline)
-    request.deadline = std::min(request.deadline, now + *policy->second.max_deadline);
+  request.max_attempts = limits->second.max_attempts;
+  if (limits->second.max_deadline)
+    request.deadline = std::min(request.deadline, now + *limits->second.max_deadline);
   request.rate_limit_retry_after = buckets_.try_acquire(team, now);
   return Decision::Admitted;
 }
--- a/src/proxy/contract_enforcer.h
+++ b/src/proxy/contract_enforcer.h
@@ -16,14 +16,14 @@
 namespace gorsebeam::proxy {
 
 /// The limits of one request class in one team's contract.
-struct ClassPolicy {
+struct ClassLimits {
   std::optional<Duration> max_deadline;  ///< From the arrival of a request; empty: no limit.
   std::uint32_t max_attempts = 0;        ///< Of one request; 0: the limit of the settings.
 };
 
 /// The contract of one team.
 struct TeamContract {
-  std::map<std::size_t, ClassPolicy> classes;  ///< By index into `Settings::classes`.
+  std::map<std::size_t, ClassLimits> classes;  ///< By index into `Settings::classes`.
   std::set<GroupId> groups;                    ///< That the team may use; empty: all groups.
 };
 
--- a/src/proxy/interfaces.h
+++ b/src/proxy/interfaces.h
@@ -45,7 +45,7 @@
   /// Of a write whose commit is not at the replication position.
   std::optional<ReplicationPosition> commit_position;
   LoadReport load_report;
-  ByteSpans value;  ///< With `Ok`: the response body, valid during the call that passes it.
+  ByteSpans body;  ///< With `Ok`: the response body, valid during the call that passes it.
 };
 
 /// A client's open request, owned by its frontend.
@@ -66,7 +66,7 @@
   virtual ByteSpans body(Duration left) = 0;
 
   /// Final answer: the response body, which is valid during the call.
-  virtual void respond(const ByteSpans& value) = 0;
+  virtual void respond(const ByteSpans& body) = 0;
 
   /// Final answer: the client can safely send the request again, after `retry_after` if that is
   /// above 0.
--- a/src/proxy/request_broker.cpp
+++ b/src/proxy/request_broker.cpp
@@ -93,7 +93,7 @@
     log_failed_attempt(result);
   queue_.push(std::move(result));
   if (is_answer)
-    requests_.complete(attempt->request_id)->respond(response.value);
+    requests_.complete(attempt->request_id)->respond(response.body);
 }
 
 void RequestBroker::complete_health_check(EndpointId endpoint, const UpstreamResponse& response) {
--- a/src/proxy/request_broker.h
+++ b/src/proxy/request_broker.h
@@ -49,7 +49,7 @@
   /// Ignored if the request is complete.
   void client_disconnected(const std::string& request_id);
 
-  /// For the upstream: the one end of an attempt. `response.value` is read only during this call.
+  /// For the upstream: the one end of an attempt. `response.body` is read only during this call.
   /// Ignored if the attempt has ended.
   void complete_attempt(AttemptId attempt, const UpstreamResponse& response);
 
--- a/tests/mongo_upstream_protocol_test.cpp
+++ b/tests/mongo_upstream_protocol_test.cpp
@@ -87,7 +87,7 @@
     ASSERT_EQ(parsed.status, ParsedResponse::Status::Complete);
     EXPECT_EQ(parsed.response.status, each.status) << each.code;
     EXPECT_EQ(parsed.response.role, each.role) << each.code;
-    EXPECT_EQ(parsed.response.value.empty(), each.status != AttemptStatus::Error) << each.code;
+    EXPECT_EQ(parsed.response.body.empty(), each.status != AttemptStatus::Error) << each.code;
   }
 }
 
