--- a/src/command_line/command_line.cpp
+++ b/src/command_line/command_line.cpp
@@ -53,8 +53,8 @@
   return environment ? environment : "";
 }
 
-int serve(gateway::Plan plan) {
-  gateway::Gateway gateway(std::move(plan));
+int serve(gateway::GatewayConfig config) {
+  gateway::Gateway gateway(std::move(config));
   if (const auto error = gateway.start()) {
     std::cerr << "gorsebeam: " << error->message << '\n';
     return kExitFailure;
@@ -69,14 +69,14 @@
     std::cerr << "gorsebeam: no configuration: give --config FILE or set RELAY_CONFIG\n";
     return kExitUnusable;
   }
-  auto plan =
-      gateway::read_plan(platform_config, find_option(arguments, "file").value_or(std::string()));
-  if (!plan) {
-    std::cerr << "gorsebeam: " << plan.error().to_string() << '\n';
+  auto config = gateway::read_gateway_config(
+      platform_config, find_option(arguments, "file").value_or(std::string()));
+  if (!config) {
+    std::cerr << "gorsebeam: " << config.error().to_string() << '\n';
     return kExitFailure;
   }
   if (command == "serve")
-    return serve(std::move(plan.value()));
+    return serve(std::move(config.value()));
   std::cout << "gorsebeam: the files are fine\n";
   return kExitSuccess;
 }
--- a/src/connection_admission/connection_admission.cpp
+++ b/src/connection_admission/connection_admission.cpp
@@ -13,8 +13,8 @@
 // On the recorded days nine of ten second requests came sooner than this.
 constexpr Duration kMinIdleTimeAfterOneRequest = 100ms;
 constexpr Duration kMinIdleTimeForEviction = 50ms;
-constexpr Duration kBusyInterval = 50ms;
-constexpr Duration kRegularInterval = 200ms;
+constexpr Duration kBusyCheckInterval = 50ms;
+constexpr Duration kRegularCheckInterval = 200ms;
 
 bool closes_before(const IdleConnection& left, const IdleConnection& right) {
   return std::tuple(left.answered_requests > 0, left.idle_since, left.index) <
@@ -60,7 +60,7 @@
 }
 
 Duration surplus_check_interval(std::size_t connected, std::size_t max_connections) {
-  return connected > max_connections / 2 ? kBusyInterval : kRegularInterval;
+  return connected > max_connections / 2 ? kBusyCheckInterval : kRegularCheckInterval;
 }
 
 }  // namespace gorsebeam::connection_admission
--- a/src/connection_admission/connection_admission.h
+++ b/src/connection_admission/connection_admission.h
@@ -22,8 +22,8 @@
 
 /// A connection that may be closed while too many are open.
 struct CloseCandidate {
-  std::size_t index = 0;  ///< As in `IdleConnection`.
-  std::size_t above = 0;  ///< It is closed only while more connections than this are open.
+  std::size_t index = 0;        ///< As in `IdleConnection`.
+  std::size_t close_above = 0;  ///< It is closed only while more connections than this are open.
 };
 
 /// Ranks the connections that may be closed when a new one finds no capacity; the caller closes the
--- a/src/connection_pool/connection_pool.cpp
+++ b/src/connection_pool/connection_pool.cpp
@@ -77,13 +77,13 @@
   PooledConnection* connection = acquire_idle(endpoints_[endpoint]);
   if (connection == nullptr) {
     if (!ensure_capacity(endpoint)) {
-      release(endpoint, assignment, response_with(AttemptStatus::NotSent));
+      complete_assignment(endpoint, assignment, response_with(AttemptStatus::NotSent));
       return;
     }
     connection = open_connection(endpoint);
   }
   if (connection == nullptr) {
-    release(endpoint, assignment, response_with(AttemptStatus::ConnectFailed));
+    complete_assignment(endpoint, assignment, response_with(AttemptStatus::ConnectFailed));
     return;
   }
   if (assignment.attempt)
@@ -116,7 +116,7 @@
   while (!endpoint.idle.empty()) {
     PooledConnection* const connection = endpoint.idle.back();
     const Duration idle_time = connection->idle_time(net::now());
-    if (connection->is_idle_and_silent() && is_within(idle_time, limit_by_settings) &&
+    if (connection->is_open_without_input() && is_within(idle_time, limit_by_settings) &&
         is_within(idle_time, limit_by_estimate)) {
       endpoint.idle.pop_back();
       return connection;
@@ -163,8 +163,8 @@
   idle_lifetime_.record_reuse(net::now(), idle_time, outcome);
 }
 
-void ConnectionPool::release(EndpointId endpoint, const Assignment& assignment,
-                             const proxy::UpstreamResponse& response) {
+void ConnectionPool::complete_assignment(EndpointId endpoint, const Assignment& assignment,
+                                         const proxy::UpstreamResponse& response) {
   if (!assignment.attempt) {
     broker_.complete_health_check(endpoint, response);
     return;
--- a/src/connection_pool/connection_pool.h
+++ b/src/connection_pool/connection_pool.h
@@ -58,8 +58,8 @@
   [[nodiscard]] bool is_current_address(EndpointId endpoint,
                                         const std::string& address) const override;
   void record_reuse(Duration idle_time, ReuseOutcome outcome) override;
-  void release(EndpointId endpoint, const Assignment& assignment,
-               const proxy::UpstreamResponse& response) override;
+  void complete_assignment(EndpointId endpoint, const Assignment& assignment,
+                           const proxy::UpstreamResponse& response) override;
   void add_idle(PooledConnection& connection) override;
   void discard(PooledConnection& connection) override;
 
--- a/src/connection_pool/pooled_connection.cpp
+++ b/src/connection_pool/pooled_connection.cpp
@@ -46,7 +46,7 @@
       endpoint_(endpoint), address_(std::move(address)),
       stream_(net::Stream::connect(address_, *this)) {}
 
-bool PooledConnection::is_idle_and_silent() const {
+bool PooledConnection::is_open_without_input() const {
   return is_open() && stream_->input().size() == 0 && !stream_->readable();
 }
 
@@ -67,11 +67,11 @@
 void PooledConnection::detach_call() {
   assignment_->call = nullptr;
   if (state_.is_opening())
-    release(response_with(AttemptStatus::NotSent), Disposition::Keep);
+    end_assignment(response_with(AttemptStatus::NotSent), Disposition::Keep);
 }
 
 void PooledConnection::fail(AttemptStatus status) {
-  release(response_with(status), Disposition::Close);
+  end_assignment(response_with(status), Disposition::Close);
 }
 
 void PooledConnection::close() {
@@ -107,7 +107,7 @@
     const auto reason = left <= 0ms ? NotWrittenReason::OutOfTime : NotWrittenReason::NotAllowed;
     net::log({"attempt_not_written",
               {{"endpoint", std::to_string(endpoint_)}, {"reason", name_of(reason)}}});
-    release(response_with(AttemptStatus::NotSent), Disposition::Keep);
+    end_assignment(response_with(AttemptStatus::NotSent), Disposition::Keep);
     return;
   }
   state_.start_writing();
@@ -188,8 +188,8 @@
   // A connection is not reusable after a response to a request that was written only in part, or
   // with bytes behind the response.
   const bool is_reusable = state_.is_request_written() && input.size() == parsed.consumed_bytes;
-  release(parsed.response, is_reusable ? Disposition::Keep : Disposition::Close,
-          parsed.consumed_bytes);
+  end_assignment(parsed.response, is_reusable ? Disposition::Keep : Disposition::Close,
+                 parsed.consumed_bytes);
 }
 
 bool PooledConnection::can_buffer_response(std::size_t input_size) const {
@@ -213,15 +213,15 @@
     return;
   }
   if (!state_.is_request_written()) {
-    release(response_with(AttemptStatus::ConnectFailed), Disposition::Broken);
+    end_assignment(response_with(AttemptStatus::ConnectFailed), Disposition::Broken);
     return;
   }
   const ParsedResponse parsed =
       protocol_->parse_response(stream_->input().view(), assignment_->kind(), InputState::Ended);
   if (parsed.status == ParsedResponse::Status::Complete)
-    release(parsed.response, Disposition::Close);
+    end_assignment(parsed.response, Disposition::Close);
   else
-    release(response_with(AttemptStatus::Reset), Disposition::Broken);
+    end_assignment(response_with(AttemptStatus::Reset), Disposition::Broken);
 }
 
 void PooledConnection::handle_timer() {
@@ -237,8 +237,8 @@
 // A connection that is not kept is closed before the router learns of the end, as the router may
 // start another attempt at once and two must not be in flight. One that is kept is idle when the
 // batch ends, so that the next attempt finds it.
-void PooledConnection::release(const proxy::UpstreamResponse& response, Disposition disposition,
-                               std::size_t consumed_bytes) {
+void PooledConnection::end_assignment(const proxy::UpstreamResponse& response,
+                                      Disposition disposition, std::size_t consumed_bytes) {
   const std::optional<Assignment> assignment = std::exchange(assignment_, std::nullopt);
   record_reuse(disposition);
   timer_.stop();
@@ -246,7 +246,7 @@
   if (disposition != Disposition::Keep)
     stream_->close();
   if (assignment)
-    owner_.release(endpoint_, *assignment, response);
+    owner_.complete_assignment(endpoint_, *assignment, response);
   if (disposition != Disposition::Keep) {
     owner_.discard(*this);
     return;
--- a/src/connection_pool/pooled_connection.h
+++ b/src/connection_pool/pooled_connection.h
@@ -46,8 +46,8 @@
     /// An assignment ended for which a connection was reused that had been idle for `idle_time`.
     virtual void record_reuse(Duration idle_time, ReuseOutcome outcome) = 0;
     /// The one end of an assignment.
-    virtual void release(EndpointId endpoint, const Assignment& assignment,
-                         const proxy::UpstreamResponse& response) = 0;
+    virtual void complete_assignment(EndpointId endpoint, const Assignment& assignment,
+                                     const proxy::UpstreamResponse& response) = 0;
     /// The connection is ready for another assignment.
     virtual void add_idle(PooledConnection& connection) = 0;
     /// Closes the connection and forgets it. Ignored if that was done before.
@@ -63,7 +63,7 @@
 
   /// Of an idle connection: whether it is open and nothing has arrived since it became idle. Bytes
   /// or an end mean that the endpoint has given the connection up.
-  [[nodiscard]] bool is_idle_and_silent() const;
+  [[nodiscard]] bool is_open_without_input() const;
 
   /// A request or health check is written, as a whole or in part, and its response is awaited.
   [[nodiscard]] bool is_awaiting_response() const {
@@ -115,8 +115,8 @@
   void handle_timer();
   /// Ends the present assignment, if there is one, with `response`, of which the framing takes
   /// `consumed_bytes` of the input.
-  void release(const proxy::UpstreamResponse& response, Disposition disposition,
-               std::size_t consumed_bytes = 0);
+  void end_assignment(const proxy::UpstreamResponse& response, Disposition disposition,
+                      std::size_t consumed_bytes = 0);
   void record_reuse(Disposition disposition);
   void become_idle();
 
--- a/src/frontend/client_connection.cpp
+++ b/src/frontend/client_connection.cpp
@@ -15,7 +15,7 @@
 constexpr Duration kMaxMessageTime = 5s / 2;    // an error or a close is due 3 s after connect
 constexpr Duration kMaxResponseWriteTime = 5s;  // longer than any deadline
 constexpr std::size_t kMaxMessagesPerIteration = 16;  // of one connection
-constexpr std::size_t kMessageSlack = 1024;
+constexpr std::size_t kMaxFramingBytes = 1024;
 
 // Bytes that are read after a pending request while memory is short.
 constexpr std::size_t kMaxReadAheadUnderPressure = 8 * 1024;
@@ -26,7 +26,7 @@
     : frontend_(frontend),
       stream_(net::Stream::adopt(std::move(socket), *this, frontend.earliest_accept_arrival())),
       last_progress_at_(net::now()), resume_timer_([this] {
-        process_input_guarded();
+        resume_processing();
       }) {}
 
 bool ClientConnection::has_pending_request() const {
@@ -46,7 +46,7 @@
 }
 
 std::size_t ClientConnection::max_message_bytes() const {
-  return frontend_.limits().message_bytes;
+  return frontend_.limits().max_message_bytes;
 }
 
 void ClientConnection::received() {
@@ -65,11 +65,12 @@
 // many messages is noticed. Beyond that the end of its sending side is watched without reading.
 void ClientConnection::limit_read_ahead() {
   const FrontendLimits& limits = frontend_.limits();
-  const bool has_memory = net::total_buffered_bytes() <= limits.buffered_bytes / 2;
-  const std::size_t max_read_ahead = has_memory ? limits.message_bytes : kMaxReadAheadUnderPressure;
+  const bool has_memory = net::total_buffered_bytes() <= limits.max_buffered_bytes / 2;
+  const std::size_t max_read_ahead =
+      has_memory ? limits.max_message_bytes : kMaxReadAheadUnderPressure;
   const bool is_pending = has_pending_request();
   const std::size_t max_size =
-      is_pending ? request_size_ + max_read_ahead : limits.message_bytes + kMessageSlack;
+      is_pending ? request_size_ + max_read_ahead : limits.max_message_bytes + kMaxFramingBytes;
   if (input().size() > max_size)
     stream_->pause_reading(is_pending ? net::PeerCloseWatch::On : net::PeerCloseWatch::Off);
 }
@@ -123,7 +124,7 @@
   return has_consumed && !input().empty();
 }
 
-void ClientConnection::process_input_guarded() {
+void ClientConnection::resume_processing() {
   try {
     process_input();
   } catch (const std::exception& error) {
@@ -183,7 +184,7 @@
     return std::nullopt;
   if (!input().empty())
     return RejectReason::IncompleteMessage;
-  if (has_sent_message_ || has_unread())
+  if (has_sent_message_ || has_unread_input())
     return std::nullopt;
   return RejectReason::NothingSent;
 }
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -30,7 +30,7 @@
   [[nodiscard]] bool has_client_disconnected() const override { return stream_->has_peer_closed(); }
 
   /// Whether the kernel holds unread input or the end of the client's sending side.
-  [[nodiscard]] bool has_unread() const { return stream_->readable(); }
+  [[nodiscard]] bool has_unread_input() const { return stream_->readable(); }
 
   /// The sending side is closed, and the connection waits until the client closes its side.
   [[nodiscard]] bool is_lingering() const { return state_ == State::Lingering; }
@@ -127,7 +127,7 @@
 
   void limit_read_ahead();
   void process_input();
-  void process_input_guarded();
+  void resume_processing();
 
   /// Parses once. Returns whether there is more input that may be complete.
   [[nodiscard]] bool parse_next();
--- a/src/frontend/close_reason.cpp
+++ b/src/frontend/close_reason.cpp
@@ -34,7 +34,7 @@
     return "an answer was not taken";
   case RejectReason::TooManyConnections:
     return "too many connections";
-  case RejectReason::MemoryShort:
+  case RejectReason::MemoryLimitExceeded:
     return "memory is short";
   }
   return "unknown";
--- a/src/frontend/close_reason.h
+++ b/src/frontend/close_reason.h
@@ -20,11 +20,11 @@
 
 /// Why the gateway rejects a connection that has not broken the protocol.
 enum class RejectReason {
-  NothingSent,         ///< The client has not sent a message in time.
-  IncompleteMessage,   ///< The client has not completed a message in time.
-  ResponseNotRead,     ///< The client has not read a response in time.
-  TooManyConnections,  ///< The connection is beyond the limit.
-  MemoryShort,         ///< Its input is the largest while the buffers exceed their limit.
+  NothingSent,          ///< The client has not sent a message in time.
+  IncompleteMessage,    ///< The client has not completed a message in time.
+  ResponseNotRead,      ///< The client has not read a response in time.
+  TooManyConnections,   ///< The connection is beyond the limit.
+  MemoryLimitExceeded,  ///< Its input is the largest while the buffers exceed their limit.
 };
 
 /// The error text that is sent to the client.
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -28,7 +28,8 @@
       linger_timer_([this] {
         close_expired_lingering();
       }) {
-  maintenance_timer_.after(connection_admission::surplus_check_interval(0, limits_.connections));
+  maintenance_timer_.after(
+      connection_admission::surplus_check_interval(0, limits_.max_connections));
 }
 
 std::unique_ptr<net::Listener> Frontend::new_listener() {
@@ -38,7 +39,7 @@
 }
 
 bool Frontend::is_full() const {
-  return connections_.size() >= limits_.connections + limits_.rejecting;
+  return connections_.size() >= limits_.max_connections + limits_.max_rejected_connections;
 }
 
 std::optional<net::ListenError> Frontend::listen(const std::string& address) {
@@ -67,7 +68,8 @@
 }
 
 void Frontend::add_accepted(net::SocketHandle socket) {
-  const bool is_over_limit = connections_.size() >= limits_.connections && !evict_idle_connection();
+  const bool is_over_limit =
+      connections_.size() >= limits_.max_connections && !evict_idle_connection();
   auto connection = make_connection_(*this, std::move(socket));
   if (is_over_limit) {
     connection->mark_over_limit();
@@ -101,7 +103,7 @@
   // Sockets are polled one by one until one can be evicted: at full capacity a system call for each
   // connection at each accept stalled the loop for over a second.
   for (const std::size_t index : order) {
-    if (idle.connections[index]->has_unread())
+    if (idle.connections[index]->has_unread_input())
       continue;
     idle.connections[index]->close_idle(CloseReason::Evicted);
     return true;
@@ -114,7 +116,7 @@
   close_overdue(now);
   close_surplus(now);
   maintenance_timer_.after(
-      connection_admission::surplus_check_interval(connections_.size(), limits_.connections));
+      connection_admission::surplus_check_interval(connections_.size(), limits_.max_connections));
 }
 
 void Frontend::close_overdue(TimePoint now) {
@@ -132,12 +134,12 @@
   const IdleConnections idle = idle_connections();
   const std::vector<connection_admission::CloseCandidate> candidates =
       connection_admission::rank_surplus(idle.descriptions, now, connections_.size(),
-                                         limits_.connections);
+                                         limits_.max_connections);
   for (const connection_admission::CloseCandidate& candidate : candidates) {
-    if (connections_.size() <= candidate.above)
+    if (connections_.size() <= candidate.close_above)
       continue;
     ClientConnection* connection = idle.connections[candidate.index];
-    if (connection->has_unread())
+    if (connection->has_unread_input())
       continue;
     if (connection->answered_count() > 0) {
       connection->close_idle(CloseReason::Idle);
@@ -149,7 +151,7 @@
 }
 
 void Frontend::enforce_buffer_limit() {
-  if (net::total_buffered_bytes() <= limits_.buffered_bytes)
+  if (net::total_buffered_bytes() <= limits_.max_buffered_bytes)
     return;
   ClientConnection* largest = nullptr;
   for (const auto& [connection, owned] : connections_)
@@ -160,7 +162,7 @@
   net::log({"client_closed",
             {{"reason", "memory_limit"},
              {"message_bytes", std::to_string(largest->reclaimable_bytes())}}});
-  largest->reject_and_close(RejectReason::MemoryShort);
+  largest->reject_and_close(RejectReason::MemoryLimitExceeded);
 }
 
 void Frontend::add_lingering(ClientConnection* connection) {
@@ -171,7 +173,7 @@
   connections_.erase(found);
   // Bounds the descriptors: the connection that has lingered longest is closed. Once the frontend
   // stops, no new connection needs its descriptor.
-  if (lingering_.size() > limits_.lingering && !is_stopping_)
+  if (lingering_.size() > limits_.max_lingering_connections && !is_stopping_)
     lingering_.front()->close(CloseReason::Idle);
   set_linger_timer();
   resume_listening();
@@ -217,7 +219,7 @@
   is_stopping_ = true;
   const bool is_closed = listener_->drain_and_close();
   for (ClientConnection* connection : idle_connections().connections) {
-    if (!connection->has_unread())
+    if (!connection->has_unread_input())
       connection->close_idle(CloseReason::Shutdown);
   }
   if (!is_closed || !connections_.empty())
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -21,11 +21,16 @@
 namespace gorsebeam::frontend {
 
 struct FrontendLimits {
-  std::size_t connections = 480;  ///< Connections that are served at the same time.
-  std::size_t rejecting = 32;     ///< Accepted beyond `connections`, to be rejected with an error.
-  std::size_t lingering = 32;     ///< Connections that linger (see `ClientConnection`).
-  std::size_t message_bytes = 256 * 1024;  ///< Size of one message.
-  std::size_t buffered_bytes = 16 << 20;   ///< Of all connections together, upstream ones included.
+  /// The connections that are served at the same time.
+  std::size_t max_connections = 480;
+  /// The connections that are accepted beyond `max_connections`, to be rejected with an error.
+  std::size_t max_rejected_connections = 32;
+  /// The connections that linger (see `ClientConnection::is_lingering`).
+  std::size_t max_lingering_connections = 32;
+  /// The size of one message of a client.
+  std::size_t max_message_bytes = 256 * 1024;
+  /// The size of the buffers of all connections of the process, those to endpoints included.
+  std::size_t max_buffered_bytes = 16 << 20;
 };
 
 /// Owns the client connections of one protocol. All functions run on the main loop's thread.
@@ -53,7 +58,7 @@
   [[nodiscard]] bool is_stopping() const { return is_stopping_; }
 
   /// No connection is left.
-  [[nodiscard]] bool empty() const {
+  [[nodiscard]] bool is_drained() const {
     return connections_.empty() && lingering_.empty() && !(is_stopping_ && listener_->is_open());
   }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -49,8 +49,9 @@
 
 }  // namespace
 
-Gateway::Gateway(Plan plan)
-    : plan_(std::move(plan)), loop_(g_main_loop_new(nullptr, FALSE)), stop_accepting_timer_([this] {
+Gateway::Gateway(GatewayConfig config)
+    : config_(std::move(config)), loop_(g_main_loop_new(nullptr, FALSE)),
+      stop_accepting_timer_([this] {
         stop_accepting();
       }),
       drain_timer_([this] {
@@ -60,16 +61,16 @@
         net::log({"shutdown_deadline_exceeded", {}});
         g_main_loop_quit(loop_.get());
       }) {
-  const settings::DeploymentProfile& profile = plan_.config.profile;
-  const bool serves_mongo = plan_.file.gateway.has_mongo();
+  const settings::DeploymentProfile& profile = config_.platform.profile;
+  const bool serves_mongo = config_.operator_file.gateway.has_mongo();
   ResourceShare share =
-      compute_share(plan_.config.max_sockets, plan_.config.memory_mb, serves_mongo ? 2 : 1);
+      compute_share(config_.platform.max_sockets, config_.platform.memory_mb, serves_mongo ? 2 : 1);
   if (profile.settings.connect_timeout > 0ms)
     share.pool.connect_timeout = profile.settings.connect_timeout;
   share.pool.idle_timeout.reset();
   if (profile.keepalive > 0ms)
     share.pool.idle_timeout = profile.keepalive;
-  const std::uint64_t seed = plan_.config.seed;
+  const std::uint64_t seed = config_.platform.seed;
   postgres_ =
       std::make_unique<ProtocolPath>(profile, seed, postgres::make_upstream_protocol, share,
                                      postgres::make_connection_factory(contracts_, classifier_));
@@ -85,16 +86,17 @@
 }
 
 std::optional<net::ListenError> Gateway::start() {
-  const config::pb::Gateway& file = plan_.file.gateway;
-  apply_file(file);
+  const config::pb::Gateway& file = config_.operator_file.gateway;
+  apply_operator_file(file);
   control_plane_ = std::make_unique<control_plane::ControlPlaneClient>(
-      plan_.file, plan_.config.seed, [this](const control_plane::ConfigurationUpdate& update) {
+      config_.operator_file, config_.platform.seed,
+      [this](const control_plane::ConfigurationUpdate& update) {
         apply_update(update);
       });
-  if (!plan_.file.context.postgres_listed)
+  if (!config_.operator_file.context.postgres_listed)
     start_discovery();
   control_plane_->start();
-  if (auto error = listen(postgres_->frontend(), plan_.config.listen_address, "PostgreSQL"))
+  if (auto error = listen(postgres_->frontend(), config_.platform.listen_address, "PostgreSQL"))
     return error;
   if (!mongo_)
     return std::nullopt;
@@ -102,7 +104,7 @@
 }
 
 void Gateway::start_discovery() {
-  const config::PlatformConfig& config = plan_.config;
+  const config::PlatformConfig& config = config_.platform;
   const auto& settings = config.profile.settings;
   const auto service = settings.discovery_mode == DiscoveryMode::Poll
                            ? discovery::DiscoveryService::Shared
@@ -121,7 +123,7 @@
   control_plane_->stop();
   stop_accepting_timer_.after(kAcceptAfterStop);
   Duration deadline = kMinShutdownDeadline;
-  for (const RequestClass& request_class : plan_.config.profile.settings.classes)
+  for (const RequestClass& request_class : config_.platform.profile.settings.classes)
     deadline = std::max(deadline, request_class.deadline);
   shutdown_deadline_timer_.after(deadline + kAcceptAfterStop);
 }
@@ -139,26 +141,26 @@
   drain_timer_.after(kDrainCheckInterval);
 }
 
-void Gateway::apply_file(const config::pb::Gateway& file) {
+void Gateway::apply_operator_file(const config::pb::Gateway& file) {
   const bool is_json = file.log().format() == config::pb::Log::JSON;
   net::set_log_format(is_json ? net::LogFormat::Json : net::LogFormat::Text);
   classifier_ = make_classifier(file.shapes());
 }
 
-std::optional<std::string> Gateway::restart_reason(const Plan& plan) const {
-  if (plan.file.gateway.has_mongo() != (mongo_ != nullptr))
+std::optional<std::string> Gateway::restart_reason(const GatewayConfig& config) const {
+  if (config.operator_file.gateway.has_mongo() != (mongo_ != nullptr))
     return "the second front is turned on or off at the start only, as the descriptors are shared "
            "out then; "
            "restart";
-  if (plan.file.context.postgres_listed != plan_.file.context.postgres_listed)
+  if (config.operator_file.context.postgres_listed != config_.operator_file.context.postgres_listed)
     return "whether PostgreSQL's members come from discovery or from a list is settled at the "
            "start; restart";
   return std::nullopt;
 }
 
-std::optional<net::ListenError> Gateway::move_mongo_listener(const Plan& plan) {
-  const std::string& address = plan.file.gateway.mongo().listen();
-  if (!mongo_ || address == plan_.file.gateway.mongo().listen())
+std::optional<net::ListenError> Gateway::move_mongo_listener(const GatewayConfig& config) {
+  const std::string& address = config.operator_file.gateway.mongo().listen();
+  if (!mongo_ || address == config_.operator_file.gateway.mongo().listen())
     return std::nullopt;
   return listen(mongo_->frontend(), address, "MongoDB");
 }
@@ -167,31 +169,31 @@
   // A stopped gateway must not listen on a new address.
   if (is_stopping_)
     return log_rejected_reload("this gateway is stopping");
-  const auto read = read_plan(plan_.config_path, plan_.file_path);
+  const auto read = read_gateway_config(config_.platform_config_path, config_.operator_file_path);
   if (!read)
     return log_rejected_reload(read.error().to_string());
-  const Plan& plan = read.value();
-  if (const auto reason = restart_reason(plan))
-    return log_rejected_reload(plan_.file_path + ": " + *reason);
+  const GatewayConfig& config = read.value();
+  if (const auto reason = restart_reason(config))
+    return log_rejected_reload(config_.operator_file_path + ": " + *reason);
   // The last step that can fail, because it changes the running process.
-  if (const auto error = move_mongo_listener(plan))
+  if (const auto error = move_mongo_listener(config))
     return log_rejected_reload(error->message);
-  apply_plan(plan);
+  apply_config(config);
 }
 
 // The router identifies endpoints by their names and keeps their state; pending requests are not
 // affected.
-void Gateway::apply_plan(const Plan& plan) {
-  apply_file(plan.file.gateway);
-  if (plan.config.restart_only_settings != plan_.config.restart_only_settings)
+void Gateway::apply_config(const GatewayConfig& config) {
+  apply_operator_file(config.operator_file.gateway);
+  if (config.platform.restart_only_settings != config_.platform.restart_only_settings)
     net::log({"reload_requires_restart", {{"settings", "platform"}}});
   if (endpoint_watch_)
-    endpoint_watch_->change_address(plan.config.discovery_address);
-  const auto error = control_plane_->reload_file(plan.file);
-  plan_.file.gateway = plan.file.gateway;
+    endpoint_watch_->change_address(config.platform.discovery_address);
+  const auto error = control_plane_->reload_file(config.operator_file);
+  config_.operator_file.gateway = config.operator_file.gateway;
   if (error)
     return net::log({"reload_partial", {{"error", error->message}}});
-  net::log({"reload_complete", {{"discovery", plan.config.discovery_address}}});
+  net::log({"reload_complete", {{"discovery", config.platform.discovery_address}}});
 }
 
 void Gateway::apply_update(const control_plane::ConfigurationUpdate& update) {
@@ -205,12 +207,12 @@
 
 void Gateway::apply_contracts(const config::pb::Contracts& contracts) {
   auto contract_set = std::make_shared<proxy::ContractSet>(
-      config::to_contract_set(contracts, plan_.config.profile.classes));
+      config::to_contract_set(contracts, config_.platform.profile.classes));
   contracts_.replace_contracts(std::move(contract_set), net::now());
 }
 
 void Gateway::apply_endpoints(const config::pb::Members& endpoints) {
-  if (plan_.file.context.postgres_listed)
+  if (config_.operator_file.context.postgres_listed)
     postgres_->broker().update_endpoints(EndpointList::Kind::Full,
                                          config::to_endpoints(endpoints.postgres()));
   if (mongo_)
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -22,7 +22,7 @@
 class Gateway {
 public:
   /// Throws settings::FormatError if the process's limit on open files is too low.
-  explicit Gateway(Plan plan);
+  explicit Gateway(GatewayConfig config);
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
   ~Gateway();
@@ -43,17 +43,17 @@
   /// Reads all files again, on SIGHUP. They are read and validated before anything changes: an
   /// invalid file is logged and changes nothing.
   void reload();
-  void apply_plan(const Plan& plan);
+  void apply_config(const GatewayConfig& config);
 
-  /// Why a valid plan cannot be applied to the running process; nothing if it can.
-  [[nodiscard]] std::optional<std::string> restart_reason(const Plan& plan) const;
+  /// Why a valid config cannot be applied to the running process; nothing if it can.
+  [[nodiscard]] std::optional<std::string> restart_reason(const GatewayConfig& config) const;
 
   /// Moves the MongoDB listener if its address differs.
-  [[nodiscard]] std::optional<net::ListenError> move_mongo_listener(const Plan& plan);
+  [[nodiscard]] std::optional<net::ListenError> move_mongo_listener(const GatewayConfig& config);
 
   /// Applies the settings that only the operators' file has: the log's format and the SQL
   /// classifier.
-  void apply_file(const config::pb::Gateway& file);
+  void apply_operator_file(const config::pb::Gateway& file);
 
   /// Puts changed contracts, endpoints and limits in force.
   void apply_update(const control_plane::ConfigurationUpdate& update);
@@ -61,7 +61,7 @@
   void apply_endpoints(const config::pb::Members& endpoints);
   void apply_limits(const config::pb::Limits& limits);
 
-  Plan plan_;
+  GatewayConfig config_;
   net::MainLoopHandle loop_;
   proxy::ContractEnforcer contracts_;
   std::shared_ptr<const gorsebeam::sql_classifier::SqlClassifier>
--- a/src/gateway/plan.cpp
+++ b/src/gateway/plan.cpp
@@ -4,23 +4,23 @@
 
 namespace gorsebeam::gateway {
 
-common::Result<Plan, settings::FileError> read_plan(const std::string& config_path,
-                                                    const std::string& file_path) {
+common::Result<GatewayConfig, settings::FileError>
+read_gateway_config(const std::string& config_path, const std::string& file_path) {
   auto platform_config = config::read_platform_config(config_path);
   if (!platform_config)
     return platform_config.error();
-  Plan plan;
-  plan.config_path = config_path;
-  plan.file_path = file_path;
-  plan.config = std::move(platform_config.value());
-  plan.file.context.classes = plan.config.profile.classes;
+  GatewayConfig config;
+  config.platform_config_path = config_path;
+  config.operator_file_path = file_path;
+  config.platform = std::move(platform_config.value());
+  config.operator_file.context.classes = config.platform.profile.classes;
   if (file_path.empty())
-    return plan;
-  auto operator_file = config::read_operator_file(file_path, &plan.config.profile.classes);
+    return config;
+  auto operator_file = config::read_operator_file(file_path, &config.platform.profile.classes);
   if (!operator_file)
     return operator_file.error();
-  plan.file = std::move(operator_file.value());
-  return plan;
+  config.operator_file = std::move(operator_file.value());
+  return config;
 }
 
 }  // namespace gorsebeam::gateway
--- a/src/gateway/plan.h
+++ b/src/gateway/plan.h
@@ -10,15 +10,16 @@
 
 namespace gorsebeam::gateway {
 
-struct Plan {
-  config::PlatformConfig config;
-  config::OperatorFile file;
-  std::string config_path;  ///< Read again on SIGHUP.
-  std::string file_path;    ///< Read again on SIGHUP; empty if there is no operators' file.
+/// All settings of one gateway, and the files that they were read from.
+struct GatewayConfig {
+  config::PlatformConfig platform;
+  config::OperatorFile operator_file;
+  std::string platform_config_path;
+  std::string operator_file_path;  ///< Empty if there is no operators' file.
 };
 
 /// Reads and validates both files. An error names the file, the line and the field.
-[[nodiscard]] common::Result<Plan, settings::FileError> read_plan(const std::string& config_path,
-                                                                  const std::string& file_path);
+[[nodiscard]] common::Result<GatewayConfig, settings::FileError>
+read_gateway_config(const std::string& config_path, const std::string& file_path);
 
 }  // namespace gorsebeam::gateway
--- a/src/gateway/protocol_path.cpp
+++ b/src/gateway/protocol_path.cpp
@@ -27,10 +27,10 @@
   frontend::FrontendLimits& clients = applied.frontend;
   connection_pool::PoolLimits& endpoints = applied.pool;
   const std::size_t buffered_bytes = static_cast<std::size_t>(limits.buffered_mib()) << 20;
-  clients.connections = limit_within(clients.connections, limits.client_connections());
-  clients.buffered_bytes = limit_within(clients.buffered_bytes, buffered_bytes);
+  clients.max_connections = limit_within(clients.max_connections, limits.client_connections());
+  clients.max_buffered_bytes = limit_within(clients.max_buffered_bytes, buffered_bytes);
   if (limits.message_kib() != 0)
-    clients.message_bytes = static_cast<std::size_t>(limits.message_kib()) << 10;
+    clients.max_message_bytes = static_cast<std::size_t>(limits.message_kib()) << 10;
   endpoints.max_connections = limit_within(endpoints.max_connections, limits.member_connections());
   endpoints.max_connections_per_endpoint =
       std::min(endpoints.max_connections_per_endpoint,
@@ -40,7 +40,7 @@
 }
 
 bool ProtocolPath::is_drained() const {
-  return frontend_.empty() && broker_.open_requests() == 0;
+  return frontend_.is_drained() && broker_.open_requests() == 0;
 }
 
 }  // namespace gorsebeam::gateway
--- a/src/gateway/resource_shares.cpp
+++ b/src/gateway/resource_shares.cpp
@@ -35,16 +35,16 @@
   const std::size_t share_sockets = (sockets - spare) / protocol_count;
   const std::size_t memory_bytes = memory_mib << 20;
   ResourceShare share;
-  share.frontend.rejecting = std::max<std::size_t>(share_sockets / 20, 1);
-  share.frontend.lingering = std::max<std::size_t>(share_sockets / 20, 1);
-  share.frontend.connections =
-      share_sockets / 2 - share.frontend.rejecting - share.frontend.lingering;
+  share.frontend.max_rejected_connections = std::max<std::size_t>(share_sockets / 20, 1);
+  share.frontend.max_lingering_connections = std::max<std::size_t>(share_sockets / 20, 1);
+  share.frontend.max_connections = share_sockets / 2 - share.frontend.max_rejected_connections -
+                                   share.frontend.max_lingering_connections;
   share.pool.max_connections = share_sockets - share_sockets / 2;
   share.pool.max_connections_per_endpoint =
       max_connections_per_endpoint(share.pool.max_connections);
   // Buffers may use a quarter of the memory; half of that is kept free of incomplete messages, so
   // that answers always have space.
-  share.frontend.buffered_bytes = memory_bytes / 8;
+  share.frontend.max_buffered_bytes = memory_bytes / 8;
   share.pool.max_buffered_bytes = memory_bytes / 4;
   return share;
 }
--- a/src/proxy/endpoint_directory.cpp
+++ b/src/proxy/endpoint_directory.cpp
@@ -42,7 +42,7 @@
   return id;
 }
 
-void EndpointDirectory::forget(EndpointId endpoint) {
+void EndpointDirectory::release_id(EndpointId endpoint) {
   const auto name = names_.find(endpoint);
   if (name == names_.end())
     return;
@@ -50,7 +50,7 @@
   names_.erase(name);
 }
 
-std::vector<EndpointId> EndpointDirectory::all_but(const std::set<std::string>& names) const {
+std::vector<EndpointId> EndpointDirectory::ids_except(const std::set<std::string>& names) const {
   std::vector<EndpointId> others;
   for (const auto& [id, name] : names_) {
     if (names.count(name) == 0)
--- a/src/proxy/endpoint_directory.h
+++ b/src/proxy/endpoint_directory.h
@@ -17,14 +17,14 @@
 
 class EndpointDirectory {
 public:
-  /// Returns the id of the endpoint, which keeps it until `forget`.
+  /// Returns the id of the endpoint, which keeps it until `release_id`.
   EndpointId assign_id(const std::string& name);
 
   /// Removes an endpoint; its id can be assigned again. Ignored if it has no id.
-  void forget(EndpointId endpoint);
+  void release_id(EndpointId endpoint);
 
   /// All endpoints that have an id, except those in `names`.
-  [[nodiscard]] std::vector<EndpointId> all_but(const std::set<std::string>& names) const;
+  [[nodiscard]] std::vector<EndpointId> ids_except(const std::set<std::string>& names) const;
 
 private:
   std::map<std::string, EndpointId> ids_;
--- a/src/proxy/endpoint_registry.cpp
+++ b/src/proxy/endpoint_registry.cpp
@@ -35,14 +35,14 @@
   std::set<std::string> listed_names;
   for (const ListedEndpoint& listed : endpoints)
     listed_names.insert(listed.name);
-  for (const EndpointId endpoint : directory_.all_but(listed_names))
+  for (const EndpointId endpoint : directory_.ids_except(listed_names))
     remove(endpoint, upstream);
 }
 
 void EndpointRegistry::remove(EndpointId endpoint, Upstream& upstream) {
   upstream.remove_endpoint(endpoint);
   guard_.record_unlisted(endpoint);
-  directory_.forget(endpoint);
+  directory_.release_id(endpoint);
 }
 
 }  // namespace gorsebeam::proxy
--- a/tests/close_reason_test.cpp
+++ b/tests/close_reason_test.cpp
@@ -15,7 +15,7 @@
       {RejectReason::IncompleteMessage, "a message did not end"},
       {RejectReason::ResponseNotRead, "an answer was not taken"},
       {RejectReason::TooManyConnections, "too many connections"},
-      {RejectReason::MemoryShort, "memory is short"},
+      {RejectReason::MemoryLimitExceeded, "memory is short"},
   };
   for (const auto& [reason, text] : texts)
     EXPECT_STREQ(text_of(reason), text);
--- a/tests/connection_admission_test.cpp
+++ b/tests/connection_admission_test.cpp
@@ -26,7 +26,7 @@
                       std::size_t max_connections) {
   Order order;
   for (const CloseCandidate& candidate : rank_surplus(idle, kNow, connected, max_connections)) {
-    if (connected <= candidate.above)
+    if (connected <= candidate.close_above)
       continue;
     order.push_back(candidate.index);
     --connected;
--- a/tests/connection_state_machine_test.cpp
+++ b/tests/connection_state_machine_test.cpp
@@ -35,7 +35,7 @@
   return machine;
 }
 
-TEST(ConnectionStateMachine, SaysInEachStateWhatIsWrittenAndReceived) {
+TEST(ConnectionStateMachine, ReportsInEachStateWhatIsWrittenAndReceived) {
   struct Case {
     State state;
     bool is_opening;
--- a/tests/frontend_accept_test.cpp
+++ b/tests/frontend_accept_test.cpp
@@ -90,7 +90,7 @@
 
   static frontend::FrontendLimits make_limits() {
     frontend::FrontendLimits limits;
-    limits.connections = kCapacity;
+    limits.max_connections = kCapacity;
     return limits;
   }
 
