--- a/src/connection_admission/connection_admission.cpp
+++ b/src/connection_admission/connection_admission.cpp
@@ -7,10 +7,10 @@
 namespace gorsebeam::connection_admission {
 namespace {
 
-// Clients of the platform may rely on 2 s unless all capacity is in use.
+// Clients of the platform may rely on an idle connection for 2 s unless all capacity is in use.
 constexpr Duration kMinIdleTime = 2050ms;
 constexpr Duration kMinUnusedTime = 200ms;
-// On the recorded days nine of ten second requests came sooner than this.
+// In recorded traffic, nine of ten second requests on a connection followed sooner than this.
 constexpr Duration kMinIdleTimeAfterOneRequest = 100ms;
 constexpr Duration kMinIdleTimeForEviction = 50ms;
 constexpr Duration kBusyCheckInterval = 50ms;
--- a/src/connection_admission/connection_admission.h
+++ b/src/connection_admission/connection_admission.h
@@ -39,7 +39,7 @@
 ///  - above a quarter of the capacity, those idle for 2.05 s;
 ///  - above half of the capacity, those with one answered request, idle for 0.1 s.
 /// Clients that send one request and keep the connection must not use up the capacity of others,
-/// and clients often may open fewer connections than this gateway accepts.
+/// and clients are often allowed fewer connections than this gateway accepts.
 [[nodiscard]] std::vector<CloseCandidate> rank_surplus(std::vector<IdleConnection> idle,
                                                        TimePoint now, std::size_t connected,
                                                        std::size_t max_connections);
--- a/src/connection_pool/connection_pool.cpp
+++ b/src/connection_pool/connection_pool.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Whether `duration` is below `limit`; an empty limit is none.
+/// Whether `duration` is below `limit`; true if `limit` is empty.
 bool is_within(Duration duration, std::optional<Duration> limit) {
   return !limit || duration < *limit;
 }
@@ -37,7 +37,7 @@
     return;
   entry.address = address;
   while (!entry.idle.empty())
-    discard(*entry.idle.back());  // connected to the old address
+    discard(*entry.idle.back());  // it is connected to the old address
 }
 
 void ConnectionPool::remove_endpoint(EndpointId endpoint) {
@@ -93,7 +93,7 @@
 
 PooledConnection* ConnectionPool::open_connection(EndpointId endpoint) {
   EndpointConnections& entry = endpoints_[endpoint];
-  PooledConnection::Owner& owner = *this;  // the base is private
+  PooledConnection::Owner& owner = *this;  // the private base is accessible only here
   auto connection =
       std::make_unique<PooledConnection>(owner, broker_, make_protocol_(), endpoint, entry.address);
   if (!connection->is_open()) {
@@ -109,8 +109,8 @@
 // If the connection that became idle last has been idle for too long, so have all others, and the
 // loop closes them too.
 PooledConnection* ConnectionPool::acquire_idle(EndpointConnections& endpoint) {
-  // The timer that closes an idle connection can be late after a pause of the process, so that the
-  // pool's own limit is checked here too.
+  // The timer that closes an idle connection can be late after a pause of the process, so the
+  // limit of the settings is checked here too.
   const auto limit_by_settings = idle_time_limit(limits_);
   const auto limit_by_estimate = idle_lifetime_.idle_time_limit(net::now());
   while (!endpoint.idle.empty()) {
@@ -126,7 +126,7 @@
   return nullptr;
 }
 
-// Bounds the descriptors in use.
+// The limits bound the number of descriptors in use.
 bool ConnectionPool::ensure_capacity(EndpointId endpoint) {
   if (endpoints_[endpoint].count >= limits_.max_connections_per_endpoint)
     return false;
@@ -177,7 +177,7 @@
   endpoints_[connection.endpoint()].idle.push_back(&connection);
 }
 
-// A response can end other connections, so that each is looked up again before it is read.
+// Handling a response can end other connections, so each one is looked up again before it is read.
 void ConnectionPool::read_pending() {
   std::vector<PooledConnection*> awaiting;
   for (const auto& [connection, owned] : connections_) {
--- a/src/connection_pool/connection_pool.h
+++ b/src/connection_pool/connection_pool.h
@@ -1,8 +1,8 @@
-/// Connections to endpoints: opened as needed, used for one request at a time, kept idle for the
-/// next one, and closed before the endpoint would close them.
+/// Keeps the connections to endpoints. A connection is opened when it is needed, used for one
+/// request at a time, kept idle for the next one, and closed before the endpoint would close it.
 ///
-/// The pool knows no wire protocol; an `UpstreamProtocol` translates for each connection. Runs on
-/// the main loop's thread.
+/// The pool does not depend on a wire protocol; an `UpstreamProtocol` translates for each
+/// connection. Runs on the main loop's thread.
 #pragma once
 
 #include "idle_lifetime_estimator.h"
@@ -22,8 +22,8 @@
 
 namespace gorsebeam::connection_pool {
 
-/// Owns its connections and borrows the broker, which must outlive it. Its destruction closes all
-/// connections; assignments that are left do not end.
+/// Owns its connections and borrows the broker, which must outlive it. Its destructor closes all
+/// connections and does not report the end of their assignments.
 class ConnectionPool : public proxy::Upstream, private PooledConnection::Owner {
 public:
   ConnectionPool(proxy::RequestBroker& broker, UpstreamProtocolFactory make_protocol,
@@ -36,7 +36,7 @@
   void remove_endpoint(EndpointId endpoint) override;
   void start_attempt(proxy::AttemptId attempt, EndpointId endpoint, proxy::ClientCall& call,
                      TimePoint deadline) override;
-  /// Ends after `PoolLimits::connect_timeout` at the latest.
+  /// The health check ends after `PoolLimits::connect_timeout` at the latest.
   void start_health_check(EndpointId endpoint) override;
   void read_pending() override;
   void cancel_attempt(proxy::AttemptId attempt) override;
@@ -50,9 +50,9 @@
 private:
   /// The connections to one endpoint.
   struct EndpointConnections {
-    std::string address;                  ///< Empty: removed, or never added.
+    std::string address;                  ///< Empty if it was removed or never added.
     std::vector<PooledConnection*> idle;  ///< In the order in which they became idle.
-    std::size_t count = 0;                ///< Of all connections, idle or assigned.
+    std::size_t count = 0;                ///< All connections, idle or assigned.
   };
 
   [[nodiscard]] bool is_current_address(EndpointId endpoint,
@@ -63,15 +63,18 @@
   void add_idle(PooledConnection& connection) override;
   void discard(PooledConnection& connection) override;
 
-  /// Assigns a connection, an idle one if possible. The assignment can end inside this function.
+  /// Gives the assignment to a connection, an idle one if possible. The assignment can end inside
+  /// this function.
   void assign(EndpointId endpoint, const Assignment& assignment);
-  /// Removes the connection that became idle last from the idle ones if it is still usable, and
-  /// closes those that are not; null if none is left.
+  /// Returns the usable connection that became idle last, and removes it from the idle ones. Closes
+  /// those that are not usable any more. Returns null if none is left.
   PooledConnection* acquire_idle(EndpointConnections& endpoint);
-  /// Opens a connection; null if that is not possible.
+  /// Opens a connection; returns null if that is not possible.
   PooledConnection* open_connection(EndpointId endpoint);
-  /// Whether a connection to `endpoint` may be opened; closes an idle one of any endpoint for it.
+  /// Whether a connection to `endpoint` may be opened. Closes an idle connection to any endpoint if
+  /// the limit of all connections requires that.
   [[nodiscard]] bool ensure_capacity(EndpointId endpoint);
+  /// The connection that has been idle longest; null if none is idle.
   [[nodiscard]] PooledConnection* longest_idle() const;
   /// Erases the entry of a removed endpoint that has no connection left.
   void erase_if_unused(EndpointId endpoint);
--- a/src/connection_pool/connection_state_machine.h
+++ b/src/connection_pool/connection_state_machine.h
@@ -1,6 +1,6 @@
 /// The states of a connection to an endpoint and the transitions between them.
 ///
-/// Pure; `PooledConnection` performs the I/O. The transitions are:
+/// The state machine performs no I/O; `PooledConnection` does. The transitions are:
 ///
 ///     Connecting        -> AwaitingHandshake, or Ready for a protocol without a handshake
 ///     AwaitingHandshake -> Ready
@@ -11,7 +11,7 @@
 ///     ReceivingResponse -> Idle once the response is complete
 ///     Idle              -> Ready
 ///
-/// A connection can be closed in every state; the stream holds whether it is open.
+/// A connection can be closed in every state; its `net::Stream` holds whether it is open.
 #pragma once
 
 #include "upstream_protocol.h"
@@ -29,7 +29,7 @@
     Ready,              ///< A request can be written; none is authorized yet.
     Idle,               ///< In the pool's list of idle connections.
     Writing,            ///< A request or health check is written in part.
-    ReceivingEarly,     ///< As `Writing`, and a part of a response has arrived.
+    ReceivingEarly,     ///< As `Writing`, but a part of a response has arrived.
     AwaitingResponse,   ///< The request is written; nothing of its response has arrived.
     ReceivingResponse,  ///< The request is written; a part of its response has arrived.
   };
@@ -55,22 +55,22 @@
   /// ReceivingEarly and ReceivingResponse.
   void start_receiving();
 
-  /// The connection is not ready for a request yet.
+  /// Whether the connection is not yet ready for a request.
   [[nodiscard]] bool is_opening() const;
 
-  /// A request is written in part.
+  /// Whether a request is written in part.
   [[nodiscard]] bool is_writing() const;
 
-  /// A request is written as a whole, and its response is not complete.
+  /// Whether a request is written as a whole and its response is not complete.
   [[nodiscard]] bool is_request_written() const;
 
-  /// A request is written, as a whole or in part, and its response is not complete.
+  /// Whether a request is written, as a whole or in part, and its response is not complete.
   [[nodiscard]] bool is_awaiting_response() const { return is_writing() || is_request_written(); }
 
-  /// A part of a response has arrived.
+  /// Whether a part of a response has arrived.
   [[nodiscard]] bool has_response_started() const;
 
-  /// How an assignment of `kind` ends whose timer expires in this state.
+  /// The status with which an assignment of `kind` ends if its timer expires in this state.
   [[nodiscard]] AttemptStatus status_at_timeout(RequestKind kind, DeadlineState deadline) const;
 
 private:
--- a/src/connection_pool/idle_lifetime_estimator.h
+++ b/src/connection_pool/idle_lifetime_estimator.h
@@ -15,12 +15,12 @@
   Broken,  ///< The connection broke before any byte of a response.
 };
 
-/// Counts how reused connections fared, by how long they had been idle. The network, or the
-/// endpoints, may drop idle connections long before the settings say; each request on such a
-/// connection ends as a reset and may have run.
+/// Counts how often reused connections break, by how long they had been idle. The network or the
+/// endpoints may drop idle connections long before the idle timeout of the settings; a request on
+/// such a connection ends as a reset and may have run.
 ///
-/// The counts decay with a time constant of 20 s, after which a longer idle time is tried again.
-/// Pure; runs on one thread; the caller passes the time in, which never goes back.
+/// The counts decay with a time constant of 20 s, so that a longer idle time is tried again later.
+/// Performs no I/O; the caller passes the time in, which never goes back. Runs on one thread.
 class IdleLifetimeEstimator {
 public:
   /// Records the reuse of a connection that had been idle for `idle_time`.
@@ -42,7 +42,7 @@
   [[nodiscard]] static std::size_t interval_of(Duration idle_time);
   void decay(TimePoint now);
 
-  std::array<Interval, kIntervals> intervals_;  ///< Each ends at twice the end of the one before.
+  std::array<Interval, kIntervals> intervals_;  ///< Each ends at twice the previous end.
   TimePoint decayed_at_{};
 };
 
--- a/src/connection_pool/pool_limits.cpp
+++ b/src/connection_pool/pool_limits.cpp
@@ -5,6 +5,7 @@
 namespace gorsebeam::connection_pool {
 namespace {
 
+// The pool closes an idle connection at most this long before its endpoint would.
 constexpr Duration kMaxIdleTimeoutMargin = 3s;
 
 }  // namespace
--- a/src/connection_pool/pooled_connection.cpp
+++ b/src/connection_pool/pooled_connection.cpp
@@ -9,7 +9,7 @@
 namespace gorsebeam::connection_pool {
 namespace {
 
-constexpr Duration kMaxResponseGap = 150ms;  // between two pieces of one response
+constexpr Duration kMaxResponseGap = 150ms;  // between two parts of one response
 // A response up to this size is read to its end even while memory is short.
 constexpr std::size_t kMaxSmallResponse = 16 * 1024;
 
@@ -146,7 +146,7 @@
   case State::Connecting:
   case State::Ready:
   case State::Idle:
-    owner_.discard(*this);  // bytes that no request asked for
+    owner_.discard(*this);  // the endpoint sent bytes without a request
     return;
   }
 }
@@ -177,8 +177,8 @@
     await_more_of_response();
     return;
   }
-  // The bound holds for a complete response too, so that it does not matter in how many reads the
-  // response arrived.
+  // The size limit applies to a complete response too, so that the result does not depend on the
+  // number of reads in which the response arrived.
   const bool is_complete = parsed.status == ParsedResponse::Status::Complete;
   if (!is_complete || parsed.consumed_bytes > owner_.limits().max_response_bytes) {
     net::log({"malformed_response", {{"endpoint", std::to_string(endpoint_)}}});
@@ -226,7 +226,7 @@
 
 void PooledConnection::handle_timer() {
   if (!assignment_) {
-    owner_.discard(*this);  // the limit of the idle time, or of opening
+    owner_.discard(*this);  // its idle time or its opening took too long
     return;
   }
   const bool is_past_deadline = net::now() >= assignment_->deadline;
@@ -254,7 +254,7 @@
   if (consumed_bytes > 0)
     stream_->input().consume(consumed_bytes);
   if (state_.is_opening())
-    timer_.after(owner_.limits().connect_timeout);  // it is opened further, for a later assignment
+    timer_.after(owner_.limits().connect_timeout);  // the opening continues, for a later assignment
   else
     become_idle();
 }
--- a/src/connection_pool/pooled_connection.h
+++ b/src/connection_pool/pooled_connection.h
@@ -1,4 +1,5 @@
-/// One connection of the pool: opens it, writes one request at a time to it, reads the response.
+/// One connection of the pool. It connects to its endpoint, writes one request at a time, and reads
+/// the response.
 ///
 /// Runs on the main loop's thread.
 #pragma once
@@ -21,8 +22,9 @@
 /// What a connection carries: one attempt, or one health check.
 struct Assignment {
   std::optional<proxy::AttemptId> attempt;  ///< Empty for a health check.
-  proxy::ClientCall* call = nullptr;  ///< Borrowed; null for a health check and once detached.
-  TimePoint deadline{};               ///< The assignment ends by then.
+  /// Borrowed; null for a health check and after `detach_call`.
+  proxy::ClientCall* call = nullptr;
+  TimePoint deadline{};  ///< The time by which the assignment ends.
 
   [[nodiscard]] RequestKind kind() const {
     return attempt ? RequestKind::ClientRequest : RequestKind::HealthCheck;
@@ -34,8 +36,8 @@
 
 class PooledConnection : public net::Stream::Events {
 public:
-  /// The pool, as its connections see it. It owns them; `discard` keeps the connection alive until
-  /// the running callback has returned.
+  /// What a connection needs of the pool. The pool owns its connections; `discard` keeps the
+  /// connection alive until the running callback has returned.
   class Owner {
   public:
     virtual ~Owner() = default;
@@ -43,14 +45,14 @@
     /// Whether `endpoint` is known and reached at `address`.
     [[nodiscard]] virtual bool is_current_address(EndpointId endpoint,
                                                   const std::string& address) const = 0;
-    /// An assignment ended for which a connection was reused that had been idle for `idle_time`.
+    /// Records the outcome of the first request on a connection that had been idle for `idle_time`.
     virtual void record_reuse(Duration idle_time, ReuseOutcome outcome) = 0;
-    /// The one end of an assignment.
+    /// Reports the end of an assignment; called exactly once for each assignment.
     virtual void complete_assignment(EndpointId endpoint, const Assignment& assignment,
                                      const proxy::UpstreamResponse& response) = 0;
-    /// The connection is ready for another assignment.
+    /// Makes a connection available for another assignment.
     virtual void add_idle(PooledConnection& connection) = 0;
-    /// Closes the connection and forgets it. Ignored if that was done before.
+    /// Closes the connection and removes it from the pool. Ignored if that was done before.
     virtual void discard(PooledConnection& connection) = 0;
   };
 
@@ -61,16 +63,17 @@
 
   [[nodiscard]] bool is_open() const { return stream_ && stream_->open(); }
 
-  /// Of an idle connection: whether it is open and nothing has arrived since it became idle. Bytes
-  /// or an end mean that the endpoint has given the connection up.
+  /// Whether the connection is open and has neither unread input nor the end of the endpoint's
+  /// sending side. An idle connection that has either is not usable any more.
   [[nodiscard]] bool is_open_without_input() const;
 
-  /// A request or health check is written, as a whole or in part, and its response is awaited.
+  /// Whether a request or health check is written, as a whole or in part, and its response is
+  /// awaited.
   [[nodiscard]] bool is_awaiting_response() const {
     return is_open() && state_.is_awaiting_response();
   }
 
-  /// Handles what has arrived by now.
+  /// Handles the input that has arrived.
   void read_pending() { stream_->process_pending(); }
 
   [[nodiscard]] EndpointId endpoint() const { return endpoint_; }
@@ -81,18 +84,18 @@
   /// Gives an assignment to a connection that is idle or newly opened.
   void assign(const Assignment& assignment);
 
-  /// Gives back the call of the present assignment. A request that is not written yet will not be
-  /// written: the assignment ends as `NotSent`, and the connection is kept.
+  /// Stops using the client call of the current assignment. A request that is not written yet is
+  /// not written any more: the assignment ends as `NotSent`, and the connection is kept.
   void detach_call();
 
-  /// Ends the present assignment with `status`, and the connection with it.
+  /// Ends the current assignment with `status`, and closes the connection.
   void fail(AttemptStatus status);
 
   /// Closes the connection; no callback follows.
   void close();
 
 private:
-  /// What becomes of the connection when its assignment ends.
+  /// What happens to the connection when its assignment ends.
   enum class Disposition {
     Keep,
     Close,
@@ -113,8 +116,8 @@
   [[nodiscard]] bool can_buffer_response(std::size_t input_size) const;
   void await_more_of_response();
   void handle_timer();
-  /// Ends the present assignment, if there is one, with `response`, of which the framing takes
-  /// `consumed_bytes` of the input.
+  /// Ends the current assignment, if there is one, with `response`, which takes `consumed_bytes` of
+  /// the input.
   void end_assignment(const proxy::UpstreamResponse& response, Disposition disposition,
                       std::size_t consumed_bytes = 0);
   void record_reuse(Disposition disposition);
@@ -123,16 +126,16 @@
   Owner& owner_;
   proxy::RequestBroker& broker_;
   std::unique_ptr<UpstreamProtocol> protocol_;
-  net::Timer timer_;  ///< Ends the assignment, the opening, or the idle connection.
+  net::Timer timer_;  ///< Limits an assignment, the opening, or the idle time.
   const EndpointId endpoint_;
   const std::string address_;
   std::shared_ptr<net::Stream> stream_;
   ConnectionStateMachine state_;
-  /// Present from `assign` to its release: in every state but Idle, except that an assignment can
-  /// be released while the connection is still being opened.
+  /// The current assignment, from `assign` until it ends. It is present in every state but Idle,
+  /// unless it ended while the connection was still being opened.
   std::optional<Assignment> assignment_;
-  std::optional<TimePoint> idle_since_;  ///< When it last became idle; empty: it never did.
-  Duration idle_time_before_request_{};  ///< Of the request that is written; 0: a new connection.
+  std::optional<TimePoint> idle_since_;  ///< When it last became idle; empty if never.
+  Duration idle_time_before_request_{};  ///< Before the current request; 0 if not reused.
 };
 
 }  // namespace gorsebeam::connection_pool
--- a/src/connection_pool/upstream_protocol.h
+++ b/src/connection_pool/upstream_protocol.h
@@ -11,7 +11,7 @@
 
 namespace gorsebeam::connection_pool {
 
-/// What a connection wrote last and awaits the response to.
+/// The kind of message that a connection wrote last and whose response it awaits.
 enum class RequestKind { ClientRequest, HealthCheck };
 
 /// Whether more bytes can arrive on a connection.
--- a/src/frontend/client_connection.cpp
+++ b/src/frontend/client_connection.cpp
@@ -12,12 +12,15 @@
 namespace gorsebeam::frontend {
 namespace {
 
-constexpr Duration kMaxMessageTime = 5s / 2;    // an error or a close is due 3 s after connect
-constexpr Duration kMaxResponseWriteTime = 5s;  // longer than any deadline
-constexpr std::size_t kMaxMessagesPerIteration = 16;  // of one connection
+// A client that sends no complete message gets an error or a close within 3 s of connecting.
+constexpr Duration kMaxMessageTime = 5s / 2;
+constexpr Duration kMaxResponseWriteTime = 5s;        // longer than any deadline
+constexpr std::size_t kMaxMessagesPerIteration = 16;  // from one connection
+// The framing that a message of the maximum size may have in addition.
 constexpr std::size_t kMaxFramingBytes = 1024;
 
-// Bytes that are read after a pending request while memory is short.
+// The bytes that are read behind a pending request while more than half of the memory for buffers
+// is in use.
 constexpr std::size_t kMaxReadAheadUnderPressure = 8 * 1024;
 
 }  // namespace
@@ -168,7 +171,8 @@
   last_progress_at_ = net::now();
   if (frontend_.is_stopping() && input().empty())
     return close_when_written(CloseReason::Shutdown);
-  // Otherwise `process_input` is on the stack and continues.
+  // If the request was answered within `begin_request`, `process_input` is on the stack and
+  // continues.
   if (was_in_flight)
     process_input();
 }
@@ -196,7 +200,7 @@
     close(CloseReason::Overdue);
 }
 
-// If the client has disconnected, a pending request is dropped; output from before is still sent.
+// If the client has disconnected, its pending request is dropped; buffered output is still sent.
 void ClientConnection::close_idle(CloseReason reason) {
   begin_closing(reason);
   linger();
@@ -243,7 +247,7 @@
     return;
   begin_closing(reason);
   stream_->close();
-  frontend_.remove(this);  // before the state changes: it finds the connection by `is_lingering`
+  frontend_.remove(this);  // before the state changes, as `remove` asks `is_lingering`
   state_ = State::Closed;
 }
 
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -1,5 +1,6 @@
-/// One client's connection: one request at a time, bounded buffers and an orderly end. A protocol's
-/// connection derives from it. All functions run on the main loop's thread.
+/// The base class of client connections, from which each protocol's connection derives. It handles
+/// one request at a time, bounds the buffers, and closes so that the client can read the last
+/// response. All functions run on the main loop's thread.
 #pragma once
 
 #include "close_reason.h"
@@ -24,7 +25,7 @@
   ClientConnection(Frontend& frontend, net::SocketHandle socket);
   ~ClientConnection() override = default;
 
-  /// No request is pending, and no input or output is buffered.
+  /// Whether no request is pending and no input or output is buffered.
   [[nodiscard]] bool is_idle() const;
 
   [[nodiscard]] bool has_client_disconnected() const override { return stream_->has_peer_closed(); }
@@ -32,10 +33,10 @@
   /// Whether the kernel holds unread input or the end of the client's sending side.
   [[nodiscard]] bool has_unread_input() const { return stream_->readable(); }
 
-  /// The sending side is closed, and the connection waits until the client closes its side.
+  /// Whether the sending side is closed and the connection waits until the client closes its side.
   [[nodiscard]] bool is_lingering() const { return state_ == State::Lingering; }
 
-  /// Answered requests; 2 stands for two or more.
+  /// The number of answered requests; 2 stands for two or more.
   [[nodiscard]] std::size_t answered_count() const { return answered_count_; }
 
   /// When the connection last made progress: it was accepted, a message was parsed, a request was
@@ -47,16 +48,18 @@
     return has_pending_request() ? 0 : stream_->buffered_bytes();
   }
 
-  /// Why the connection is to be rejected at `now`; nothing if it is not overdue.
+  /// Why the connection is to be rejected at `now`; empty if it is not overdue.
   [[nodiscard]] std::optional<RejectReason> overdue_reason(TimePoint now) const;
 
-  /// The connection is beyond the limit: the protocol rejects it after the client's first message.
+  /// Marks the connection as beyond the limit of connections: the protocol rejects it after the
+  /// client's first message.
   void mark_over_limit() { is_over_limit_ = true; }
 
   /// Closes the connection; the error is sent if the kernel accepts it at once.
   void reject_and_close(RejectReason reason);
 
-  /// Closes the sending side of an idle connection, which then lingers.
+  /// Closes the sending side of a connection that is idle or whose client has disconnected; it then
+  /// lingers.
   void close_idle(CloseReason reason);
 
   /// Closes the connection now and drops a pending request.
@@ -89,7 +92,7 @@
 
   /// Passes the request, which is in the first `size` bytes of the input, to the broker. Returns
   /// false if a request with this id is pending already. The request is rejected if the frontend
-  /// stops. If the client has disconnected, the request is dropped with its connection.
+  /// is stopping. If the client has disconnected, the request is dropped with its connection.
   [[nodiscard]] bool begin_request(Request request, std::size_t size);
 
   /// Called when the response to the pending request has been written and its input consumed.
@@ -105,7 +108,7 @@
   ///     AwaitingInput -> StartingRequest -> RequestInFlight   begin_request
   ///     StartingRequest -> AwaitingInput                      begin_request, if it is not accepted
   ///     StartingRequest, RequestInFlight -> AwaitingInput     finish_request
-  ///     these three -> Closing                                begin_closing
+  ///     any state above -> Closing                            begin_closing
   ///     Closing -> Lingering                                  linger
   ///     any -> Closed                                         close
   enum class State {
@@ -127,6 +130,8 @@
 
   void limit_read_ahead();
   void process_input();
+
+  /// Continues `process_input` from a timer; an exception closes only this connection.
   void resume_processing();
 
   /// Parses once. Returns whether there is more input that may be complete.
@@ -138,14 +143,15 @@
 
   Frontend& frontend_;
   std::shared_ptr<net::Stream> stream_;
-  std::string request_id_;  ///< Of the request in flight.
-  std::string end_reason_;  ///< The stream's reason; empty if the stream did not end by itself.
-  /// Of the input that is being handled; empty if it was received in an earlier iteration.
+  std::string request_id_;  ///< The id of the request in flight.
+  std::string end_reason_;  ///< Why the stream ended; empty if the gateway ended it.
+  /// The earliest arrival of the input that is being handled; empty if that input was received in
+  /// an earlier iteration.
   std::optional<TimePoint> input_arrival_;
-  std::size_t request_size_ = 0;  ///< Bytes of the pending request in the input.
+  std::size_t request_size_ = 0;  ///< The size of the pending request in the input.
   State state_ = State::AwaitingInput;
   bool is_over_limit_ = false;
-  bool has_sent_message_ = false;  ///< At least one message of the client was parsed.
+  bool has_sent_message_ = false;  ///< Whether a message of the client was parsed.
   std::size_t answered_count_ = 0;
   TimePoint last_progress_at_{};
   net::Timer resume_timer_;
--- a/src/frontend/close_reason.h
+++ b/src/frontend/close_reason.h
@@ -7,12 +7,12 @@
 enum class CloseReason {
   PeerClosed,   ///< The client closed or reset it.
   ClientEnded,  ///< The client ended it in its protocol.
-  ErrorSent,    ///< The gateway rejected it, or a message on it, with an error that was sent.
+  ErrorSent,    ///< The gateway rejected it or a message on it, and sent the error.
   Idle,         ///< It was idle while too many connections were open.
   Evicted,      ///< It was idle, and a new connection needed the capacity.
-  Shutdown,     ///< The gateway stops.
+  Shutdown,     ///< The gateway is stopping.
   Overdue,      ///< As `ErrorSent`, but the error could not be sent completely.
-  Exception,    ///< A defect in the gateway.
+  Exception,    ///< An exception, which is a defect in the gateway.
 };
 
 /// The reason as the log event `client_closed` names it.
@@ -24,7 +24,7 @@
   IncompleteMessage,    ///< The client has not completed a message in time.
   ResponseNotRead,      ///< The client has not read a response in time.
   TooManyConnections,   ///< The connection is beyond the limit.
-  MemoryLimitExceeded,  ///< Its input is the largest while the buffers exceed their limit.
+  MemoryLimitExceeded,  ///< Its buffers are the largest, and all together exceed the limit.
 };
 
 /// The error text that is sent to the client.
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -47,7 +47,7 @@
   std::optional<net::ListenError> error = listener->listen(address);
   if (error)
     return error;
-  listener_->close();  // accepts what the kernel has queued
+  listener_->close();  // first accepts the connections that the kernel has queued
   listener_ = std::move(listener);
   if (is_full())
     listener_->pause();
@@ -120,7 +120,7 @@
 }
 
 void Frontend::close_overdue(TimePoint now) {
-  // Collected first, as a rejection removes the connection from the map.
+  // The connections are collected first, as a rejection removes one from the map.
   std::vector<std::pair<RejectReason, ClientConnection*>> overdue;
   for (const auto& [connection, owned] : connections_) {
     if (const auto reason = connection->overdue_reason(now))
@@ -171,8 +171,8 @@
     return;
   lingering_.push_back(std::move(found->second));
   connections_.erase(found);
-  // Bounds the descriptors: the connection that has lingered longest is closed. Once the frontend
-  // stops, no new connection needs its descriptor.
+  // To bound the descriptors in use, the connection that has lingered longest is closed. Once the
+  // frontend stops, no new connection needs its descriptor.
   if (lingering_.size() > limits_.max_lingering_connections && !is_stopping_)
     lingering_.front()->close(CloseReason::Idle);
   set_linger_timer();
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -1,5 +1,4 @@
-/// Accepts the connections of one protocol's clients within limits, and closes them at the
-/// shutdown.
+/// Accepts the connections of one protocol's clients within limits, and closes them at shutdown.
 #pragma once
 
 #include "client_connection.h"
@@ -43,8 +42,8 @@
   Frontend(proxy::RequestBroker& broker, const FrontendLimits& limits,
            ConnectionFactory make_connection);
 
-  /// May be called again with another address: the old socket is closed once the new one is open;
-  /// connections are not affected.
+  /// Listens on `address`. May be called again with another address: the old socket is closed once
+  /// the new one is open; connections are not affected.
   [[nodiscard]] std::optional<net::ListenError> listen(const std::string& address);
 
   /// The listening address with its actual port; empty while the frontend does not listen.
@@ -57,7 +56,8 @@
 
   [[nodiscard]] bool is_stopping() const { return is_stopping_; }
 
-  /// No connection is left.
+  /// Whether no connection is left and, if the frontend is stopping, its listening socket is
+  /// closed.
   [[nodiscard]] bool is_drained() const {
     return connections_.empty() && lingering_.empty() && !(is_stopping_ && listener_->is_open());
   }
@@ -69,7 +69,7 @@
 
   [[nodiscard]] const FrontendLimits& limits() const { return limits_; }
 
-  /// Takes effect at once; connections beyond the new limits are closed once they are idle.
+  /// Applies `limits` at once; connections beyond them are closed once they are idle.
   void set_limits(const FrontendLimits& limits);
 
   /// Destroys a closed connection in the next iteration of the event loop.
@@ -95,7 +95,7 @@
   void add_accepted(net::SocketHandle socket);
   [[nodiscard]] bool is_full() const;
 
-  /// The idle connections; the kernel may hold unread input of them.
+  /// The idle connections; the kernel may hold unread input from them.
   [[nodiscard]] IdleConnections idle_connections() const;
 
   /// Closes one idle connection to make room for a new one. Returns false if there is none.
--- a/src/frontend/parsed_request.h
+++ b/src/frontend/parsed_request.h
@@ -1,4 +1,5 @@
-/// The result of a protocol's parser for a client's message, before admission. Pure.
+/// The request that a protocol's parser found in a client's message, before admission. Performs no
+/// I/O.
 #pragma once
 
 #include "gorsebeam/router.h"
@@ -13,7 +14,7 @@
 
 /// A request class that was found by its name.
 struct NamedClass {
-  std::size_t index;  ///< Into `Settings::classes`.
+  std::size_t index;  ///< The index into `Settings::classes`.
   const RequestClass& settings;
 };
 
@@ -38,9 +39,10 @@
 
 /// A well-formed request of a client.
 struct ParsedRequest {
-  Request request;        ///< Without its deadline and the limits of a contract.
+  Request request;        ///< Its deadline and the limits of the contract are unset.
   Duration time_limit{};  ///< How long the client waits from the arrival of the request.
-  /// Its effect is not known, so that it gets one attempt even if the contract permits more.
+  /// Whether it gets only one attempt, as its effect is not known, even if the contract permits
+  /// more.
   bool is_single_attempt = false;
 };
 
--- a/src/frontend/request_admission.h
+++ b/src/frontend/request_admission.h
@@ -17,21 +17,21 @@
 
 class RequestAdmission {
 public:
-  /// Borrows both.
+  /// Borrows both arguments.
   RequestAdmission(proxy::ContractEnforcer& contracts, const Settings& settings)
       : contracts_(contracts), settings_(settings) {}
 
-  /// Sets the team by the name under which the client presents itself; empty until then.
+  /// Sets the team to the name that the client gives; it is empty until then.
   void set_team(std::string team);
 
   /// The request classes in force, valid until the contracts are replaced.
   [[nodiscard]] RequestClasses classes() const;
 
-  /// The error text for a team that has no contract; nothing if it has one.
+  /// The error text for a team that has no contract; empty if it has one.
   [[nodiscard]] std::optional<std::string> missing_contract() const;
 
-  /// Returns the request with its deadline and the limits of the contract, or why it is outside of
-  /// the contract. `arrival` is when the request arrived; its time limit counts from there.
+  /// Returns the request with its deadline and the limits of the contract, or why the contract does
+  /// not admit it. `arrival` is when the request arrived; its time limit counts from there.
   [[nodiscard]] common::Result<Request, proxy::ContractEnforcer::Decision>
   admit(ParsedRequest parsed, TimePoint arrival, TimePoint now);
 
--- a/src/frontend/session_hash.h
+++ b/src/frontend/session_hash.h
@@ -1,4 +1,4 @@
-/// The hash that names a client's session where the client's own name for it is not a number.
+/// Hashes the name that a client gives its session, if that name is not a number itself.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace gorsebeam::frontend {
 
-/// 64-bit FNV-1a. All gateways compute the same hash.
+/// Returns the 64-bit FNV-1a hash of `name`, which is the same in all gateways.
 std::uint64_t hash_session_name(std::string_view name);
 
 }  // namespace gorsebeam::frontend
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -149,12 +149,11 @@
 
 std::optional<std::string> Gateway::restart_reason(const GatewayConfig& config) const {
   if (config.operator_file.gateway.has_mongo() != (mongo_ != nullptr))
-    return "the second front is turned on or off at the start only, as the descriptors are shared "
-           "out then; "
-           "restart";
+    return "MongoDB can be turned on or off only by a restart, because the file descriptors are "
+           "divided among the protocols at startup";
   if (config.operator_file.context.postgres_listed != config_.operator_file.context.postgres_listed)
-    return "whether PostgreSQL's members come from discovery or from a list is settled at the "
-           "start; restart";
+    return "a change between PostgreSQL members from discovery and from the operators' file "
+           "requires a restart";
   return std::nullopt;
 }
 
@@ -166,7 +165,7 @@
 }
 
 void Gateway::reload() {
-  // A stopped gateway must not listen on a new address.
+  // A gateway that is stopping must not listen on a new address.
   if (is_stopping_)
     return log_rejected_reload("this gateway is stopping");
   const auto read = read_gateway_config(config_.platform_config_path, config_.operator_file_path);
@@ -175,7 +174,7 @@
   const GatewayConfig& config = read.value();
   if (const auto reason = restart_reason(config))
     return log_rejected_reload(config_.operator_file_path + ": " + *reason);
-  // The last step that can fail, because it changes the running process.
+  // This is the last step that can fail, because it changes the running process.
   if (const auto error = move_mongo_listener(config))
     return log_rejected_reload(error->message);
   apply_config(config);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -27,7 +27,7 @@
   Gateway& operator=(const Gateway&) = delete;
   ~Gateway();
 
-  /// Begins to listen; returns an error if a frontend cannot.
+  /// Starts to listen; returns an error if a frontend cannot listen.
   [[nodiscard]] std::optional<net::ListenError> start();
 
   /// Runs until a signal ends the process: until all requests are answered, or the deadline of the
@@ -45,17 +45,17 @@
   void reload();
   void apply_config(const GatewayConfig& config);
 
-  /// Why a valid config cannot be applied to the running process; nothing if it can.
+  /// Why valid settings cannot be applied to the running process; empty if they can.
   [[nodiscard]] std::optional<std::string> restart_reason(const GatewayConfig& config) const;
 
-  /// Moves the MongoDB listener if its address differs.
+  /// Moves the MongoDB listener if `config` has a new address for it.
   [[nodiscard]] std::optional<net::ListenError> move_mongo_listener(const GatewayConfig& config);
 
   /// Applies the settings that only the operators' file has: the log's format and the SQL
   /// classifier.
   void apply_operator_file(const config::pb::Gateway& file);
 
-  /// Puts changed contracts, endpoints and limits in force.
+  /// Applies changed contracts, endpoints and limits.
   void apply_update(const control_plane::ConfigurationUpdate& update);
   void apply_contracts(const config::pb::Contracts& contracts);
   void apply_endpoints(const config::pb::Members& endpoints);
--- a/src/gateway/plan.h
+++ b/src/gateway/plan.h
@@ -1,4 +1,4 @@
-/// The settings that the gateway reads before it listens.
+/// Reads the settings of a gateway, before it listens and again on SIGHUP.
 #pragma once
 
 #include "common/result.h"
--- a/src/gateway/protocol_path.cpp
+++ b/src/gateway/protocol_path.cpp
@@ -6,7 +6,7 @@
 namespace gorsebeam::gateway {
 namespace {
 
-/// A limit of 0 means that none is set.
+/// The smaller of `share` and `limit`; a limit of 0 means that none is set.
 std::size_t limit_within(std::size_t share, std::size_t limit) {
   return limit == 0 ? share : std::min(share, limit);
 }
--- a/src/gateway/protocol_path.h
+++ b/src/gateway/protocol_path.h
@@ -1,4 +1,5 @@
-/// Serves one protocol: its frontend, its request broker and the connections to its endpoints.
+/// The data path of one protocol: its frontend, its request broker and the connections to its
+/// endpoints.
 #pragma once
 
 #include "resource_shares.h"
@@ -22,7 +23,7 @@
   /// Applies the operators' limits; none exceeds the path's share.
   void apply_limits(const config::pb::Limits& limits);
 
-  /// No client connection and no open request is left.
+  /// Whether no client connection and no open request is left.
   [[nodiscard]] bool is_drained() const;
 
   proxy::RequestBroker& broker() { return broker_; }
@@ -30,7 +31,7 @@
   frontend::Frontend& frontend() { return frontend_; }
 
 private:
-  // The frontend is destroyed before the pool, and both before the broker.
+  // In this order the frontend is destroyed before the pool, and both before the broker.
   proxy::RequestBroker broker_;
   connection_pool::ConnectionPool pool_;
   const ResourceShare share_;
--- a/src/gateway/resource_shares.cpp
+++ b/src/gateway/resource_shares.cpp
@@ -28,8 +28,7 @@
   std::size_t sockets = reduce_to_process_limit(max_sockets);
   if (sockets < config::kMinSockets)
     throw settings::FormatError("the limit on open files is " + std::to_string(sockets) +
-                                ": raise it to " + std::to_string(config::kMinSockets) +
-                                " at least");
+                                ": raise it to at least " + std::to_string(config::kMinSockets));
   sockets = std::min(sockets, kMaxSockets);
   const std::size_t spare = std::max(kMinSpareSockets, sockets / 10);
   const std::size_t share_sockets = (sockets - spare) / protocol_count;
@@ -43,7 +42,7 @@
   share.pool.max_connections_per_endpoint =
       max_connections_per_endpoint(share.pool.max_connections);
   // Buffers may use a quarter of the memory; half of that is kept free of incomplete messages, so
-  // that answers always have space.
+  // that responses always have space.
   share.frontend.max_buffered_bytes = memory_bytes / 8;
   share.pool.max_buffered_bytes = memory_bytes / 4;
   return share;
--- a/src/gateway/resource_shares.h
+++ b/src/gateway/resource_shares.h
@@ -8,7 +8,7 @@
 
 namespace gorsebeam::gateway {
 
-/// What one protocol may use.
+/// The descriptors and the memory that one protocol may use.
 struct ResourceShare {
   frontend::FrontendLimits frontend;
   connection_pool::PoolLimits pool;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-/// The gateway's program.
+/// The entry point of the program `gorsebeam-gateway`.
 #include "command_line/command_line.h"
 
 int main(int argc, char** argv) {
--- a/src/proxy/action_executor.cpp
+++ b/src/proxy/action_executor.cpp
@@ -97,7 +97,7 @@
   timer_.at(action.at);
 }
 
-// Discovery watches the endpoint list at all times.
+// There is nothing to do, because discovery watches the endpoint list at all times.
 void ActionExecutor::execute(const WatchEndpoints&) {}
 
 void ActionExecutor::execute(const LogMessage& message) {
--- a/src/proxy/action_executor.h
+++ b/src/proxy/action_executor.h
@@ -17,15 +17,17 @@
 
 class ActionExecutor {
 public:
-  /// All are borrowed and outlive the executor. `timer` fires at the time of the last `SetTimer`.
+  /// Borrows all arguments, which must outlive the executor. `timer` fires at the time of the last
+  /// `SetTimer`.
   ActionExecutor(RequestTracker& requests, InFlightTable& in_flight, EventQueue& queue,
                  InvariantGuard& guard, net::Timer& timer)
       : requests_(requests), in_flight_(in_flight), queue_(queue), guard_(guard), timer_(timer) {}
 
-  /// Sets the upstream, which is borrowed. Call once, before `perform`.
+  /// Sets the upstream, which is borrowed. Call it once, before `perform`.
   void attach(Upstream& upstream) { upstream_ = &upstream; }
 
-  /// Performs one action. Attempts may end and calls may be answered inside this function.
+  /// Performs one action. Attempts may end and requests may get their final answer inside this
+  /// function.
   void perform(const Action& action);
 
 private:
@@ -39,7 +41,8 @@
   static void execute(const WatchEndpoints& action);
   static void execute(const LogMessage& message);
 
-  /// Adds the event that an attempt ended which was not started.
+  /// Queues the result `NotSent` for an attempt that is not started, because its request is not
+  /// open or has another attempt in flight.
   void skip_attempt(const StartAttempt& action, std::uint32_t number, bool request_finished);
 
   RequestTracker& requests_;
--- a/src/proxy/contract_enforcer.h
+++ b/src/proxy/contract_enforcer.h
@@ -1,7 +1,7 @@
 /// Admits requests by the contracts of teams: the request classes and groups that a team may use,
 /// the deadline and attempts of its requests, and its rate limit.
 ///
-/// Pure; runs on one thread; the caller passes the time in.
+/// Performs no I/O; the caller passes the time in. Runs on one thread.
 #pragma once
 
 #include "gorsebeam/router.h"
@@ -17,22 +17,22 @@
 
 /// The limits of one request class in one team's contract.
 struct ClassLimits {
-  std::optional<Duration> max_deadline;  ///< From the arrival of a request; empty: no limit.
-  std::uint32_t max_attempts = 0;        ///< Of one request; 0: the limit of the settings.
+  std::optional<Duration> max_deadline;  ///< Counted from the admission; empty: no limit.
+  std::uint32_t max_attempts = 0;        ///< For one request; 0: the limit of the settings.
 };
 
 /// The contract of one team.
 struct TeamContract {
-  std::map<std::size_t, ClassLimits> classes;  ///< By index into `Settings::classes`.
-  std::set<GroupId> groups;                    ///< That the team may use; empty: all groups.
+  std::map<std::size_t, ClassLimits> classes;  ///< Keyed by index into `Settings::classes`.
+  std::set<GroupId> groups;                    ///< The groups that it may use; empty: all groups.
 };
 
-/// All contracts. If it has no team, every request is admitted without limits. Immutable once it is
-/// in force.
+/// The contracts of all teams. If there is no team, every request is admitted without limits. A set
+/// is not changed once it is in force.
 struct ContractSet {
-  std::map<std::string, std::size_t> classes;     ///< Indexes into `Settings::classes`, by name.
-  std::map<std::string, TeamContract> teams;      ///< By the team's name.
-  std::map<std::string, rate_limit::Rate> rates;  ///< By the team's name; absent: unlimited.
+  std::map<std::string, std::size_t> classes;  ///< Indexes into `Settings::classes`, keyed by name.
+  std::map<std::string, TeamContract> teams;   ///< Keyed by the team's name.
+  std::map<std::string, rate_limit::Rate> rates;  ///< Keyed by the team's name; absent: unlimited.
 };
 
 /// Applies one set of contracts for all frontends. A new set replaces the old one as a whole; an
@@ -42,10 +42,11 @@
   enum class Decision { Admitted, UnknownTeam, ClassNotAllowed, GroupNotAllowed };
 
   /// Applies `contracts`, which is not null, from `now` on.
-  /// `rate_limit::TokenBuckets::replace_rates` states what becomes of the token buckets.
+  /// `rate_limit::TokenBuckets::replace_rates` describes what happens to the token buckets.
   void replace_contracts(std::shared_ptr<const ContractSet> contracts, TimePoint now);
 
-  /// Request classes by name, valid until the next `replace_contracts`.
+  /// The indexes of the request classes, keyed by name; the reference is valid until the next
+  /// `replace_contracts`.
   [[nodiscard]] const std::map<std::string, std::size_t>& classes() const {
     return contracts_->classes;
   }
--- a/src/proxy/endpoint_directory.cpp
+++ b/src/proxy/endpoint_directory.cpp
@@ -6,10 +6,11 @@
 namespace gorsebeam::proxy {
 namespace {
 
+// The router uses this id to mean that there is no endpoint.
 constexpr EndpointId kReservedEndpointId = 0xffffffff;
-constexpr std::size_t kIdDigits = 8;
+constexpr std::size_t kIdDigits = 8;  // hexadecimal digits of a 32-bit id
 
-/// FNV-1a, 32 bits.
+/// The 32-bit FNV-1a hash of `text`.
 std::uint32_t hash_of(const std::string& text) {
   constexpr std::uint32_t kOffsetBasis = 2166136261;
   constexpr std::uint32_t kPrime = 16777619;
--- a/src/proxy/endpoint_directory.h
+++ b/src/proxy/endpoint_directory.h
@@ -1,9 +1,9 @@
 /// Maps names of endpoints to ids.
 ///
-/// All gateways must order endpoints alike, so an id follows from the name: the last eight
-/// characters where they are hexadecimal digits, as in discovery's names, or else a hash. If
-/// another endpoint has that id, the next free one is assigned. Pure; runs on one thread; holds one
-/// entry for each endpoint of the list.
+/// All gateways must order endpoints in the same way, so an id is derived from the name: it is the
+/// last eight characters if these are hexadecimal digits, as in the names that discovery lists, and
+/// a hash of the name otherwise. If another endpoint has that id, the next free one is assigned.
+/// Performs no I/O; runs on one thread; holds one entry for each endpoint of the list.
 #pragma once
 
 #include "gorsebeam/router.h"
@@ -20,10 +20,10 @@
   /// Returns the id of the endpoint, which keeps it until `release_id`.
   EndpointId assign_id(const std::string& name);
 
-  /// Removes an endpoint; its id can be assigned again. Ignored if it has no id.
+  /// Removes an endpoint, so that its id can be assigned again. Ignored if no endpoint has the id.
   void release_id(EndpointId endpoint);
 
-  /// All endpoints that have an id, except those in `names`.
+  /// The ids of all endpoints whose name is not in `names`.
   [[nodiscard]] std::vector<EndpointId> ids_except(const std::set<std::string>& names) const;
 
 private:
--- a/src/proxy/endpoint_registry.cpp
+++ b/src/proxy/endpoint_registry.cpp
@@ -9,10 +9,11 @@
 EndpointList EndpointRegistry::apply(EndpointList::Kind kind,
                                      const std::vector<ListedEndpoint>& endpoints,
                                      Upstream& upstream) {
-  // Where only draining is binding, a removed endpoint may still get requests and stays known.
+  // If removed endpoints may serve, one that is removed without a drain may still get requests, so
+  // that it stays known.
   const bool removal_is_binding = !settings_.removed_endpoints_may_serve;
-  // An endpoint that is missing without a notice of its removal must not leave its connections and
-  // table entries behind.
+  // A full list can omit an endpoint that was never listed as removed. Its connections and table
+  // entries must not stay behind.
   if (kind == EndpointList::Kind::Full && removal_is_binding)
     remove_unlisted(endpoints, upstream);
   EndpointList list;
--- a/src/proxy/endpoint_registry.h
+++ b/src/proxy/endpoint_registry.h
@@ -1,5 +1,5 @@
-/// Applies endpoint lists: the directory of ids, the invariant guard and the upstream know the
-/// listed endpoints before the router gets the list.
+/// Applies endpoint lists to the directory of ids, the invariant guard and the upstream, which must
+/// know the listed endpoints before the router gets the list.
 ///
 /// Runs on one thread. Holds one entry for each endpoint of the list.
 #pragma once
@@ -15,7 +15,7 @@
 
 class EndpointRegistry {
 public:
-  /// Both are borrowed and outlive the registry.
+  /// Borrows both arguments, which must outlive the registry.
   EndpointRegistry(const Settings& settings, InvariantGuard& guard)
       : settings_(settings), guard_(guard) {}
 
--- a/src/proxy/event_queue.h
+++ b/src/proxy/event_queue.h
@@ -1,7 +1,7 @@
-/// The events that wait for the router, in the order in which it gets them.
+/// Queues events for the router, in the order in which the router gets them.
 ///
-/// Pure; runs on one thread. Holds at most one event for each request, attempt and health
-/// check that began or ended since the last dispatch, and each endpoint list.
+/// Performs no I/O; runs on one thread. Holds at most one event for each request, attempt and
+/// health check that began or ended since the last dispatch, and each endpoint list.
 #pragma once
 
 #include "gorsebeam/events.h"
@@ -15,25 +15,26 @@
 public:
   void push(Event event);
 
-  /// Endpoint lists come before all other events: nothing may be decided on an older list.
+  /// Adds an endpoint list. Lists are popped before all other events, because nothing may be
+  /// decided on an outdated list.
   void push_endpoint_list(EndpointList list);
 
-  /// Removes the next event; empty if none waits.
+  /// Removes and returns the next event; empty if the queue is empty.
   [[nodiscard]] std::optional<Event> pop();
 
-  /// Whether an endpoint list waits that the router has not seen.
+  /// Whether the queue holds an endpoint list, which the router has not seen yet.
   [[nodiscard]] bool has_endpoint_list() const { return !endpoint_lists_.empty(); }
 
-  /// Removes all events except endpoint lists, oldest first.
+  /// Removes all events except endpoint lists, and returns them, oldest first.
   [[nodiscard]] std::deque<Event> remove_events();
 
-  /// Adds `events` behind those that wait.
+  /// Adds `events` after those in the queue.
   void append(std::deque<Event> events);
 
-  /// Opens a batch: the events are held back until each open batch is closed.
+  /// Opens a batch. The broker holds the events back until each open batch is closed.
   void open_batch() { ++open_batches_; }
 
-  /// Closes a batch that was opened.
+  /// Closes one open batch.
   void close_batch() { --open_batches_; }
 
   [[nodiscard]] bool has_open_batch() const { return open_batches_ > 0; }
--- a/src/proxy/in_flight_table.h
+++ b/src/proxy/in_flight_table.h
@@ -1,7 +1,7 @@
 /// The attempts and health checks that are in flight at the upstream, with the time of their start.
 ///
-/// Pure; runs on one thread; the caller passes the time in. The upstream ends each entry, which
-/// bounds the table.
+/// Performs no I/O; the caller passes the time in. Runs on one thread. The table is bounded because
+/// the upstream ends each attempt and health check.
 #pragma once
 
 #include "interfaces.h"
@@ -17,10 +17,10 @@
 /// One attempt in flight.
 struct InFlightAttempt {
   std::string request_id;
-  std::uint32_t number = 0;  ///< Counted from 0 for each request.
+  std::uint32_t number = 0;  ///< Counts the attempts of the request from 0.
   EndpointId endpoint = 0;
   TimePoint started_at{};
-  std::optional<TimePoint> written_at;  ///< Empty until the upstream may write it.
+  std::optional<TimePoint> written_at;  ///< When the broker authorized it; empty until then.
 };
 
 class InFlightTable {
@@ -34,7 +34,8 @@
   /// Removes the attempt and returns it; empty if it is not in flight.
   [[nodiscard]] std::optional<InFlightAttempt> remove_attempt(AttemptId attempt);
 
-  /// Adds a health check, or starts anew the one that is in flight to the endpoint.
+  /// Adds a health check. If one to the endpoint is already in flight, it counts as started at
+  /// `now`.
   void add_health_check(EndpointId endpoint, TimePoint now);
 
   /// Removes a health check and returns when it was started; empty if none is in flight.
--- a/src/proxy/interfaces.h
+++ b/src/proxy/interfaces.h
@@ -1,8 +1,8 @@
 /// The interfaces between the request broker, the frontends, the upstream and the source of the
 /// endpoint list.
 ///
-/// All functions run on the main loop's thread and do not block. The interfaces know no wire
-/// protocol: request and response bodies are bytes.
+/// All functions run on the main loop's thread and do not block. The interfaces do not depend
+/// on a wire protocol: request and response bodies are bytes.
 ///
 /// Ownership:
 ///  - A frontend owns its `ClientCall`s. The broker and the upstream borrow a call from
@@ -30,11 +30,11 @@
 
 namespace gorsebeam::proxy {
 
-/// Bytes in pieces, which are written one after the other. Borrowed from the object that returns
-/// them.
+/// Pieces of bytes that are written one after the other. They are borrowed from the object that
+/// returns them.
 using ByteSpans = std::vector<std::string_view>;
 
-/// Identifies an attempt between the broker and the upstream; never 0, never used again.
+/// Identifies an attempt between the broker and the upstream. An id is never 0 and never reused.
 using AttemptId = std::uint64_t;
 
 /// How an attempt or a health check ended.
@@ -42,10 +42,10 @@
   AttemptStatus status = AttemptStatus::ConnectFailed;
   Role role = Role::Unknown;
   std::optional<ReplicationPosition> replication_position;
-  /// Of a write whose commit is not at the replication position.
+  /// The commit position of a write, if it differs from `replication_position`.
   std::optional<ReplicationPosition> commit_position;
   LoadReport load_report;
-  ByteSpans body;  ///< With `Ok`: the response body, valid during the call that passes it.
+  ByteSpans body;  ///< With `Ok`; valid during the call that passes it.
 };
 
 /// A client's open request, owned by its frontend.
@@ -65,14 +65,14 @@
   /// a function of this object.
   virtual ByteSpans body(Duration left) = 0;
 
-  /// Final answer: the response body, which is valid during the call.
+  /// Gives the final answer: the response, whose `body` is valid during the call.
   virtual void respond(const ByteSpans& body) = 0;
 
-  /// Final answer: the client can safely send the request again, after `retry_after` if that is
-  /// above 0.
+  /// Gives the final answer: the client can safely send the request again, after `retry_after` if
+  /// that is above 0.
   virtual void reject(Duration retry_after) = 0;
 
-  /// Final answer: the request failed and may have run.
+  /// Gives the final answer: the request failed and may have run.
   virtual void fail() = 0;
 };
 
@@ -114,9 +114,9 @@
   /// attempt has ended.
   virtual void cancel_attempt(AttemptId attempt) = 0;
 
-  /// Ends the borrowing of an attempt's `ClientCall`, as the client disconnected. An attempt that
-  /// is not written yet must not be written, and ends as `NotSent`; one that is written continues.
-  /// Ignored if the attempt has ended.
+  /// Tells the upstream that the client of an attempt disconnected; the upstream must not use the
+  /// attempt's `ClientCall` again. An attempt that is not written yet must not be written, and ends
+  /// as `NotSent`; one that is written continues. Ignored if the attempt has ended.
   virtual void detach_call(AttemptId attempt) = 0;
 };
 
--- a/src/proxy/invariant_guard.cpp
+++ b/src/proxy/invariant_guard.cpp
@@ -24,7 +24,7 @@
   return "unknown";
 }
 
-// Where only draining is binding, a removed endpoint that never drained may still serve.
+// If removed endpoints may serve, one that was removed without a drain keeps its status.
 void InvariantGuard::record_listed(EndpointId endpoint, GroupId group, EndpointStatus status) {
   ListedEndpointState& state = endpoints_[endpoint];
   state.group = group;
--- a/src/proxy/invariant_guard.h
+++ b/src/proxy/invariant_guard.h
@@ -1,9 +1,9 @@
 /// Checks each send, retry and rejection against invariants, from what the broker has observed.
 ///
-/// The router decides, and the guard does not know its reasons. Where the two differ the guard
-/// prevails: the gateway does not do what the guard denies, and counts it as a violation, which is
-/// a defect of the gateway. Pure; runs on one thread; holds one entry for each endpoint of the
-/// list.
+/// The guard is a second check that does not depend on the router's reasons. What the guard denies,
+/// the gateway does not do, even if the router decided it, and counts it as a violation, which is a
+/// defect of the gateway. Performs no I/O; runs on one thread; holds one entry for each endpoint of
+/// the list.
 #pragma once
 
 #include "gorsebeam/router.h"
@@ -29,16 +29,16 @@
 
 constexpr std::size_t kViolationKinds = 8;
 
-/// The name in log fields, such as "endpoint_draining".
+/// The name of the violation in the log, such as "endpoint_draining".
 [[nodiscard]] const char* name_of(Violation violation);
 
 /// What has been done for a request so far.
 struct RequestHistory {
   std::size_t class_index = 0;
   GroupId group = 0;
-  bool is_open = false;  ///< It has no final answer, and its client has not disconnected.
+  bool is_open = false;  ///< No final answer was given, and the client has not disconnected.
   std::uint32_t written_attempts = 0;
-  std::uint32_t in_flight = 0;  ///< Attempts that are written and have not ended.
+  std::uint32_t in_flight = 0;  ///< The number of attempts that are written and have not ended.
   /// When the first attempt that may have run was written; empty if none may have run.
   std::optional<TimePoint> may_have_run_since;
 };
@@ -54,15 +54,16 @@
   /// Records that the endpoint list does not name the endpoint any more.
   void record_unlisted(EndpointId endpoint) { endpoints_.erase(endpoint); }
 
-  /// Whether requests and health checks may be sent to the endpoint; empty if so.
+  /// Returns why no request or health check may be sent to the endpoint; empty if one may be sent.
   [[nodiscard]] std::optional<Violation> check_endpoint(EndpointId endpoint) const;
 
-  /// Whether an attempt of the request may be written to the endpoint at `now`; empty if so.
+  /// Returns why no attempt of the request may be written to the endpoint at `now`; empty if one
+  /// may be written.
   [[nodiscard]] std::optional<Violation> check_attempt(const RequestHistory& request,
                                                        EndpointId endpoint, TimePoint now) const;
 
-  /// Whether the request may be rejected, which promises the client that it is safe to send again;
-  /// empty if so.
+  /// Returns why the request must not be rejected; empty if it may be. A rejection promises the
+  /// client that the request is safe to send again.
   [[nodiscard]] std::optional<Violation> check_rejection(const RequestHistory& request) const;
 
   void count(Violation violation) { ++counts_[static_cast<std::size_t>(violation)]; }
@@ -74,7 +75,7 @@
 private:
   struct ListedEndpointState {
     GroupId group = 0;
-    /// The listed status, except for a removal where removed endpoints may still serve.
+    /// The listed status. If removed endpoints may serve, a removal does not change it.
     EndpointStatus status = EndpointStatus::Up;
   };
 
--- a/src/proxy/listed_endpoint.h
+++ b/src/proxy/listed_endpoint.h
@@ -1,4 +1,4 @@
-/// One endpoint, as discovery or an inventory names it.
+/// An endpoint as discovery or an inventory lists it.
 #pragma once
 
 #include "gorsebeam/events.h"
@@ -9,7 +9,7 @@
 
 struct ListedEndpoint {
   std::string name;
-  std::string address;  ///< "127.0.0.4:6432".
+  std::string address;  ///< Such as "127.0.0.4:6432".
   Endpoint endpoint;    ///< Its id is unset; the gateway derives it from the name.
 };
 
--- a/src/proxy/request_broker.cpp
+++ b/src/proxy/request_broker.cpp
@@ -56,8 +56,8 @@
 }
 
 bool RequestBroker::begin_request(Request request, ClientCall& call) {
-  // The id of a request that is pending, of this client or another, would put a second copy of the
-  // request in flight beside the first.
+  // A request with the id of a pending one, of this client or another, is taken for a copy of it,
+  // and two copies must not be in flight at once.
   const std::string& id = request.id;
   if (id.empty() || id.size() > kMaxRequestIdLength || requests_.contains(id))
     return false;
@@ -121,7 +121,8 @@
     return false;
   TrackedRequest& request = *requests_.find(attempt->request_id);
   const TimePoint now = net::now();
-  // The router has not seen an endpoint list that was just read.
+  // The router has not seen an endpoint list that was just read, so that a send which that list
+  // forbids is not a violation.
   if (queue_.has_endpoint_list() && guard_.check_endpoint(attempt->endpoint))
     return false;
   if (has_client_disconnected(request, now))
@@ -178,7 +179,8 @@
   if (!freshness_.are_responses_stale(now, net::earliest_arrival()))
     return;
   freshness_.record_responses_read(now);
-  // The router gets the responses before the events that wait, which it decides by them.
+  // The router gets the responses before the waiting events, so that it decides on these with the
+  // responses known.
   std::deque<Event> waiting = queue_.remove_events();
   queue_.open_batch();
   upstream_->read_pending();
--- a/src/proxy/request_broker.h
+++ b/src/proxy/request_broker.h
@@ -1,8 +1,8 @@
 /// Connects one router, which makes every decision, to its frontends, its upstream and discovery.
-/// The broker keeps the order of the steps; each step is a module of its own.
+/// The broker runs the steps in order; each step is a module of its own.
 ///
-/// Runs on one thread and knows no wire protocol; `interfaces.h` states ownership and the order of
-/// calls.
+/// Runs on one thread and does not depend on a wire protocol; `interfaces.h` states ownership and
+/// the order of calls.
 #pragma once
 
 #include "action_executor.h"
@@ -28,15 +28,15 @@
   /// The longest request id that `begin_request` accepts, in bytes.
   static constexpr std::size_t kMaxRequestIdLength = 128;
 
-  /// Throws std::invalid_argument that names a bad setting. `seed` feeds the router's random
-  /// choices.
+  /// Throws std::invalid_argument that names an invalid setting. `seed` determines the router's
+  /// random choices.
   RequestBroker(const Settings& settings, std::uint64_t seed);
 
-  /// Sets the upstream, which is borrowed. Call once, before any other function.
+  /// Sets the upstream, which is borrowed. Call it once, before any other function.
   void attach(Upstream& upstream);
 
-  /// Sets the source of the endpoint list, which is borrowed; null if there is none that can hold
-  /// back changes.
+  /// Sets the source of the endpoint list, which is borrowed; null if no source can hold
+  /// changes back.
   void set_list_source(EndpointListSource* source) { list_source_ = source; }
 
   /// For frontends: passes a request to the router and borrows `call` until the request is
@@ -45,40 +45,42 @@
   /// flight.
   [[nodiscard]] bool begin_request(Request request, ClientCall& call);
 
-  /// For frontends: the client of a request disconnected. The broker does not use its call again.
+  /// For frontends: reports that the client of a request disconnected. The broker does not use its
+  /// call again.
   /// Ignored if the request is complete.
   void client_disconnected(const std::string& request_id);
 
-  /// For the upstream: the one end of an attempt. `response.body` is read only during this call.
-  /// Ignored if the attempt has ended.
+  /// For the upstream: reports the end of an attempt. `response.body` is read only during this
+  /// call. Ignored if the attempt has ended.
   void complete_attempt(AttemptId attempt, const UpstreamResponse& response);
 
-  /// For the upstream: the one end of a health check. Ignored if none is in flight.
+  /// For the upstream: reports the end of a health check. Ignored if none is in flight.
   void complete_health_check(EndpointId endpoint, const UpstreamResponse& response);
 
-  /// For the upstream, immediately before it writes: whether the attempt may still be written, by
-  /// the present endpoint list, the router and the invariants. If so it counts as written; else the
-  /// upstream ends it as `NotSent`.
+  /// For the upstream, immediately before it writes: returns whether the current endpoint list, the
+  /// router and the invariants still allow the attempt to be written. If so it counts as written;
+  /// otherwise the upstream ends it as `NotSent`.
   [[nodiscard]] bool authorize_attempt(AttemptId attempt);
 
-  /// For the upstream, immediately before it writes: the same for a health check.
+  /// For the upstream, immediately before it writes: returns whether the current endpoint list, the
+  /// router and the invariants still allow the health check to be written.
   [[nodiscard]] bool authorize_health_check(EndpointId endpoint);
 
-  /// For frontends: the gateway closed a connection with a request that has no final answer, though
-  /// its client has not disconnected.
+  /// For frontends: reports that the gateway closed a connection with a request that has no final
+  /// answer, although its client has not disconnected.
   void report_closed_unanswered(const std::string& request_id);
 
-  /// For discovery and inventories: a new list of `endpoints`, or changes to it.
+  /// For discovery and inventories: applies a new list of `endpoints`, or changes to the list.
   void update_endpoints(EndpointList::Kind kind, const std::vector<ListedEndpoint>& endpoints);
 
-  /// Requests that have no final answer and whose client has not disconnected.
+  /// The number of requests that have no final answer and whose client has not disconnected.
   [[nodiscard]] std::size_t open_requests() const { return requests_.open_count(); }
 
   [[nodiscard]] const Settings& settings() const { return settings_; }
 
-  /// Holds back events from the router until the last batch is destroyed. Within a batch a
-  /// connection is returned to the pool, and an answer is written, before the router starts the
-  /// next attempt.
+  /// Holds back events from the router until the last open batch is destroyed. A connection can
+  /// thus be returned to the pool, and a response written, before the router starts the next
+  /// attempt.
   class EventBatch {
   public:
     explicit EventBatch(RequestBroker& broker) : broker_(broker) { broker_.queue_.open_batch(); }
@@ -118,12 +120,12 @@
   InFlightTable in_flight_;
   EventQueue queue_;
   InputFreshness freshness_;
-  net::Timer router_timer_;  ///< Set by the router.
+  net::Timer router_timer_;  ///< Fires at the time that the router set.
   net::Timer list_timer_;    ///< Dispatches endpoint lists that were read outside of a dispatch.
   ActionExecutor executor_{requests_, in_flight_, queue_, guard_, router_timer_};
   Upstream* upstream_ = nullptr;
   EndpointListSource* list_source_ = nullptr;
-  std::vector<Action> actions_;  ///< Of one event; a member so that its memory is used again.
+  std::vector<Action> actions_;  ///< For one event; a member so that its memory is reused.
   bool is_dispatching_ = false;
 };
 
--- a/src/proxy/request_tracker.h
+++ b/src/proxy/request_tracker.h
@@ -1,7 +1,7 @@
-/// Tracks each request from its begin until it is complete and its last attempt has ended.
+/// Tracks each request from its start until it is complete and its last attempt has ended.
 ///
-/// Pure; runs on one thread; the caller passes the time in. Holds one entry for each request that
-/// is open or has an attempt in flight.
+/// Performs no I/O; the caller passes the time in. Runs on one thread. Holds one entry for each
+/// request that is open or has an attempt in flight.
 #pragma once
 
 #include "interfaces.h"
@@ -22,28 +22,29 @@
   std::optional<AttemptId> current_attempt;  ///< The attempt in flight.
   TimePoint deadline{};
   TimePoint begun_at{};
-  RequestHistory history;  ///< Its `is_open` is that of the request.
+  RequestHistory history;  ///< Also holds whether the request is open.
 
-  /// Whether the request has neither its final answer nor lost its client.
+  /// Whether the request has no final answer and its client has not disconnected.
   [[nodiscard]] bool is_open() const { return history.is_open; }
 };
 
 class RequestTracker {
 public:
-  /// Whether `request_id` is of a request that is open or has an attempt in flight.
+  /// Whether `request_id` names a request that is open or has an attempt in flight.
   [[nodiscard]] bool contains(const std::string& request_id) const {
     return requests_.count(request_id) > 0;
   }
 
-  /// Adds an open request, whose id must not be contained. Borrows `call` until the request is
+  /// Adds an open request, whose id must not be tracked yet. Borrows `call` until the request is
   /// complete.
   void begin(const Request& request, ClientCall& call, TimePoint now);
 
   /// Returns the entry, valid until it is erased, or null if there is none.
   [[nodiscard]] TrackedRequest* find(const std::string& request_id);
 
-  /// Records that an open request got its final answer or lost its client, and returns its call.
-  /// Returns null if the request is not open. Erases the entry unless an attempt is in flight.
+  /// Records that an open request got its final answer or that its client disconnected, and returns
+  /// its call. Returns null if the request is not open. Erases the entry unless an attempt is in
+  /// flight.
   ClientCall* complete(const std::string& request_id);
 
   /// Records the end of the attempt in flight, which was written at `written_at` if it was written
--- a/src/rate_limit/token_buckets.h
+++ b/src/rate_limit/token_buckets.h
@@ -1,7 +1,7 @@
 /// Request rate limits of teams at this gateway, as one token bucket per team.
 ///
 /// The module is pure: the caller passes the time in, and no call does I/O. It runs on one thread.
-/// It keeps one bucket for each team that has a rate and forgets a bucket when its rate goes.
+/// It keeps one bucket for each team that has a rate and removes a bucket with its rate.
 #pragma once
 
 #include "gorsebeam/router.h"
@@ -28,7 +28,7 @@
   /// otherwise takes nothing and returns how long, in nanoseconds, until one token is available.
   [[nodiscard]] Duration try_acquire(const std::string& team, TimePoint now);
 
-  /// Number of buckets held.
+  /// The number of buckets.
   [[nodiscard]] std::size_t size() const { return buckets_.size(); }
 
 private:
--- a/tests/close_reason_test.cpp
+++ b/tests/close_reason_test.cpp
@@ -1,4 +1,4 @@
-// The texts are on the wire and in the log: clients and operators match on them.
+// The texts are sent to clients and logged: clients and operators match on them.
 #include "frontend/close_reason.h"
 
 #include <gtest/gtest.h>
--- a/tests/connection_state_machine_test.cpp
+++ b/tests/connection_state_machine_test.cpp
@@ -1,4 +1,5 @@
-// The states of a connection to an endpoint, and how an assignment ends whose timer expires.
+// Tests the states of a connection to an endpoint, and how an assignment ends when its timer
+// expires.
 #include "connection_pool/connection_state_machine.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +13,7 @@
 
 using State = ConnectionStateMachine::State;
 
-/// A machine in `state`, by way of the transitions that lead there.
+/// A state machine that reached `state` by its transitions.
 ConnectionStateMachine machine_in(State state) {
   ConnectionStateMachine machine;
   if (state == State::Connecting)
--- a/tests/event_queue_test.cpp
+++ b/tests/event_queue_test.cpp
@@ -1,4 +1,4 @@
-// The order in which events reach the router.
+// Tests the order in which events reach the router.
 #include "proxy/event_queue.h"
 
 #include <gtest/gtest.h>
--- a/tests/frontend_accept_test.cpp
+++ b/tests/frontend_accept_test.cpp
@@ -1,4 +1,4 @@
-// The system calls that a new connection costs while all capacity is in use.
+// Bounds the system calls that a new connection costs while all capacity is in use.
 #include "frontend/frontend.h"
 #include "net/address.h"
 #include "net/timer.h"
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-// Counts the calls that GLib makes, for the condition of a socket and for the main loop.
+// Replaces libc's function to count the calls that GLib makes, both for the condition of a socket
+// and for the main loop.
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 extern "C" int poll(pollfd* descriptors, nfds_t count, int timeout_ms) {
   ++poll_calls;
@@ -36,7 +37,7 @@
 constexpr std::size_t kCapacity = 64;
 constexpr std::size_t kNewClients = 32;
 
-/// Drops all input.
+/// A connection that drops all input.
 class SilentConnection : public frontend::ClientConnection {
 public:
   using ClientConnection::ClientConnection;
@@ -125,8 +126,8 @@
   std::vector<std::unique_ptr<Client>> clients_;
 };
 
-// Each accept evicts an idle connection, and polls the socket of that one. Polling the sockets of
-// all idle connections at each accept stalled the loop for over a second.
+// Each accept evicts an idle connection, and should poll only the socket of that one. Polling the
+// sockets of all idle connections at each accept stalled the loop for over a second.
 TEST_F(FullFrontend, PollsOneIdleConnectionAtAnAccept) {
   ASSERT_FALSE(frontend_.listen("127.0.0.1:0"));
   connect_clients(kCapacity);
@@ -137,7 +138,7 @@
 
   const auto calls = static_cast<std::size_t>(poll_calls - calls_before);
   EXPECT_LT(calls, kNewClients * kCapacity / 4)
-      << "a quarter of one call for each connection and accept";
+      << "more than a quarter of one call for each connection and accept";
 }
 
 }  // namespace
--- a/tests/idle_lifetime_estimator_test.cpp
+++ b/tests/idle_lifetime_estimator_test.cpp
@@ -1,4 +1,4 @@
-// From which idle time connections are not used again.
+// Tests from which idle time on connections are not used again.
 #include "connection_pool/idle_lifetime_estimator.h"
 #include "connection_pool/pool_limits.h"
 
--- a/tests/in_flight_table_test.cpp
+++ b/tests/in_flight_table_test.cpp
@@ -1,4 +1,4 @@
-// Attempts and health checks end once, and ids of attempts are not used again.
+// Tests that attempts and health checks end once and that ids of attempts are not reused.
 #include "proxy/in_flight_table.h"
 
 #include <gtest/gtest.h>
--- a/tests/input_freshness_test.cpp
+++ b/tests/input_freshness_test.cpp
@@ -1,4 +1,4 @@
-// When input must be read before something is decided.
+// Tests when input must be read before something is decided.
 #include "proxy/input_freshness.h"
 
 #include <gtest/gtest.h>
--- a/tests/invariant_guard_test.cpp
+++ b/tests/invariant_guard_test.cpp
@@ -1,4 +1,4 @@
-// What may be sent, retried and rejected, by what the broker has observed.
+// Tests what may be sent, retried and rejected, depending on what the broker has observed.
 #include "proxy/invariant_guard.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 constexpr EndpointId kEndpoint = 7;
 constexpr GroupId kGroup = 3;
 
-// Classes, by their index in the settings.
+// The indexes of the request classes in the settings.
 constexpr std::size_t kIdempotent = 0;
 constexpr std::size_t kDeduplicatedInGroup = 1;
 constexpr std::size_t kDeduplicatedEverywhere = 2;
--- a/tests/request_admission_test.cpp
+++ b/tests/request_admission_test.cpp
@@ -19,7 +19,8 @@
     contracts_.replace_contracts(make_contracts(), kNow);
   }
 
-  /// `portal` may use the class "any" alone, with a shorter deadline and three attempts.
+  /// Contracts by which the team `portal` may use only the class "any", with a deadline below
+  /// `kTimeLimit` and three attempts.
   static std::shared_ptr<proxy::ContractSet> make_contracts() {
     auto contracts = std::make_shared<proxy::ContractSet>();
     contracts->classes = {{"any", 0}, {"save", 1}};
@@ -44,7 +45,7 @@
   ASSERT_TRUE(save);
   EXPECT_EQ(save->index, 1U);
   EXPECT_TRUE(is_write(save->settings));
-  EXPECT_FALSE(admission_.classes().find("unheard-of"));
+  EXPECT_FALSE(admission_.classes().find("unknown"));
 }
 
 TEST_F(RequestAdmissionTest, AppliesTimeLimitAndContract) {
--- a/tests/request_tracker_test.cpp
+++ b/tests/request_tracker_test.cpp
@@ -1,4 +1,4 @@
-// How long a request is tracked, and what its history says.
+// Tests how long a request is tracked, and what its history records.
 #include "proxy/request_tracker.h"
 
 #include <gtest/gtest.h>
