--- a/src/connection_pool/pooled_connection.cpp
+++ b/src/connection_pool/pooled_connection.cpp
@@ -47,7 +47,7 @@
       stream_(net::Stream::connect(address_, *this)) {}
 
 bool PooledConnection::is_idle_and_silent() const {
-  return is_open() && stream_->input().size() == 0 && !stream_->readable();
+  return is_open() && stream_->input().size() == 0 && !stream_->is_readable();
 }
 
 Duration PooledConnection::idle_time(TimePoint now) const {
--- a/src/connection_pool/pooled_connection.h
+++ b/src/connection_pool/pooled_connection.h
@@ -59,7 +59,7 @@
                    std::unique_ptr<UpstreamProtocol> protocol, EndpointId endpoint,
                    std::string address);
 
-  [[nodiscard]] bool is_open() const { return stream_ && stream_->open(); }
+  [[nodiscard]] bool is_open() const { return stream_ && stream_->is_open(); }
 
   /// Of an idle connection: whether it is open and nothing has arrived since it became idle. Bytes
   /// or an end mean that the endpoint has given the connection up.
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -47,14 +47,14 @@
     return;
   if (reconnect_timer_.is_due())
     start();
-  if (stream_ && stream_->open())
+  if (stream_ && stream_->is_open())
     stream_->process_pending();
 }
 
 void EndpointWatch::check_silence() {
   const TimePoint last_progress_at = last_progress_at_;
   read_pending();
-  const bool is_still_open = stream_ && stream_->open();
+  const bool is_still_open = stream_ && stream_->is_open();
   if (is_still_open && last_progress_at_ == last_progress_at)
     schedule_reconnect("silent", WatchEnd::Silent);
 }
@@ -73,7 +73,7 @@
 }
 
 void EndpointWatch::schedule_reconnect(const std::string& reason, WatchEnd end) {
-  const bool has_unread = stream_ && stream_->readable();
+  const bool has_unread = stream_ && stream_->is_readable();
   net::log({"endpoint_watch_closed",
             {{"reason", reason},
              {"idle_ms", std::to_string((net::now() - last_progress_at_) / 1ms)},
@@ -101,7 +101,7 @@
   read_response();
   is_reading_ = false;
   // The timeout depends on whether a list has arrived.
-  if (stream_->open())
+  if (stream_->is_open())
     silence_timer_.after(reconnect_backoff_.silence_timeout());
 }
 
@@ -117,7 +117,7 @@
     stream_->input().consume(output.consumed_bytes);
   } while (output.status == HttpResponseParser::Status::Progress);
   apply_lists();
-  if (output.status == HttpResponseParser::Status::Ended && stream_->open())
+  if (output.status == HttpResponseParser::Status::Ended && stream_->is_open())
     schedule_reconnect("the answer ended");
 }
 
@@ -149,7 +149,7 @@
              {"entries", std::to_string(entries)},
              {"outdated", std::to_string(entries - list.endpoints.size())}}});
   revision_ = revision_filter_.revision();
-  reconnect_backoff_.record_list();
+  reconnect_backoff_.record_list_received();
   const EndpointList::Kind kind =
       list.complete ? EndpointList::Kind::Full : EndpointList::Kind::Delta;
   broker_.update_endpoints(kind, list.endpoints);
--- a/src/discovery/reconnect_backoff.cpp
+++ b/src/discovery/reconnect_backoff.cpp
@@ -6,48 +6,48 @@
 namespace gorsebeam::discovery {
 namespace {
 
-constexpr int kMaxGrowth = 8;
+constexpr int kMaxDelayGrowth = 8;
 
-Duration first_bound_of(std::uint32_t gateways, DiscoveryService service) {
+Duration initial_max_delay(std::uint32_t gateways, DiscoveryService service) {
   if (service == DiscoveryService::LocalAgent)
-    return ReconnectBackoff::kAgentBackoffMax;
+    return ReconnectBackoff::kMaxAgentDelay;
   const Duration all_calls = gateways * ReconnectBackoff::kCallDuration;
-  return std::max(ReconnectBackoff::kMinSharedBackoffMax, all_calls);
+  return std::max(ReconnectBackoff::kMinSharedMaxDelay, all_calls);
 }
 
 }  // namespace
 
 ReconnectBackoff::ReconnectBackoff(std::uint32_t gateways, DiscoveryService service,
                                    std::uint64_t seed)
-    : random_(seed), service_(service), first_bound_(first_bound_of(gateways, service)),
-      bound_(first_bound_) {}
+    : random_(seed), service_(service), initial_max_delay_(initial_max_delay(gateways, service)),
+      max_delay_(initial_max_delay_) {}
 
 Duration ReconnectBackoff::silence_timeout() const {
   if (service_ == DiscoveryService::Shared && !list_received_)
-    return kFirstAnswerTimeout;
+    return kFirstResponseTimeout;
   return kSilenceTimeout;
 }
 
 Duration ReconnectBackoff::next_delay(WatchEnd end) {
   const bool had_list = std::exchange(list_received_, false);
-  Duration bound = bound_;
+  Duration bound = max_delay_;
   if (end == WatchEnd::Silent && had_list)
-    bound = std::min(bound, kNotifiedAfter - kSilenceTimeout - kCallReserve);
+    bound = std::min(bound, kNotifiedAfter - kSilenceTimeout - kCallTimeReserve);
   if (service_ == DiscoveryService::Shared)
-    bound_ = std::min(2 * bound_, kMaxGrowth * first_bound_);
+    max_delay_ = std::min(2 * max_delay_, kMaxDelayGrowth * initial_max_delay_);
   const Duration shortest = bound / 8 + 1ns;
   return Duration(
       std::uniform_int_distribution<Duration::rep>(shortest.count(), bound.count())(random_));
 }
 
-void ReconnectBackoff::record_list() {
+void ReconnectBackoff::record_list_received() {
   reset();
   list_received_ = true;
 }
 
 void ReconnectBackoff::reset() {
   list_received_ = false;
-  bound_ = first_bound_;
+  max_delay_ = initial_max_delay_;
 }
 
 }  // namespace gorsebeam::discovery
--- a/src/discovery/reconnect_backoff.h
+++ b/src/discovery/reconnect_backoff.h
@@ -45,15 +45,15 @@
   /// The silence after which an open watch is broken; an empty line is due every 2 s.
   static constexpr Duration kSilenceTimeout = 2500ms;
   /// The silence after which a call to a shared service is broken; it may be queued there.
-  static constexpr Duration kFirstAnswerTimeout = 5s;
+  static constexpr Duration kFirstResponseTimeout = 5s;
   /// The part of kNotifiedAfter that is left for the call itself.
-  static constexpr Duration kCallReserve = 1500ms;
+  static constexpr Duration kCallTimeReserve = 1500ms;
   /// Allowed for one call to a shared service; with many gateways one took 49 to 84 ms.
   static constexpr Duration kCallDuration = 50ms;
   /// The bound of each delay with a local agent.
-  static constexpr Duration kAgentBackoffMax = 50ms;
+  static constexpr Duration kMaxAgentDelay = 50ms;
   /// The least first bound with a shared service, which few gateways cannot overload.
-  static constexpr Duration kMinSharedBackoffMax = 250ms;
+  static constexpr Duration kMinSharedMaxDelay = 250ms;
 
   /// `gateways` share the service, if it is shared.
   ReconnectBackoff(std::uint32_t gateways, DiscoveryService service, std::uint64_t seed);
@@ -65,7 +65,7 @@
   [[nodiscard]] Duration next_delay(WatchEnd end);
 
   /// Records that a list arrived.
-  void record_list();
+  void record_list_received();
 
   /// Resets all state, as discovery has another address.
   void reset();
@@ -73,8 +73,8 @@
 private:
   std::mt19937_64 random_;
   DiscoveryService service_;
-  Duration first_bound_;
-  Duration bound_;              // of the next delay
+  Duration initial_max_delay_;
+  Duration max_delay_;          // of the next delay
   bool list_received_ = false;  // since the last delay
 };
 
--- a/src/frontend/client_connection.cpp
+++ b/src/frontend/client_connection.cpp
@@ -52,7 +52,7 @@
 void ClientConnection::received() {
   if (is_closing())
     return consume(input().size());
-  input_arrival_ = stream_->input_arrival();
+  input_arrival_ = stream_->earliest_input_arrival();
   limit_read_ahead();
   process_input();
   input_arrival_.reset();
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -30,7 +30,7 @@
   [[nodiscard]] bool has_client_disconnected() const override { return stream_->has_peer_closed(); }
 
   /// Whether the kernel holds unread input or the end of the client's sending side.
-  [[nodiscard]] bool has_unread() const { return stream_->readable(); }
+  [[nodiscard]] bool has_unread() const { return stream_->is_readable(); }
 
   /// The sending side is closed, and the connection waits until the client closes its side.
   [[nodiscard]] bool is_lingering() const { return state_ == State::Lingering; }
--- a/src/mongo/client_connection.cpp
+++ b/src/mongo/client_connection.cpp
@@ -33,7 +33,7 @@
 
   // The message stays in the input until its request is complete.
   proxy::ByteSpans body(Duration left) override {
-    const wire::Framed<Message> message = read_pending_message();
+    const wire::FramingResult<Message> message = read_pending_message();
     const OpMsg op_msg = message ? read_op_msg(message.value().payload).value_or(OpMsg{}) : OpMsg{};
     return rewriter_.rewrite(op_msg, request_kind_, left);
   }
@@ -61,14 +61,14 @@
 
 private:
   void parse() override {
-    const wire::Framed<Message> message = read_pending_message();
+    const wire::FramingResult<Message> message = read_pending_message();
     if (message)
       handle_message(message.value());
     else if (message.error() == FramingError::Malformed)
       end_with_error(ProtocolError::MalformedFrame);
   }
 
-  [[nodiscard]] wire::Framed<Message> read_pending_message() const {
+  [[nodiscard]] wire::FramingResult<Message> read_pending_message() const {
     return read_message(input(), max_message_bytes());
   }
 
--- a/src/mongo/codec.cpp
+++ b/src/mongo/codec.cpp
@@ -94,7 +94,7 @@
 
 }  // namespace
 
-wire::Framed<Message> read_message(std::string_view in, std::size_t max_size) {
+wire::FramingResult<Message> read_message(std::string_view in, std::size_t max_size) {
   if (in.size() < kHeaderSize)
     return FramingError::Incomplete;
   Message message;
--- a/src/mongo/codec.h
+++ b/src/mongo/codec.h
@@ -35,7 +35,7 @@
 };
 
 /// Reads the first message of `in`, which may be at most `max_size` bytes long with its header.
-wire::Framed<Message> read_message(std::string_view in, std::size_t max_size);
+wire::FramingResult<Message> read_message(std::string_view in, std::size_t max_size);
 
 /// Flags of OP_MSG.
 constexpr std::uint32_t kChecksumPresent = 1;
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -135,7 +135,7 @@
 
   HandshakeResult parse_handshake(std::string_view in) override {
     using Status = HandshakeResult::Status;
-    const wire::Framed<Reply> reply = read_reply(in);
+    const wire::FramingResult<Reply> reply = read_reply(in);
     if (!reply)
       return {reply.error() == FramingError::Incomplete ? Status::Incomplete : Status::Failed};
     const std::string_view document = reply.value().document;
@@ -161,7 +161,7 @@
 
   ParsedResponse parse_response(std::string_view in, RequestKind kind, InputState) override {
     using Status = ParsedResponse::Status;
-    const wire::Framed<Reply> framed = read_reply(in);
+    const wire::FramingResult<Reply> framed = read_reply(in);
     if (!framed) {
       const bool is_incomplete = framed.error() == FramingError::Incomplete;
       return {is_incomplete ? Status::Incomplete : Status::Malformed, 0, {}};
@@ -181,8 +181,8 @@
   };
 
   /// Reads a reply to the last message that was sent.
-  [[nodiscard]] wire::Framed<Reply> read_reply(std::string_view in) const {
-    const wire::Framed<Message> framed = read_message(in, kMaxMessageSize);
+  [[nodiscard]] wire::FramingResult<Reply> read_reply(std::string_view in) const {
+    const wire::FramingResult<Message> framed = read_message(in, kMaxMessageSize);
     if (!framed)
       return framed.error();
     const Message& message = framed.value();
--- a/src/net/arrival_bound.cpp
+++ b/src/net/arrival_bound.cpp
@@ -15,9 +15,9 @@
 
 // If a poll returns late it is not known when it examined the sockets: the process may have been
 // stopped before or after that.
-void LoopArrivalBound::record(const Poll& poll) {
+void LoopArrivalBound::record(const PollTimes& poll) {
   const TimePoint due_at = poll.began_at + poll.timeout;
-  const bool is_late = poll.ended_at - kMaxLoopLateness >= due_at;
+  const bool is_late = poll.ended_at - kLoopStallThreshold >= due_at;
   const bool returned_at_once = poll.ended_at - poll.began_at < kMinPollDuration;
   const TimePoint polled_at = is_late ? poll.began_at : poll.ended_at;
   earliest_arrival_ = returned_at_once ? last_polled_at_ : polled_at;
@@ -26,7 +26,7 @@
 
 void InputArrivalBound::record_read(const ReadTime& read) {
   const bool continues = read.iteration <= last_input_iteration_ + 1;
-  const bool was_stalled = read.now - earliest_arrival_ > kMaxLoopLateness;
+  const bool was_stalled = read.now - earliest_arrival_ > kLoopStallThreshold;
   earliest_arrival_ = continues && was_stalled ? std::min(read.earliest_arrival, earliest_arrival_)
                                                : read.earliest_arrival;
   last_input_iteration_ = read.iteration;
--- a/src/net/arrival_bound.h
+++ b/src/net/arrival_bound.h
@@ -14,7 +14,7 @@
 
 /// A poll that returned because sockets were ready or its timeout passed; one that a signal
 /// interrupted has not examined the sockets.
-struct Poll {
+struct PollTimes {
   TimePoint began_at;
   TimePoint ended_at;
   Duration timeout;
@@ -26,7 +26,7 @@
   /// Input arrives from `start` on.
   explicit LoopArrivalBound(TimePoint start) : last_polled_at_(start), earliest_arrival_(start) {}
 
-  void record(const Poll& poll);
+  void record(const PollTimes& poll);
 
   /// The earliest arrival of input that was ready at the end of the last poll:
   ///  - the end of that poll, if it waited and returned in time;
--- a/src/net/late_timer_policy.h
+++ b/src/net/late_timer_policy.h
@@ -24,7 +24,7 @@
   void record_deferral(TimePoint now) { deferred_until_ = now; }
 
   /// Returns the lateness of the first timer that is due, if it is to be logged: above
-  /// `kSlowIteration`, and not logged already in the iteration that deferred the timer.
+  /// `kSlowIterationThreshold`, and not logged already in the iteration that deferred the timer.
   [[nodiscard]] std::optional<Duration> lateness_to_log(TimePoint first_due_at,
                                                         TimePoint now) const;
 
--- a/src/net/loop_monitor.cpp
+++ b/src/net/loop_monitor.cpp
@@ -38,7 +38,7 @@
 
 void end_iteration(TimePoint now) {
   const Duration duration = now - state.iteration_began_at;
-  if (duration <= kSlowIteration)
+  if (duration <= kSlowIterationThreshold)
     return;
   log({"event_loop_slow_iteration",
        {{"duration_ms", std::to_string(duration / 1ms)},
@@ -79,7 +79,7 @@
   ++state.work[static_cast<std::size_t>(work)];
 }
 
-std::uint64_t iteration() {
+std::uint64_t current_iteration() {
   return state.iteration;
 }
 
--- a/src/net/loop_monitor.h
+++ b/src/net/loop_monitor.h
@@ -25,7 +25,7 @@
 void count_loop_work(LoopWork work);
 
 /// The number of this iteration. Polls that a signal interrupts do not count.
-[[nodiscard]] std::uint64_t iteration();
+[[nodiscard]] std::uint64_t current_iteration();
 
 /// The earliest time of `now()` at which input that is read in this iteration can have arrived, on
 /// a socket that was in the last polls; see `LoopArrivalBound`. The present without
--- a/src/net/loop_stall.h
+++ b/src/net/loop_stall.h
@@ -7,9 +7,9 @@
 
 /// A poll or a timer that is later than this shows that the loop was stalled: an iteration took
 /// long, or the process did not run.
-constexpr Duration kMaxLoopLateness = 20ms;
+constexpr Duration kLoopStallThreshold = 20ms;
 
 /// An iteration that lasts longer, or a timer that fires later than this, is logged.
-constexpr Duration kSlowIteration = 100ms;
+constexpr Duration kSlowIterationThreshold = 100ms;
 
 }  // namespace gorsebeam::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -61,7 +61,7 @@
 std::shared_ptr<Stream> Stream::adopt(SocketHandle socket, Events& events,
                                       TimePoint earliest_arrival) {
   std::shared_ptr<Stream> stream(new Stream(std::move(socket), events));
-  stream->arrival_bound_ = InputArrivalBound(iteration(), earliest_arrival);
+  stream->arrival_bound_ = InputArrivalBound(current_iteration(), earliest_arrival);
   stream->watch_readable();
   return stream;
 }
@@ -119,7 +119,7 @@
   return !socket_ || g_socket_condition_check(socket_.get(), kPeerClosed) != 0;
 }
 
-bool Stream::readable() const {
+bool Stream::is_readable() const {
   return socket_ && g_socket_condition_check(socket_.get(), kReadable) != 0;
 }
 
@@ -169,7 +169,7 @@
   run_guarded([this] {
     if (connecting_ && socket_ && g_socket_condition_check(socket_.get(), G_IO_OUT) != 0)
       finish_connecting();
-    for (int i = 0; i < kMaxPendingReads && !connecting_ && readable_source_ && readable(); ++i)
+    for (int i = 0; i < kMaxPendingReads && !connecting_ && readable_source_ && is_readable(); ++i)
       read_some();
   });
 }
@@ -198,7 +198,7 @@
 }
 
 void Stream::resume_after_backoff() {
-  arrival_bound_.record_resumed(iteration());
+  arrival_bound_.record_resumed(current_iteration());
   watch_readable();
   if (!all_written())
     watch_writable();
@@ -213,7 +213,7 @@
 
 void Stream::read_some() {
   count_loop_work(LoopWork::Read);
-  arrival_bound_.record_read({now(), iteration(), net::earliest_arrival()});
+  arrival_bound_.record_read({now(), current_iteration(), net::earliest_arrival()});
   char* space = input_.reserve_space(kMinReadSize);
   GError* raw = nullptr;
   const gssize size = g_socket_receive(socket_.get(), space, input_.free_space(), nullptr, &raw);
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -74,7 +74,7 @@
   void process_pending();
 
   /// Whether the kernel holds unread input or the end of the peer's sending side.
-  [[nodiscard]] bool readable() const;
+  [[nodiscard]] bool is_readable() const;
 
   /// Whether the peer closed its sending side, even if input before that is unread, or the
   /// connection failed.
@@ -86,10 +86,12 @@
   /// Closes the sending side; input is still reported.
   void shut_down_sending();
 
-  [[nodiscard]] bool open() const { return socket_ != nullptr; }
+  [[nodiscard]] bool is_open() const { return socket_ != nullptr; }
 
   /// The earliest time of `now()` at which the input of the last read can have arrived.
-  [[nodiscard]] TimePoint input_arrival() const { return arrival_bound_.earliest_arrival(); }
+  [[nodiscard]] TimePoint earliest_input_arrival() const {
+    return arrival_bound_.earliest_arrival();
+  }
 
 private:
   Stream(SocketHandle socket, Events& events);
--- a/src/postgres/client_connection.cpp
+++ b/src/postgres/client_connection.cpp
@@ -67,7 +67,7 @@
   void parse() override {
     if (phase_ == Phase::AwaitingStartup)
       return parse_startup_message();
-    const wire::Framed<Message> message = read_message(input(), max_message_bytes());
+    const wire::FramingResult<Message> message = read_message(input(), max_message_bytes());
     if (message)
       handle_message(message.value());
     else if (message.error() == FramingError::Malformed)
@@ -75,7 +75,7 @@
   }
 
   void parse_startup_message() {
-    const wire::Framed<StartupMessage> message = read_startup(input(), kMaxStartupSize);
+    const wire::FramingResult<StartupMessage> message = read_startup(input(), kMaxStartupSize);
     if (message)
       handle_startup(message.value());
     else if (message.error() == FramingError::Malformed)
--- a/src/postgres/codec.cpp
+++ b/src/postgres/codec.cpp
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-wire::Framed<Message> read_message(std::string_view in, std::size_t max_length) {
+wire::FramingResult<Message> read_message(std::string_view in, std::size_t max_length) {
   if (in.size() < kTypeSize + kLengthSize)
     return FramingError::Incomplete;
   const std::size_t length = wire::read_u32_big_endian(in.data() + kTypeSize);
@@ -51,7 +51,7 @@
   return message;
 }
 
-wire::Framed<StartupMessage> read_startup(std::string_view in, std::size_t max_length) {
+wire::FramingResult<StartupMessage> read_startup(std::string_view in, std::size_t max_length) {
   if (in.size() < kStartupHeaderSize)
     return FramingError::Incomplete;
   const std::size_t length = wire::read_u32_big_endian(in.data());
--- a/src/postgres/codec.h
+++ b/src/postgres/codec.h
@@ -42,7 +42,7 @@
 };
 
 /// Reads the first message of `in`; its length field may be at most `max_length`.
-wire::Framed<Message> read_message(std::string_view in, std::size_t max_length);
+wire::FramingResult<Message> read_message(std::string_view in, std::size_t max_length);
 
 /// The first message of a connection, which has no type byte.
 struct StartupMessage {
@@ -51,7 +51,7 @@
   std::size_t size = 0;         ///< Of the whole message.
 };
 
-wire::Framed<StartupMessage> read_startup(std::string_view in, std::size_t max_length);
+wire::FramingResult<StartupMessage> read_startup(std::string_view in, std::size_t max_length);
 
 /// The value of the parameter `name` of a startup message; nothing if it is absent.
 std::optional<std::string_view> startup_parameter(std::string_view parameters,
--- a/src/postgres/upstream_protocol.cpp
+++ b/src/postgres/upstream_protocol.cpp
@@ -18,8 +18,8 @@
 using connection_pool::ParsedResponse;
 using connection_pool::RequestKind;
 using proxy::UpstreamResponse;
-using wire::Framed;
 using wire::FramingError;
+using wire::FramingResult;
 
 constexpr std::size_t kMaxMessageLength = 128 * 1024;  // a value holds at most 64 KiB
 constexpr std::size_t kMessageHeaderSize = 5;
@@ -59,8 +59,8 @@
 }
 
 /// Reads the first message of `in`, which is to be one of `types`.
-Framed<Message> read_message_of(std::string_view in, std::string_view types) {
-  Framed<Message> message = read_message(in, kMaxMessageLength);
+FramingResult<Message> read_message_of(std::string_view in, std::string_view types) {
+  FramingResult<Message> message = read_message(in, kMaxMessageLength);
   if (!message && message.error() == FramingError::Incomplete && cannot_become_message(in, types))
     return FramingError::Malformed;
   return message;
@@ -211,7 +211,7 @@
     using Status = HandshakeResult::Status;
     std::size_t offset = 0;
     while (true) {
-      const Framed<Message> framed = read_message_of(in.substr(offset), kHandshakeTypes);
+      const FramingResult<Message> framed = read_message_of(in.substr(offset), kHandshakeTypes);
       if (!framed)
         return {framed.error() == FramingError::Incomplete ? Status::Incomplete : Status::Failed};
       const Message& message = framed.value();
@@ -247,7 +247,7 @@
     ResponseParser parser(kind);
     std::size_t offset = 0;
     while (!parser.is_ready()) {
-      const Framed<Message> message = read_message_of(in.substr(offset), kResponseTypes);
+      const FramingResult<Message> message = read_message_of(in.substr(offset), kResponseTypes);
       if (!message && message.error() == FramingError::Incomplete)
         break;
       if (!message || !parser.add(message.value()))
--- a/src/wire/framing.h
+++ b/src/wire/framing.h
@@ -12,6 +12,6 @@
 };
 
 template <typename Message>
-using Framed = common::Result<Message, FramingError>;
+using FramingResult = common::Result<Message, FramingError>;
 
 }  // namespace gorsebeam::wire
--- a/tests/fault_soak/fake_client.h
+++ b/tests/fault_soak/fake_client.h
@@ -39,7 +39,7 @@
   void disconnect();
   void reconnect(AfterReconnect next);
 
-  [[nodiscard]] bool is_connected() const { return stream_ && stream_->open(); }
+  [[nodiscard]] bool is_connected() const { return stream_ && stream_->is_open(); }
 
   SoakContext& context_;
   const int gateway_;
--- a/tests/fault_soak/fake_discovery_agent.cpp
+++ b/tests/fault_soak/fake_discovery_agent.cpp
@@ -28,7 +28,7 @@
 }
 
 void FakeDiscoveryAgent::send_heartbeat() {
-  if (is_serving() && has_sent_head_ && watch_->open())
+  if (is_serving() && has_sent_head_ && watch_->is_open())
     write_chunk("\n");
   heartbeat_.after(kHeartbeatInterval);
 }
--- a/tests/fault_soak/fake_discovery_agent.h
+++ b/tests/fault_soak/fake_discovery_agent.h
@@ -41,7 +41,7 @@
 
   void ended(const std::string&) override {}
 
-  [[nodiscard]] bool has_open_watch() const { return watch_ && watch_->open(); }
+  [[nodiscard]] bool has_open_watch() const { return watch_ && watch_->is_open(); }
 
   void accept(gorsebeam::net::SocketHandle socket);
   void listen(const std::string& address);
--- a/tests/fault_soak/fake_endpoint.cpp
+++ b/tests/fault_soak/fake_endpoint.cpp
@@ -29,7 +29,7 @@
     const auto keep_alive = shared_from_this();
     input.append(stream->input().view());
     stream->input().consume(stream->input().size());
-    while (stream->open() && handle_message()) {
+    while (stream->is_open() && handle_message()) {
     }
   }
 
@@ -81,7 +81,7 @@
   }
 
   void respond(const Request& request) {
-    if (!stream->open())
+    if (!stream->is_open())
       return;
     const ScriptedResponse response = draw_response(request);
     if (response == ScriptedResponse::ResetConnection) {
@@ -158,7 +158,7 @@
 
 void FakeEndpoint::end_closed_attempts(const std::string& request_id) {
   connections_.remove_if([](const auto& connection) {
-    return !connection->stream->open();
+    return !connection->stream->is_open();
   });
   for (const auto& connection : connections_) {
     if (connection->request_id == request_id && connection->stream->has_peer_closed())
--- a/tests/integration/stub_endpoint.cpp
+++ b/tests/integration/stub_endpoint.cpp
@@ -49,7 +49,7 @@
       ++endpoint.health_check_count;
     if (!std::exchange(is_handshake_complete, true) && endpoint.pauses_handshakes)
       paused_handshake_reply = std::exchange(reply, "");
-    if (!stream->open())
+    if (!stream->is_open())
       return false;
     if (!reply.empty())
       stream->write({reply});
@@ -126,7 +126,7 @@
 int StubEndpoint::open_connection_count() const {
   return static_cast<int>(
       std::count_if(connections_.begin(), connections_.end(), [](const auto& connection) {
-        return connection->stream->open();
+        return connection->stream->is_open();
       }));
 }
 
@@ -141,14 +141,14 @@
 std::size_t StubEndpoint::paused_handshake_count() const {
   return static_cast<std::size_t>(
       std::count_if(connections_.begin(), connections_.end(), [](const auto& connection) {
-        return connection->stream->open() && !connection->paused_handshake_reply.empty();
+        return connection->stream->is_open() && !connection->paused_handshake_reply.empty();
       }));
 }
 
 void StubEndpoint::resume_handshakes() {
   pauses_handshakes = false;
   for (const auto& connection : connections_)
-    if (connection->stream->open() && !connection->paused_handshake_reply.empty())
+    if (connection->stream->is_open() && !connection->paused_handshake_reply.empty())
       connection->stream->write({std::exchange(connection->paused_handshake_reply, "")});
 }
 
@@ -164,7 +164,7 @@
 
 void StubEndpoint::send_unsolicited(const std::string& bytes) {
   for (const auto& connection : connections_)
-    if (connection->stream->open())
+    if (connection->stream->is_open())
       connection->stream->write({bytes});
 }
 
--- a/tests/reconnect_backoff_test.cpp
+++ b/tests/reconnect_backoff_test.cpp
@@ -54,7 +54,7 @@
     EXPECT_LE(agents.next_delay(WatchEnd::Closed),
               50ms);  // calls to a local agent cost nobody anything
   }
-  few.record_list();
+  few.record_list_received();
   EXPECT_LE(few.next_delay(WatchEnd::Closed), 250ms);
 }
 
@@ -66,7 +66,7 @@
     for (std::uint64_t seed = 0; seed < 300; ++seed) {
       ReconnectBackoff backoff(300, service, seed);
       EXPECT_EQ(backoff.silence_timeout(), first_timeout);
-      backoff.record_list();
+      backoff.record_list_received();
       const Duration noticed = backoff.silence_timeout();
       EXPECT_GT(noticed, 2000ms);  // the heartbeat of a sound watch
       EXPECT_LE(noticed + backoff.next_delay(WatchEnd::Silent), 4500ms);
