--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -33,14 +33,14 @@
 
 }  // namespace
 
-EndpointListDocument parse_endpoint_list(const settings::Json& value, const std::string& where) {
-  const settings::JsonObjectReader body(value, where);
+EndpointListDocument parse_endpoint_list(const settings::Json& value, const std::string& location) {
+  const settings::JsonObjectReader body(value, location);
   EndpointListDocument list;
   list.revision = body.read_integer("revision", 0);
   list.complete = body.read_bool("complete");
   for (const settings::Json& element : body.require_array("members").GetArray())
     list.endpoints.push_back(
-        parse_endpoint(settings::JsonObjectReader(element, where + ".members")));
+        parse_endpoint(settings::JsonObjectReader(element, location + ".members")));
   return list;
 }
 
@@ -51,7 +51,7 @@
   if (document.HasParseError())
     return EndpointListError{"not JSON"};
   try {
-    return parse_endpoint_list(document, "discovery's list");
+    return parse_endpoint_list(document, "endpoint list");
   } catch (const settings::FormatError& error) {
     return EndpointListError{error.what()};
   }
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -8,8 +8,8 @@
 namespace gorsebeam::discovery {
 
 EndpointWatch::EndpointWatch(proxy::RequestBroker& broker, std::string address,
-                             EndpointListDocument known, ReconnectBackoff reconnect_backoff)
-    : broker_(broker), address_(std::move(address)), revision_(known.revision),
+                             EndpointListDocument initial_list, ReconnectBackoff reconnect_backoff)
+    : broker_(broker), address_(std::move(address)), revision_(initial_list.revision),
       silence_timer_([this] {
         check_silence();
       }),
@@ -17,8 +17,8 @@
         start();
       }),
       reconnect_backoff_(reconnect_backoff) {
-  revision_filter_.remove_outdated(known, ListOrder::FirstOfWatch);
-  broker_.update_endpoints(EndpointList::Kind::Cached, known.endpoints);
+  revision_filter_.remove_outdated(initial_list, ListOrder::FirstOfWatch);
+  broker_.update_endpoints(EndpointList::Kind::Cached, initial_list.endpoints);
 }
 
 void EndpointWatch::start() {
@@ -31,7 +31,7 @@
   silence_timer_.after(reconnect_backoff_.silence_timeout());
   stream_ = net::Stream::connect(address_, *this);
   if (!stream_)
-    schedule_reconnect("no socket");
+    schedule_reconnect("cannot open a connection to '" + address_ + "'");
 }
 
 void EndpointWatch::stop() {
@@ -41,7 +41,7 @@
     stream_->close();
 }
 
-// The broker, which gets the lists that are read, may call this again before it decides.
+// The broker may call this function again while it is passed a list that this function has read.
 void EndpointWatch::read_pending() {
   if (is_reading_)
     return;
@@ -65,7 +65,7 @@
   read_pending();
   stop();
   address_ = address;
-  // Revisions at the new address may be counted differently, so the whole list is requested.
+  // Revisions of the two addresses may not be comparable, so the whole list is requested.
   revision_ = 0;
   revision_filter_.start_new_epoch();
   reconnect_backoff_.reset();
@@ -100,7 +100,7 @@
   is_reading_ = true;
   read_response();
   is_reading_ = false;
-  // The timeout depends on whether a list has arrived.
+  // The timeout may have changed: it depends on whether the watch has delivered a list.
   if (stream_->is_open())
     silence_timer_.after(reconnect_backoff_.silence_timeout());
 }
@@ -118,7 +118,7 @@
   } while (output.status == HttpResponseParser::Status::Progress);
   apply_lists();
   if (output.status == HttpResponseParser::Status::Ended && stream_->is_open())
-    schedule_reconnect("the answer ended");
+    schedule_reconnect("discovery ended the response");
 }
 
 void EndpointWatch::apply_lists() {
@@ -130,7 +130,7 @@
                     ? parse_endpoint_list_text(output.object)
                     : EndpointListError{"not JSON"};
     if (!list) {
-      // It is unknown which changes the rejected list contained, so the whole list is requested.
+      // The changes in the rejected list are unknown, so the next watch requests the whole list.
       revision_ = 0;
       schedule_reconnect(list.error().message);
       return;
--- a/src/discovery/endpoint_watch.h
+++ b/src/discovery/endpoint_watch.h
@@ -1,5 +1,5 @@
-/// Follows discovery's endpoint list by an HTTP/1.1 watch, which it reopens whenever the watch ends
-/// or is silent for too long.
+/// Follows discovery's endpoint list by a watch: an HTTP/1.1 request whose response stays open and
+/// delivers each change. The watch is reopened whenever it ends or is silent for too long.
 #pragma once
 
 #include "endpoint_list.h"
@@ -17,28 +17,29 @@
 
 namespace gorsebeam::discovery {
 
-/// Passes each list that arrives to the broker, which it borrows. Runs on the main loop's thread;
-/// owns its connection and its timers, so nothing is called after it is destroyed or stopped.
+/// Passes each endpoint list that arrives to the broker, which must outlive the watch. Runs on the
+/// event loop's thread. The watch owns its connection and its timers, so it makes no calls after it
+/// was destroyed or stopped.
 class EndpointWatch : public net::Stream::Events, public proxy::EndpointListSource {
 public:
-  /// Passes `known`, the list as it was last held, to the broker at once. `address` is
-  /// "127.0.0.4:8080".
-  EndpointWatch(proxy::RequestBroker& broker, std::string address, EndpointListDocument known,
-                ReconnectBackoff reconnect_backoff);
+  /// Passes `initial_list`, which is used until discovery sends its first list, to the broker at
+  /// once. `address` is the numeric address of discovery, such as "127.0.0.4:8080".
+  EndpointWatch(proxy::RequestBroker& broker, std::string address,
+                EndpointListDocument initial_list, ReconnectBackoff reconnect_backoff);
 
-  /// Opens the watch. Call once; it reopens itself until `stop`.
+  /// Opens the watch, which is then reopened whenever it ends, until `stop`. Call this once.
   void start();
 
-  /// Closes the watch and opens none again.
+  /// Closes the watch and does not reopen it.
   void stop();
 
-  /// Reads what discovery has written by now. The gateway counts as notified of a change once
-  /// discovery has written it, even if the main loop has not read it yet.
+  /// Reads all changes that discovery has written so far. The gateway counts as notified of a
+  /// change once discovery has written it, even if the event loop has not read it yet.
   void read_pending() override;
 
-  /// Watches discovery at another address; does nothing if it is the same. What discovery has
-  /// written at the old address is read first. The endpoints that the broker holds stay in use
-  /// meanwhile.
+  /// Watches discovery at another address; does nothing if the address is the same. Changes that
+  /// arrived from the old address are read first. The endpoints that the broker holds stay in use
+  /// until a list arrives from the new address.
   void change_address(const std::string& address);
 
 private:
@@ -46,10 +47,10 @@
   void received() override;
   void ended(const std::string& reason) override;
 
-  /// Ends a watch that was silent for too long.
+  /// Closes the watch if it was silent for too long, and schedules its reopening.
   void check_silence();
   void read_response();
-  /// Applies all complete lists of the body.
+  /// Applies all lists that the received body contains completely.
   void apply_lists();
   void apply(EndpointListDocument list);
   /// Closes the watch and opens it again after a backoff.
@@ -57,7 +58,7 @@
 
   proxy::RequestBroker& broker_;
   std::string address_;
-  std::int64_t revision_;  ///< The next watch requests later changes; 0: the whole list.
+  std::int64_t revision_;  ///< The next watch requests changes after it; 0: the whole list.
   std::shared_ptr<net::Stream> stream_;
   net::Timer silence_timer_;
   net::Timer reconnect_timer_;
@@ -66,8 +67,8 @@
   JsonObjectSplitter body_;
   HttpResponseParser response_{JsonObjectSplitter::kMaxObjectSize};
   ListOrder next_list_ = ListOrder::FirstOfWatch;
-  TimePoint last_progress_at_{};  ///< When it was opened or last received bytes.
-  bool is_reading_ = false;       ///< `received` is on the stack.
+  TimePoint last_progress_at_{};  ///< When the watch was opened or last received bytes.
+  bool is_reading_ = false;       ///< Whether `received` is being executed.
 };
 
 }  // namespace gorsebeam::discovery
--- a/src/discovery/http_response_parser.cpp
+++ b/src/discovery/http_response_parser.cpp
@@ -13,17 +13,17 @@
 using Output = HttpResponseParser::Output;
 using Status = HttpResponseParser::Status;
 
-constexpr std::size_t kMaxChunkSizeLine = 64;
-constexpr std::size_t kMaxLoggedStatusLine = 80;
+constexpr std::size_t kMaxChunkSizeLineLength = 64;
+constexpr std::size_t kMaxLoggedStatusLineLength = 80;
 constexpr int kChunkSizeBase = 16;
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
-constexpr std::string_view kVersion = "HTTP/1.1 ";
-constexpr std::string_view kOk = "200";
+constexpr std::string_view kHttpVersion = "HTTP/1.1 ";
+constexpr std::string_view kOkStatus = "200";
 
 bool has_ok_status(std::string_view head) {
-  return head.substr(0, kVersion.size()) == kVersion &&
-         head.substr(kVersion.size(), kOk.size()) == kOk;
+  return head.substr(0, kHttpVersion.size()) == kHttpVersion &&
+         head.substr(kHttpVersion.size(), kOkStatus.size()) == kOkStatus;
 }
 
 bool is_chunked(std::string_view head) {
@@ -42,7 +42,8 @@
 std::string to_string(const HttpResponseError& error) {
   switch (error.kind) {
   case HttpResponseError::Kind::HeadTooLong:
-    return "the answer's head is too long";
+    return "the response head is longer than " + std::to_string(HttpResponseParser::kMaxHeadSize) +
+           " bytes";
   case HttpResponseError::Kind::UnexpectedStatus:
     return "answered " + error.status_line;
   case HttpResponseError::Kind::MalformedChunk:
@@ -71,7 +72,7 @@
     return {};
   }
   if (!has_ok_status(input)) {
-    const std::size_t length = std::min(input.find('\r'), kMaxLoggedStatusLine);
+    const std::size_t length = std::min(input.find('\r'), kMaxLoggedStatusLineLength);
     return failed(HttpResponseError::Kind::UnexpectedStatus, std::string(input.substr(0, length)));
   }
   state_ = is_chunked(input.substr(0, end)) ? State::ChunkedBody : State::PlainBody;
@@ -81,7 +82,7 @@
 Output HttpResponseParser::parse_chunk(std::string_view input) const {
   const std::size_t line = input.find(kLineEnd);
   if (line == std::string_view::npos) {
-    if (input.size() > kMaxChunkSizeLine)
+    if (input.size() > kMaxChunkSizeLineLength)
       return failed(HttpResponseError::Kind::MalformedChunk);
     return {};
   }
--- a/src/discovery/json_object_splitter.cpp
+++ b/src/discovery/json_object_splitter.cpp
@@ -8,55 +8,56 @@
 
 JsonObjectSplitter::Output JsonObjectSplitter::next() {
   if (depth_ == 0) {
-    text_.erase(0, position_);
-    position_ = 0;
+    text_.erase(0, scanned_size_);
+    scanned_size_ = 0;
   }
-  for (; position_ < text_.size(); ++position_) {
-    const Scan result = scan(text_[position_]);
-    if (result == Scan::Malformed)
+  for (; scanned_size_ < text_.size(); ++scanned_size_) {
+    const ScanResult result = scan(text_[scanned_size_]);
+    if (result == ScanResult::Malformed)
       return {Status::Malformed, {}};
-    if (result == Scan::ObjectEnd) {
-      ++position_;
-      return {Status::Object, std::string_view(text_).substr(begin_, position_ - begin_)};
+    if (result == ScanResult::ObjectEnd) {
+      ++scanned_size_;
+      return {Status::Object,
+              std::string_view(text_).substr(object_begin_, scanned_size_ - object_begin_)};
     }
   }
   return {text_.size() > kMaxObjectSize ? Status::Malformed : Status::NeedsInput, {}};
 }
 
-JsonObjectSplitter::Scan JsonObjectSplitter::scan(char c) {
-  if (in_string_)
+JsonObjectSplitter::ScanResult JsonObjectSplitter::scan(char c) {
+  if (is_in_string_)
     return scan_quoted(c);
   if (c == ' ' || c == '\t' || c == '\r')
-    return Scan::Continue;
+    return ScanResult::Continue;
   if (c == '\n')
     return scan_line_end();
-  blank_line_ = false;
+  is_blank_line_ = false;
   if (depth_ == 0 && c != '{')
-    return Scan::Malformed;
+    return ScanResult::Malformed;
   if (depth_ == 0)
-    begin_ = position_;
-  in_string_ = c == '"';
+    object_begin_ = scanned_size_;
+  is_in_string_ = c == '"';
   if (c == '{' || c == '[')
     ++depth_;
   if (c != '}' && c != ']')
-    return Scan::Continue;
+    return ScanResult::Continue;
   --depth_;
-  return depth_ == 0 ? Scan::ObjectEnd : Scan::Continue;
+  return depth_ == 0 ? ScanResult::ObjectEnd : ScanResult::Continue;
 }
 
-JsonObjectSplitter::Scan JsonObjectSplitter::scan_quoted(char c) {
+JsonObjectSplitter::ScanResult JsonObjectSplitter::scan_quoted(char c) {
   if (c == '\n')
-    return Scan::Malformed;
-  in_string_ = escaped_ || c != '"';
-  escaped_ = !escaped_ && c == '\\';
-  return Scan::Continue;
+    return ScanResult::Malformed;
+  is_in_string_ = is_escaped_ || c != '"';
+  is_escaped_ = !is_escaped_ && c == '\\';
+  return ScanResult::Continue;
 }
 
-JsonObjectSplitter::Scan JsonObjectSplitter::scan_line_end() {
-  if (depth_ > 0 && blank_line_)
-    return Scan::Malformed;
-  blank_line_ = true;
-  return Scan::Continue;
+JsonObjectSplitter::ScanResult JsonObjectSplitter::scan_line_end() {
+  if (depth_ > 0 && is_blank_line_)
+    return ScanResult::Malformed;
+  is_blank_line_ = true;
+  return ScanResult::Continue;
 }
 
 }  // namespace gorsebeam::discovery
--- a/src/discovery/reconnect_backoff.cpp
+++ b/src/discovery/reconnect_backoff.cpp
@@ -30,14 +30,14 @@
 
 Duration ReconnectBackoff::next_delay(WatchEnd end) {
   const bool had_list = std::exchange(list_received_, false);
-  Duration bound = max_delay_;
+  Duration longest = max_delay_;
   if (end == WatchEnd::Silent && had_list)
-    bound = std::min(bound, kNotifiedAfter - kSilenceTimeout - kCallTimeReserve);
+    longest = std::min(longest, kNotifiedAfter - kSilenceTimeout - kCallTimeReserve);
   if (service_ == DiscoveryService::Shared)
     max_delay_ = std::min(2 * max_delay_, kMaxDelayGrowth * initial_max_delay_);
-  const Duration shortest = bound / 8 + 1ns;
+  const Duration shortest = longest / 8 + 1ns;
   return Duration(
-      std::uniform_int_distribution<Duration::rep>(shortest.count(), bound.count())(random_));
+      std::uniform_int_distribution<Duration::rep>(shortest.count(), longest.count())(random_));
 }
 
 void ReconnectBackoff::record_list_received() {
--- a/src/discovery/reconnect_backoff.h
+++ b/src/discovery/reconnect_backoff.h
@@ -1,20 +1,21 @@
-/// Decides when a watch on the endpoint list counts as broken, and when a broken one is reopened.
+/// Decides when a watch on the endpoint list counts as broken, and when a broken watch is reopened.
 ///
-/// The module is pure; its random numbers follow from a seed.
+/// The module is pure; its random numbers are determined by a seed.
 ///
-/// A watch that is silent delivers nothing more, but the gateway counts as notified of what it
-/// misses 6 s after its last byte: from then on a draining endpoint must get no request. Therefore
-/// silence is detected as soon as the heartbeat of empty lines permits, and the next call is made
-/// early enough to be answered in time.
+/// A silent watch may have lost changes. The gateway counts as notified of such a change 6 s after
+/// the watch's last byte, and from then on a draining endpoint must get no request. Therefore
+/// silence is detected as soon as the interval of discovery's heartbeat permits, and the watch is
+/// reopened early enough for its response to arrive within the 6 s.
 ///
-/// A call to an agent on the gateway's own machine costs nothing, and the gateway counts as
-/// notified of what the agent holds whether a call is open or not. The watch is reopened at once,
-/// well within the grace time of a drain.
+/// With a local agent a call is cheap, and the gateway counts as notified of the changes that the
+/// agent has received even while no watch is open. The watch is therefore reopened almost at once,
+/// well within the grace period of a drain.
 ///
-/// A discovery service that all gateways share handles a few calls a second, and processes calls
-/// whose caller gave up like any other. Gateways that lose their watches together and reopen them
-/// faster than it can answer keep it busy with abandoned calls. There the backoff grows with the
-/// number of gateways, except for the first one after a silence.
+/// A discovery service that all gateways share handles only a few calls per second, and it also
+/// processes calls whose caller has given up. Gateways that lose their watches at the same time and
+/// reopen them faster than the service can respond would keep it busy with abandoned calls. With a
+/// shared service the maximum delay therefore grows with the number of gateways, except for the
+/// first delay after a silence.
 #pragma once
 
 #include "gorsebeam/router.h"
@@ -24,9 +25,9 @@
 
 namespace gorsebeam::discovery {
 
-/// The service that the watch calls.
+/// The kind of service that the watch calls.
 enum class DiscoveryService {
-  LocalAgent,  ///< Each gateway has an agent of its own.
+  LocalAgent,  ///< Each gateway has its own agent on the same machine.
   Shared,      ///< All gateways call one service.
 };
 
@@ -36,46 +37,59 @@
   Silent,  ///< Nothing arrived for `silence_timeout()`.
 };
 
-/// Draws delays evenly from above an eighth of a bound up to the bound. With a shared service the
-/// bound doubles with each delay, up to eight times the first; a list that arrives resets it.
+/// Draws each delay from a uniform distribution between an eighth of a maximum and that maximum.
+/// With a shared service the maximum doubles with each delay, up to eight times its initial value,
+/// and each list that arrives resets it.
 class ReconnectBackoff {
 public:
-  /// How long after a watch's last byte the gateway counts as notified of what it misses.
+  /// How long after a watch's last byte the gateway counts as notified of the changes
+  /// that the watch did not deliver.
   static constexpr Duration kNotifiedAfter = 6s;
-  /// The silence after which an open watch is broken; an empty line is due every 2 s.
+
+  /// The silence after which an open watch counts as broken; discovery sends an empty
+  /// line every 2 s.
   static constexpr Duration kSilenceTimeout = 2500ms;
-  /// The silence after which a call to a shared service is broken; it may be queued there.
+
+  /// The silence after which a watch on a shared service counts as broken before its first list. It
+  /// is longer than `kSilenceTimeout`, because the call may wait in the queue of the service.
   static constexpr Duration kFirstResponseTimeout = 5s;
-  /// The part of kNotifiedAfter that is left for the call itself.
+
+  /// The part of `kNotifiedAfter` that is reserved for the call that reopens a silent watch.
   static constexpr Duration kCallTimeReserve = 1500ms;
-  /// Allowed for one call to a shared service; with many gateways one took 49 to 84 ms.
+
+  /// The time that the delays allow a shared service for each call. With many gateways a call took
+  /// 49 to 84 ms.
   static constexpr Duration kCallDuration = 50ms;
-  /// The bound of each delay with a local agent.
+
+  /// The maximum of each delay with a local agent.
   static constexpr Duration kMaxAgentDelay = 50ms;
-  /// The least first bound with a shared service, which few gateways cannot overload.
+
+  /// The lower limit for the initial maximum delay with a shared service. A few gateways cannot
+  /// overload the service, so their delays need not be longer.
   static constexpr Duration kMinSharedMaxDelay = 250ms;
 
-  /// `gateways` share the service, if it is shared.
+  /// `gateways` is the number of gateways that call the service; it matters only if the service is
+  /// shared.
   ReconnectBackoff(std::uint32_t gateways, DiscoveryService service, std::uint64_t seed);
 
-  /// How long a watch may stay silent from now on.
+  /// How long the watch may be silent from now on without counting as broken.
   [[nodiscard]] Duration silence_timeout() const;
 
-  /// The delay from now, above 0, until the watch that ended is opened again.
+  /// Returns the delay, above 0, from the end of a watch to its reopening.
   [[nodiscard]] Duration next_delay(WatchEnd end);
 
-  /// Records that a list arrived.
+  /// Records that the watch delivered a list.
   void record_list_received();
 
-  /// Resets all state, as discovery has another address.
+  /// Resets all state; for a change of discovery's address.
   void reset();
 
 private:
   std::mt19937_64 random_;
   DiscoveryService service_;
   Duration initial_max_delay_;
-  Duration max_delay_;          // of the next delay
-  bool list_received_ = false;  // since the last delay
+  Duration max_delay_;          // the maximum of the next delay
+  bool list_received_ = false;  // whether a list arrived since the last delay
 };
 
 }  // namespace gorsebeam::discovery
--- a/src/discovery/revision_filter.cpp
+++ b/src/discovery/revision_filter.cpp
@@ -46,7 +46,7 @@
   if (is_older && !is_newest)
     return false;
   if (is_older || (is_known && is_still_unavailable(last->second, entry.endpoint))) {
-    // The status holds until a list with a higher revision.
+    // The earlier status stays in effect until a list with a higher revision than this one.
     entry.endpoint.status = last->second.status;
     last->second.epoch = epoch_;
     last->second.revision = revision + 1;
--- a/src/net/arrival_bound.cpp
+++ b/src/net/arrival_bound.cpp
@@ -7,14 +7,14 @@
 namespace gorsebeam::net {
 namespace {
 
-// A poll that takes less time may have found something ready at once: on a busy machine the call
-// itself takes some milliseconds.
+// A poll that takes less time than this may have found input that was ready when the poll began: on
+// a busy machine the system call alone takes some milliseconds.
 constexpr Duration kMinPollDuration = 10ms;
 
 }  // namespace
 
-// If a poll returns late it is not known when it examined the sockets: the process may have been
-// stopped before or after that.
+// When a poll returns late, the time at which it examined the sockets is unknown: the process may
+// have been suspended before or after that.
 void LoopArrivalBound::record(const PollTimes& poll) {
   const TimePoint due_at = poll.began_at + poll.timeout;
   const bool is_late = poll.ended_at - kLoopStallThreshold >= due_at;
--- a/src/net/byte_spans.h
+++ b/src/net/byte_spans.h
@@ -1,4 +1,5 @@
-/// One message in several pieces, which are written one after the other without being joined first.
+/// A message as a sequence of byte spans, which are written in order without being copied into one
+/// buffer first.
 #pragma once
 
 #include <string_view>
@@ -6,7 +7,7 @@
 
 namespace gorsebeam::net {
 
-/// The pieces are borrowed.
+/// The spans borrow their bytes; the owner of the bytes must outlive them.
 using ByteSpans = std::vector<std::string_view>;
 
 }  // namespace gorsebeam::net
--- a/src/net/handles.h
+++ b/src/net/handles.h
@@ -1,4 +1,4 @@
-/// RAII owners of GLib handles. They are used on the main loop's thread only.
+/// RAII owners of GLib handles. They are used only on the event loop's thread.
 #pragma once
 
 #include <gio/gio.h>
@@ -29,8 +29,8 @@
 using StringHandle = std::unique_ptr<gchar, StringFree>;
 using MainLoopHandle = std::unique_ptr<GMainLoop, MainLoopUnref>;
 
-/// Owns a source of the default main context. The source is destroyed with its owner, and its
-/// callback does not run after that.
+/// Owns an event source (GSource) of GLib's default main context. The destructor destroys the
+/// source, and the callback of the source does not run after that.
 class SourceHandle {
 public:
   SourceHandle() = default;
@@ -39,7 +39,7 @@
 
   ~SourceHandle() { reset(); }
 
-  /// Destroys the present source and takes over the caller's reference to `source`.
+  /// Destroys the current source, if any, and takes over the caller's reference to `source`.
   void reset(GSource* source = nullptr) {
     if (source_) {
       g_source_destroy(source_);
@@ -48,7 +48,7 @@
     source_ = source;
   }
 
-  /// Calls `ready(socket, condition, data)` from the main loop whenever `condition` holds.
+  /// Calls `ready(socket, condition, data)` from the event loop whenever `condition` holds.
   void watch(GSocket* socket, GIOCondition condition, GSocketSourceFunc ready, gpointer data) {
     reset(g_socket_create_source(socket, condition, nullptr));
     g_source_set_callback(source_, G_SOURCE_FUNC(ready), data, nullptr);
--- a/src/net/input_buffer.cpp
+++ b/src/net/input_buffer.cpp
@@ -19,7 +19,7 @@
   buffered_bytes -= removed;
 }
 
-// The memory of an empty buffer is freed at once, because hundreds of connections are idle at a
+// An empty buffer frees its memory at once, because hundreds of connections may be idle at the same
 // time.
 void InputBuffer::consume(std::size_t count) {
   begin_ += count;
--- a/src/net/input_buffer.h
+++ b/src/net/input_buffer.h
@@ -7,14 +7,14 @@
 
 namespace gorsebeam::net {
 
-/// Memory of all buffers of all connections, in bytes. It has a limit of its own, beside the limit
-/// for the size of each message.
+/// The memory that the input and output buffers of all connections use, in bytes. The callers limit
+/// it, in addition to the size of each message.
 std::size_t total_buffered_bytes();
 
-/// Adds to and subtracts from `total_buffered_bytes`; for the owners of buffers only.
+/// Adds `added` to `total_buffered_bytes` and subtracts `removed`. Only the buffer classes call it.
 void count_buffered(std::size_t added, std::size_t removed);
 
-/// Views of the content stay valid until the next call of a non-const member function.
+/// Views of the buffer's content stay valid until the next call of a non-const member function.
 class InputBuffer {
 public:
   InputBuffer() = default;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -11,9 +11,9 @@
 namespace gorsebeam::net {
 namespace {
 
-constexpr int kBacklog = 512;
+constexpr int kListenBacklog = 512;
 constexpr int kMaxAcceptsPerIteration = 16;
-constexpr int kMaxAcceptsAtClose = 4 * kBacklog;
+constexpr int kMaxAcceptsAtClose = 4 * kListenBacklog;
 constexpr Duration kAcceptBackoff = 20ms;
 
 SocketHandle open_listening_socket(GSocketAddress* address, ErrorHandle& error) {
@@ -22,7 +22,7 @@
                                    G_SOCKET_PROTOCOL_TCP, &raw));
   if (socket) {
     g_socket_set_blocking(socket.get(), FALSE);
-    g_socket_set_listen_backlog(socket.get(), kBacklog);
+    g_socket_set_listen_backlog(socket.get(), kListenBacklog);
   }
   const bool listens = socket && g_socket_bind(socket.get(), address, TRUE, &raw) != FALSE &&
                        g_socket_listen(socket.get(), &raw) != FALSE;
@@ -35,11 +35,12 @@
 std::optional<ListenError> Listener::listen(const std::string& address) {
   const AddressHandle parsed = parse_address(address, 0);
   if (!parsed)
-    return ListenError{ListenErrorKind::InvalidAddress, "'" + address + "' is no address and port"};
+    return ListenError{ListenErrorKind::InvalidAddress,
+                       "'" + address + "' is not a numeric address with a port from 0 to 65535"};
   ErrorHandle error;
   socket_ = open_listening_socket(parsed.get(), error);
   if (!socket_)
-    return ListenError{ListenErrorKind::SystemError, error ? error->message : "cannot listen"};
+    return ListenError{ListenErrorKind::SystemError, error ? error->message : "unknown error"};
   resume();
   return std::nullopt;
 }
@@ -64,8 +65,8 @@
   return backlog_arrival_ ? std::min(*backlog_arrival_, arrival) : arrival;
 }
 
-// While the listener is paused, new connections enter the queue at unknown times, so that the bound
-// of those that are in it no longer applies.
+// While the listener is paused, new connections enter the kernel's queue at unknown times, so the
+// earliest arrival of the connections already in the queue does not apply to them.
 void Listener::pause() {
   is_paused_ = true;
   backlog_arrival_.reset();
@@ -137,8 +138,9 @@
   return result == AcceptResult::Accepted || result == AcceptResult::ConnectionLost;
 }
 
-// As accept(2) says, a lack of descriptors or memory leaves the connection in the queue. Most other
-// errors concern one connection, which has left the queue, and the call is to be repeated.
+// According to accept(2), a lack of file descriptors or memory leaves the connection in the queue.
+// Most other errors concern a single connection, which has then left the queue, and the call is to
+// be repeated for the next one.
 Listener::AcceptResult Listener::accept_one() {
   GError* raw = nullptr;
   SocketHandle socket(g_socket_accept(socket_.get(), nullptr, &raw));
@@ -153,7 +155,7 @@
   log({"accept_failed", {{"error", error->message}}});
   const bool lacks_resources =
       g_error_matches(error.get(), G_IO_ERROR, G_IO_ERROR_TOO_MANY_OPEN_FILES) != FALSE ||
-      g_error_matches(error.get(), G_IO_ERROR, G_IO_ERROR_NO_SPACE) != FALSE;  // memory
+      g_error_matches(error.get(), G_IO_ERROR, G_IO_ERROR_NO_SPACE) != FALSE;  // ENOMEM
   return lacks_resources ? AcceptResult::NoResources : AcceptResult::ConnectionLost;
 }
 
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -19,7 +19,7 @@
 namespace gorsebeam::net {
 namespace {
 
-LogFormat format = LogFormat::Text;
+LogFormat current_format = LogFormat::Text;
 
 std::shared_ptr<spdlog::logger> create_logger() {
   auto created = std::make_shared<spdlog::logger>(
@@ -52,28 +52,28 @@
 }
 
 // Standard error may be a pipe whose reader has stopped; a write to a full pipe would block the
-// whole process. A pipe that is writable accepts a line at once. If a signal interrupts the call,
-// the line is written.
+// whole process. A pipe that poll(2) reports as writable accepts a line without blocking. If a
+// signal interrupts poll(2), standard error counts as writable.
 bool is_log_writable() {
   pollfd descriptor{STDERR_FILENO, POLLOUT, 0};
   return poll(&descriptor, 1, 0) != 0;
 }
 
-/// Lines of one event name within the current second.
+/// How many lines with one event name were written and suppressed in the current second.
 struct RecentLines {
-  gint64 since = 0;  ///< Monotonic time in microseconds at which the second began.
+  gint64 second_began_at = 0;  ///< In microseconds of the monotonic clock; 0: no line yet.
   int written = 0;
   int suppressed = 0;
 };
 
-/// Returns how many lines of this event were suppressed since the last one, or nothing if this line
-/// is to be suppressed too.
+/// Returns how many lines with this event name were suppressed since the last written one, or
+/// nothing if the current line is to be suppressed too.
 std::optional<int> admit_line(const char* event) {
-  static std::map<std::string, RecentLines> events;  // bounded: event names are literals
+  static std::map<std::string, RecentLines> events;  // bounded in size: event names are literals
   RecentLines& recent = events[event];
   const gint64 now = g_get_monotonic_time();
-  if (recent.since == 0 || now - recent.since >= G_USEC_PER_SEC) {
-    recent.since = now;
+  if (recent.second_began_at == 0 || now - recent.second_began_at >= G_USEC_PER_SEC) {
+    recent.second_began_at = now;
     recent.written = 0;
   }
   ++recent.written;
@@ -86,8 +86,8 @@
 
 }  // namespace
 
-void set_log_format(LogFormat wanted) {
-  format = wanted;
+void set_log_format(LogFormat format) {
+  current_format = format;
 }
 
 void log(logging::LogRecord record) {
@@ -96,7 +96,7 @@
     return;
   if (*suppressed > 0)
     record.fields.emplace_back("suppressed", std::to_string(*suppressed));
-  const bool is_json = format == LogFormat::Json;
+  const bool is_json = current_format == LogFormat::Json;
   logger().info("{}", is_json ? to_json(record) : "gorsebeam: " + logging::to_text(record));
 }
 
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -7,15 +7,16 @@
 
 enum class LogFormat { Text, Json };
 
-/// Applies to each line that is written after this call.
-void set_log_format(LogFormat wanted);
+/// Sets the format of each line that is written after this call.
+void set_log_format(LogFormat format);
 
-/// The number of lines of one event name that are written within a second. Further lines are
-/// suppressed and counted, and so are lines whose write would block on standard error.
+/// The maximum number of lines with one event name that are written within a second. Further lines
+/// are suppressed and counted, and so are lines whose write to standard error would block.
 constexpr int kMaxLinesPerSecond = 5;
 
-/// Text: "gorsebeam: EVENT name=value". JSON: an object with "time" (Unix ms), "event" and the
-/// fields. The first line after suppressed ones has their number in `suppressed`.
+/// Writes one line to the log. As text it is "gorsebeam: EVENT name=value ..."; as JSON it is an
+/// object with "time" (in Unix milliseconds), "event" and the fields. The first line after
+/// suppressed lines of the same event has their number in the field `suppressed`.
 void log(logging::LogRecord record);
 
 }  // namespace gorsebeam::net
--- a/src/net/loop_monitor.cpp
+++ b/src/net/loop_monitor.cpp
@@ -16,13 +16,13 @@
 namespace gorsebeam::net {
 namespace {
 
-constexpr std::size_t kWorkKinds = 3;
+constexpr std::size_t kWorkKindCount = 3;
 
 struct LoopState {
   std::optional<LoopArrivalBound> arrival_bound;  ///< Empty while the loop is not observed.
   TimePoint iteration_began_at{};
   std::uint64_t iteration = 0;
-  std::array<std::uint64_t, kWorkKinds> work{};
+  std::array<std::uint64_t, kWorkKindCount> work{};
 };
 
 LoopState state;
@@ -55,7 +55,7 @@
   const gint ready = g_poll(descriptors, count, timeout);
   const int error = errno;
   const TimePoint ended_at = now();
-  // A poll that a signal interrupts has not examined the sockets.
+  // A poll that a signal interrupted has not examined the sockets, so its times prove nothing.
   if (ready >= 0) {
     state.arrival_bound->record({began_at, ended_at, std::chrono::milliseconds(timeout)});
     ++state.iteration;
--- a/src/net/loop_monitor.h
+++ b/src/net/loop_monitor.h
@@ -1,8 +1,8 @@
-/// Observes the iterations of the main loop: how long each lasts, what it does, and since when its
+/// Observes the iterations of the event loop: how long each lasts, what it does, and since when its
 /// input can have been ready.
 ///
 /// An iteration begins when a poll returns and ends when the next poll begins. All functions run on
-/// the main loop's thread.
+/// the event loop's thread.
 #pragma once
 
 #include "gorsebeam/time.h"
@@ -11,25 +11,26 @@
 
 namespace gorsebeam::net {
 
-/// What an iteration does, as counted for the log.
+/// The kinds of work that are counted in each iteration, for the log.
 enum class LoopWork { Accept, Read, Timer };
 
-/// The longest timeout of a poll. A stall within a poll that ends before its timeout is not
-/// detected, so that this bounds such a stall.
+/// The maximum timeout of a poll. A stall within a poll is detected only if the poll returns after
+/// its timeout, so this value also limits how long a stall can be without being detected.
 constexpr int kMaxPollTimeoutMs = 100;
 
-/// Observes the default main context from now on, for as long as the process lives.
+/// Starts to observe GLib's default main context, until the process ends.
 void observe_loop();
 
-/// Counts one piece of work of this iteration.
+/// Counts one unit of work in the current iteration.
 void count_loop_work(LoopWork work);
 
-/// The number of this iteration. Polls that a signal interrupts do not count.
+/// The number of the current iteration. A poll that a signal interrupts does not start a new
+/// number.
 [[nodiscard]] std::uint64_t current_iteration();
 
-/// The earliest time of `now()` at which input that is read in this iteration can have arrived, on
-/// a socket that was in the last polls; see `LoopArrivalBound`. The present without
-/// `observe_loop()`.
+/// The earliest time, on the clock of `now()`, at which input that is read in the current iteration
+/// can have arrived; see `LoopArrivalBound`. It holds for sockets that the recent polls included.
+/// Returns the current time if `observe_loop()` was not called.
 [[nodiscard]] TimePoint earliest_arrival();
 
 }  // namespace gorsebeam::net
--- a/src/net/output_buffer.h
+++ b/src/net/output_buffer.h
@@ -1,4 +1,4 @@
-/// The bytes of one connection that the kernel has not accepted yet.
+/// The output of one connection that the kernel has not accepted yet.
 #pragma once
 
 #include "byte_spans.h"
@@ -9,7 +9,7 @@
 
 namespace gorsebeam::net {
 
-/// Its memory counts in `total_buffered_bytes`.
+/// The buffer's memory is included in `total_buffered_bytes`.
 class OutputBuffer {
 public:
   OutputBuffer() = default;
@@ -32,7 +32,7 @@
 
   [[nodiscard]] bool all_sent() const { return sent_size_ == bytes_.size(); }
 
-  /// Bytes in memory, whether sent or not.
+  /// The number of bytes in memory, both sent and unsent.
   [[nodiscard]] std::size_t size() const { return bytes_.size(); }
 
   /// Drops all bytes and frees the memory.
@@ -40,7 +40,7 @@
 
 private:
   std::string bytes_;
-  std::size_t sent_size_ = 0;  ///< Bytes at the front of `bytes_` that the kernel has accepted.
+  std::size_t sent_size_ = 0;  ///< Number of bytes at the front that the kernel has accepted.
 };
 
 }  // namespace gorsebeam::net
--- a/src/net/signals.h
+++ b/src/net/signals.h
@@ -1,6 +1,6 @@
-/// Reports signals as events of the main loop. No thread is used: GLib's signal sources start one,
-/// which can hold a lock that the main thread waits for, in environments that run one thread at a
-/// time.
+/// Reports signals as events of the event loop, without a thread. GLib's own signal sources start a
+/// thread; in an environment that runs one thread at a time, that thread can hold a lock that the
+/// main thread waits for.
 #pragma once
 
 #include "handles.h"
@@ -10,14 +10,14 @@
 
 namespace gorsebeam::net {
 
-/// At most one instance exists in a process. Each of the signals runs the handler from the main
-/// loop; several instances of a signal that arrive together run it once. The destructor restores
-/// the previous actions.
+/// Runs a handler on the event loop for each of the given signals. A signal that is raised several
+/// times before the event loop handles it runs the handler once. At most one instance may exist in
+/// a process. The destructor restores the previous signal actions.
 class Signals {
 public:
   using Handler = std::function<void(int number)>;
 
-  /// Throws std::runtime_error if no descriptor is left.
+  /// Throws std::runtime_error if the file descriptor that wakes the event loop cannot be created.
   Signals(const std::vector<int>& numbers, Handler handler);
   Signals(const Signals&) = delete;
   Signals& operator=(const Signals&) = delete;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -15,12 +15,13 @@
 namespace gorsebeam::net {
 namespace {
 
-constexpr std::size_t kMinReadSize = 4 * 1024;  // the buffer doubles while a message is incomplete
-constexpr std::size_t kMaxVectors = 16;
-constexpr int kMaxPendingReads = 64;
+constexpr std::size_t kMinReadSize =
+    4 * 1024;  // the input buffer doubles while a message is incomplete
+constexpr std::size_t kMaxOutputVectors = 16;
+constexpr int kMaxReadsPerCall = 64;
 
-// POLLRDHUP is set when the peer closed its sending side, even if input before that is unread. GLib
-// has no name for it and passes the bit to poll unchanged.
+// POLLRDHUP is set when the peer has closed its sending side, even if earlier input is unread. GLib
+// has no constant for POLLRDHUP and passes the bit to poll(2) unchanged.
 constexpr auto kPeerClosed = static_cast<GIOCondition>(G_IO_HUP | G_IO_ERR | POLLRDHUP);
 constexpr auto kReadable = static_cast<GIOCondition>(G_IO_IN | G_IO_HUP | G_IO_ERR);
 
@@ -47,7 +48,7 @@
   if (!socket)
     return nullptr;
   std::shared_ptr<Stream> stream(new Stream(std::move(socket), events));
-  // The source reports an immediate failure too, from the main loop.
+  // If this call fails at once, the source reports the failure from the event loop.
   g_socket_connect(stream->socket_.get(), parsed.get(), nullptr, nullptr);
   stream->connecting_ = true;
   stream->watch_writable();
@@ -169,7 +170,7 @@
   run_guarded([this] {
     if (connecting_ && socket_ && g_socket_condition_check(socket_.get(), G_IO_OUT) != 0)
       finish_connecting();
-    for (int i = 0; i < kMaxPendingReads && !connecting_ && readable_source_ && is_readable(); ++i)
+    for (int i = 0; i < kMaxReadsPerCall && !connecting_ && readable_source_ && is_readable(); ++i)
       read_some();
   });
 }
@@ -178,14 +179,15 @@
   GError* raw = nullptr;
   const bool succeeded = g_socket_check_connect_result(socket_.get(), &raw) != FALSE;
   const ErrorHandle error(raw);
-  // If connect failed at once, that call has consumed the error; the socket then has no peer.
+  // If the call that connects failed at once, it has consumed the error of the socket. The socket
+  // is then not connected although no error is found here.
   if (!succeeded || g_socket_is_connected(socket_.get()) == FALSE)
     return fail(error ? error->message : "not connected");
   connecting_ = false;
   writable_source_.reset();
   watch_readable();
   if (!all_written())
-    watch_writable();  // bytes were written before the connection was established
+    watch_writable();  // output was buffered before the connection was established
   events_->connected();
 }
 
@@ -234,11 +236,11 @@
 void Stream::write(const ByteSpans& spans) {
   if (!socket_)
     return;
-  if (!all_written() || connecting_ || spans.size() > kMaxVectors) {
+  if (!all_written() || connecting_ || spans.size() > kMaxOutputVectors) {
     output_.append_unsent(spans, 0);
     return watch_writable();
   }
-  std::array<GOutputVector, kMaxVectors> vectors;
+  std::array<GOutputVector, kMaxOutputVectors> vectors;
   std::size_t total = 0;
   for (std::size_t i = 0; i < spans.size(); ++i) {
     vectors[i] = {spans[i].data(), spans[i].size()};
@@ -250,7 +252,7 @@
   const std::size_t sent = result > 0 ? static_cast<std::size_t>(result) : 0;
   if (result >= 0 && sent == total)
     return;
-  // An error here is not reported now: the source finds it again and reports it from the main loop.
+  // An error is not reported here: the next write from the event loop finds and reports it.
   output_.append_unsent(spans, sent);
   watch_writable();
 }
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,4 +1,5 @@
-/// A TCP connection with callbacks on GIO sockets and GLib's main loop; it never blocks.
+/// A non-blocking TCP connection that reports its events by callbacks, on GIO sockets and GLib's
+/// main loop.
 #pragma once
 
 #include "address.h"
@@ -15,16 +16,18 @@
 
 namespace gorsebeam::net {
 
-/// Whether the end of the peer's sending side is reported while reading is paused.
+/// Whether `Stream::Events::peer_closed` is called while reading is paused.
 enum class PeerCloseWatch { Off, On };
 
 class Stream : public std::enable_shared_from_this<Stream> {
 public:
-  /// Called from the main loop. An exception ends the connection and nothing else.
+  /// The callbacks of a stream, which the event loop calls. An exception that leaves a callback
+  /// ends this connection only.
   class Events {
   public:
     virtual ~Events() = default;
 
+    /// The connection was established; not called for an adopted socket.
     virtual void connected() {}
 
     /// Bytes were added to `input()`.
@@ -33,7 +36,7 @@
     /// The kernel has accepted all buffered output.
     virtual void flushed() {}
 
-    /// The connection was ended by the peer or by an error; not called after `close()`.
+    /// The peer or an error ended the connection. Not called after `close()`.
     virtual void ended(const std::string& reason) = 0;
 
     /// The peer closed its sending side while reading is paused with `PeerCloseWatch::On`.
@@ -42,7 +45,7 @@
 
   /// Begins to connect to a numeric address. Returns null if the address is invalid or no socket
   /// can be opened. `events` must stay valid until `close()` or the destruction of the stream. A
-  /// failure to connect is reported from the main loop, never from within this call.
+  /// failure to connect is reported later from the event loop, never from within this call.
   static std::shared_ptr<Stream> connect(const std::string& address, Events& events);
 
   /// Takes ownership of a connected socket. Its input cannot have arrived before
@@ -50,27 +53,27 @@
   static std::shared_ptr<Stream> adopt(SocketHandle socket, Events& events,
                                        TimePoint earliest_arrival);
 
-  /// As above; input cannot have arrived before this call.
+  /// Takes ownership of a connected socket, whose input cannot have arrived before this call.
   static std::shared_ptr<Stream> adopt(SocketHandle socket, Events& events);
   ~Stream();
 
   InputBuffer& input() { return input_; }
 
-  /// Sends the spans; buffers a copy of what the kernel does not accept now.
+  /// Sends the spans, and buffers a copy of the bytes that the kernel does not accept now.
   void write(const ByteSpans& spans);
 
-  /// No output is buffered.
+  /// Whether the kernel has accepted all output.
   [[nodiscard]] bool all_written() const { return output_.all_sent(); }
 
-  /// Unread input and the memory of the output, in bytes.
+  /// The size of the unread input and of the output buffer together, in bytes.
   [[nodiscard]] std::size_t buffered_bytes() const { return input_.size() + output_.size(); }
 
-  /// Input stays in the kernel until reading is resumed.
+  /// Stops reading: input stays in the kernel until `resume_reading`.
   void pause_reading(PeerCloseWatch watch = PeerCloseWatch::Off);
   void resume_reading();
 
-  /// Handles now what the main loop would handle in its next iterations: an established connection
-  /// and input that has arrived. The callbacks run inside this call.
+  /// Handles at once the events that the event loop would handle in its next iterations: that the
+  /// connection is established, and input that has arrived. The callbacks run inside this call.
   void process_pending();
 
   /// Whether the kernel holds unread input or the end of the peer's sending side.
@@ -83,12 +86,13 @@
   /// Closes the connection at once; no callback follows.
   void close();
 
-  /// Closes the sending side; input is still reported.
+  /// Closes the sending side of the connection; input is still read and reported.
   void shut_down_sending();
 
   [[nodiscard]] bool is_open() const { return socket_ != nullptr; }
 
-  /// The earliest time of `now()` at which the input of the last read can have arrived.
+  /// The earliest time, on the clock of `now()`, at which the input of the last read can have
+  /// arrived.
   [[nodiscard]] TimePoint earliest_input_arrival() const {
     return arrival_bound_.earliest_arrival();
   }
@@ -99,7 +103,7 @@
   static gboolean on_peer_closed(GSocket*, GIOCondition, gpointer self);
   static gboolean on_writable(GSocket*, GIOCondition, gpointer self);
 
-  /// Runs `step`; an exception in it ends this connection.
+  /// Runs `step`, and closes this connection if `step` throws.
   template <typename Step>
   void run_guarded(Step&& step);
   void watch_readable();
@@ -109,7 +113,8 @@
   void write_some();
   void fail(const std::string& reason);
 
-  /// Suspends both directions if the failed call may succeed soon; false if it may not.
+  /// Suspends reading and writing if the call that failed with `error` may succeed soon. Returns
+  /// false if it may not.
   [[nodiscard]] bool back_off_after_transient_error(const GError& error);
   void resume_after_backoff();
 
--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -40,11 +40,11 @@
 
 /// The queue is never destroyed, because timers may outlive other static objects.
 TimerQueue* create_queue() {
-  // A ready time of the source (g_source_set_ready_time) wakes the loop each time that it is set:
-  // measured, two in five polls ended for that reason alone. The prepare function avoids it.
+  // The prepare function sets the timeout of each poll. The alternative, g_source_set_ready_time,
+  // wakes the event loop at each call; two in five polls ended for that reason alone.
   GSource* source = g_source_new(&queue_source_functions, sizeof(GSource));
   g_source_attach(source, nullptr);
-  g_source_unref(source);  // the main context holds it
+  g_source_unref(source);  // the main context holds a reference
   return new TimerQueue;
 }
 
@@ -59,7 +59,8 @@
   return is_due ? TRUE : FALSE;
 }
 
-// The timeout is rounded up, because no timer is due yet if the poll ends early.
+// The timeout is rounded up to whole milliseconds: rounded down, the poll would end before the
+// timer is due.
 gboolean prepare_queue(GSource*, gint* timeout_ms) {
   const auto& timers = queue().timers;
   *timeout_ms = -1;
@@ -81,7 +82,7 @@
     log({"timers_late", {{"late_ms", std::to_string(*lateness / 1ms)}}});
 }
 
-/// Returns the timers that fire now; the others that are due fire in the next iteration.
+/// Returns the timers that fire now, and defers the other due timers to the next iteration.
 std::vector<Timer::QueueKey> select_timers_to_fire(TimePoint now) {
   TimerQueue& timer_queue = queue();
   std::vector<Timer::QueueKey> selected;
--- a/src/net/transient_error_backoff.cpp
+++ b/src/net/transient_error_backoff.cpp
@@ -8,8 +8,8 @@
 constexpr int kMaxConsecutiveErrors = 50;
 constexpr Duration kTransientErrorBackoff = 5ms;
 
-// GLib reports a lack of memory (ENOMEM) as one of space, and has no code for one of buffers
-// (ENOBUFS).
+// GLib maps a lack of memory (ENOMEM) to G_IO_ERROR_NO_SPACE. It has no code for a lack of buffers
+// (ENOBUFS), which becomes G_IO_ERROR_FAILED.
 bool may_be_transient(const GError& error) {
   return error.domain == G_IO_ERROR &&
          (error.code == G_IO_ERROR_NO_SPACE || error.code == G_IO_ERROR_FAILED);
--- a/src/net/transient_error_backoff.h
+++ b/src/net/transient_error_backoff.h
@@ -12,18 +12,18 @@
 
 class TransientErrorBackoff {
 public:
-  /// `resume` runs on the main loop at the end of each backoff.
+  /// `resume` runs on the event loop at the end of each backoff.
   explicit TransientErrorBackoff(std::function<void()> resume) : timer_(std::move(resume)) {}
 
   /// Starts a backoff if the call that failed with `error` may succeed soon. Returns false if it
-  /// may not, or after too many errors in a row, as an error that GLib has no code for may also be
-  /// the end of the connection.
+  /// may not, or after too many consecutive errors: an error for which GLib has no code may also
+  /// mean that the connection is lost.
   [[nodiscard]] bool start(const GError& error);
 
-  /// A call succeeded: the next error is the first in a row.
+  /// Records that a call succeeded, which resets the count of consecutive errors.
   void record_success() { consecutive_errors_ = 0; }
 
-  /// Ends the backoff without a call of `resume`.
+  /// Ends the backoff without calling `resume`.
   void stop() { timer_.stop(); }
 
 private:
--- a/src/wire/framing.h
+++ b/src/wire/framing.h
@@ -1,14 +1,14 @@
-/// The result of reading a length-prefixed message from the bytes received so far.
+/// The result of parsing a length-prefixed message at the beginning of the received bytes.
 #pragma once
 
 #include "common/result.h"
 
 namespace gorsebeam::wire {
 
-/// Why there is no message.
+/// Why no message could be parsed.
 enum class FramingError {
-  Incomplete,  ///< More bytes are needed.
-  Malformed,   ///< The length is out of bounds.
+  Incomplete,  ///< The message has not been received completely.
+  Malformed,   ///< The length prefix is out of bounds.
 };
 
 template <typename Message>
--- a/src/wire/integers.h
+++ b/src/wire/integers.h
@@ -1,4 +1,5 @@
-/// Fixed-size integers of wire formats, independent of the host's byte order. Pure.
+/// Reads and encodes the fixed-size integers of wire formats, independently of the host's byte
+/// order. Pure.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +7,8 @@
 
 namespace gorsebeam::wire {
 
-/// The functions that read require 4 or 8 readable bytes at `bytes`, which need not be aligned.
+/// The read functions require as many readable bytes at `bytes` as the integer has (4 or 8);
+/// `bytes` need not be aligned.
 std::uint32_t read_u32_big_endian(const char* bytes);
 std::uint32_t read_u32_little_endian(const char* bytes);
 std::uint64_t read_u64_little_endian(const char* bytes);
--- a/src/wire/parts.h
+++ b/src/wire/parts.h
@@ -1,4 +1,5 @@
-/// Messages in pieces, which are written one after the other without being joined.
+/// Helpers for messages that consist of several spans, which are written in order without being
+/// copied into one buffer.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +8,7 @@
 
 namespace gorsebeam::wire {
 
-/// The size of all pieces together, in bytes.
+/// The total size of all parts, in bytes.
 inline std::size_t total_size(const std::vector<std::string_view>& parts) {
   std::size_t size = 0;
   for (const std::string_view part : parts)
--- a/tests/arrival_bound_test.cpp
+++ b/tests/arrival_bound_test.cpp
@@ -11,19 +11,19 @@
 
 struct PollCase {
   const char* name;
-  Duration began_after;  ///< All times count from the poll before, which ended at `kStart`.
+  Duration began_after;  ///< All times are relative to `kStart`, when the previous poll ended.
   Duration ended_after;
   Duration timeout;
   Duration bound;
 };
 
-TEST(LoopArrivalBound, FollowsFromTheTimesOfThePoll) {
+TEST(LoopArrivalBound, IsComputedFromTheTimesOfThePoll) {
   const std::vector<PollCase> cases = {
       {"waited and returned in time", 5ms, 50ms, 100ms, 50ms},
       {"waited until its timeout", 5ms, 105ms, 100ms, 105ms},
       {"returned less than 20 ms late", 5ms, 124ms, 100ms, 124ms},
-      {"returned 20 ms late: at any time since it began", 5ms, 125ms, 100ms, 5ms},
-      {"returned at once: at any time since the poll before", 5ms, 14ms, 100ms, 0ms},
+      {"returned 20 ms late: input may have arrived since it began", 5ms, 125ms, 100ms, 5ms},
+      {"returned at once: input may have arrived since the previous poll", 5ms, 14ms, 100ms, 0ms},
       {"took 10 ms: it waited", 5ms, 15ms, 100ms, 15ms},
   };
   for (const PollCase& test : cases) {
@@ -33,7 +33,7 @@
   }
 }
 
-TEST(LoopArrivalBound, CountsFromTheBeginningOfALatePollIfTheNextReturnsAtOnce) {
+TEST(LoopArrivalBound, IsTheBeginningOfALatePollIfTheNextPollReturnsAtOnce) {
   LoopArrivalBound bound(kStart);
   bound.record({kStart + 10ms, kStart + 900ms, 100ms});
   bound.record({kStart + 901ms, kStart + 902ms, 100ms});
@@ -42,8 +42,8 @@
 
 struct ReadCase {
   const char* name;
-  std::uint64_t iteration;  ///< The read before was in iteration 7.
-  Duration age;             ///< Of the bound of that read, `kStart`.
+  std::uint64_t iteration;  ///< The previous read was in iteration 7.
+  Duration age;             ///< Time since `kStart`, the bound at the previous read.
   Duration loop_bound;
   Duration bound;
 };
--- a/tests/late_timer_policy_test.cpp
+++ b/tests/late_timer_policy_test.cpp
@@ -21,7 +21,7 @@
       {"in time", 0ms, 1000ms, TimerDecision::Fire},
       {"20 ms late", 20ms, 1000ms, TimerDecision::Fire},
       {"later than 20 ms", 20ms + 1ns, 1000ms, TimerDecision::Defer},
-      {"deferred before", 500ms, 500ms, TimerDecision::Fire},
+      {"deferred already", 500ms, 500ms, TimerDecision::Fire},
       {"due after the deferral and late again", 499ms, 500ms, TimerDecision::Defer},
   };
   for (const DecisionCase& test : cases) {
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -1,4 +1,5 @@
-// Errors of accept(2): which connections are lost, and whether the loop busy-waits.
+// Tests of the listener when accept(2) fails: which connections are lost, and whether the event
+// loop busy-waits.
 #include "net/listener.h"
 #include "net/stream.h"
 #include "net/timer.h"
@@ -17,12 +18,12 @@
 
 namespace {
 
-std::deque<int> next_errors;  // of the next calls; 0: the call succeeds
+std::deque<int> next_errors;  // errno of each of the next calls of accept; 0: the call succeeds
 int accept_calls = 0;
 
 }  // namespace
 
-// GLib calls this function to accept.
+// Replaces accept(2), which GLib calls to accept a connection.
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 extern "C" int accept(int descriptor, sockaddr* address, socklen_t* length) {
   ++accept_calls;
@@ -87,10 +88,11 @@
   std::vector<std::unique_ptr<Client>> clients_;
 };
 
-// The socket stays readable, so that a loop that watched it would never block in a poll.
+// While no descriptor is left, the socket stays readable. An event loop that watched it would never
+// block in a poll.
 TEST_F(ListenerTest, WaitsForDescriptorsWithoutBusyWaiting) {
   constexpr std::chrono::milliseconds kShortage(100);
-  constexpr int kMaxCalls = 10;  // one in 20 ms, and a few
+  constexpr int kMaxCalls = 10;  // one each 20 ms, with a margin
   queue_clients(1);
   next_errors.assign(100'000, EMFILE);
   accept_calls = 0;
@@ -112,7 +114,8 @@
   await_accepted(4);
 }
 
-// A connection that is queued behind the lost one may hold a request.
+// A connection that is queued behind a lost one may hold a request, so a lost connection must not
+// end the drain.
 TEST_F(ListenerTest, ClosesOnlyOnceTheQueueIsEmpty) {
   queue_clients(4);
   next_errors = {ECONNABORTED, 0, ECONNABORTED};
--- a/tests/reconnect_backoff_test.cpp
+++ b/tests/reconnect_backoff_test.cpp
@@ -9,12 +9,13 @@
 namespace gorsebeam::discovery {
 namespace {
 
-/// A discovery service that works 50 ms on each call, in turn, also on those whose caller gave up
-/// after 2 s. All `gateways` lose their watch at 0. Returns how many have reopened it by `end`.
+/// Simulates a discovery service that processes one call at a time and takes 50 ms for each, even
+/// if its caller has given up after 2 s. All `gateways` lose their watches at time 0. Returns how
+/// many have reopened their watches by `end`.
 std::size_t reopened_by(std::size_t gateways, Duration end) {
   std::vector<ReconnectBackoff> backoffs;
   std::multimap<Duration, std::size_t> calls;
-  std::deque<std::pair<Duration, std::size_t>> queue;  // when each arrived, and whose
+  std::deque<std::pair<Duration, std::size_t>> queue;  // the arrival and the gateway of each call
   for (std::size_t i = 0; i < gateways; ++i) {
     backoffs.emplace_back(static_cast<std::uint32_t>(gateways), DiscoveryService::Shared, i);
     calls.insert({backoffs[i].next_delay(WatchEnd::Closed), i});
@@ -37,41 +38,42 @@
   return reopened;
 }
 
-TEST(ReconnectBackoff, LetsAHundredGatewaysThatLostTheirWatchTogetherReopenIt) {
+TEST(ReconnectBackoff, LetsAHundredGatewaysReopenWatchesThatEndedTogether) {
   EXPECT_EQ(reopened_by(100, 10'000ms), 100U);
-  EXPECT_EQ(reopened_by(3, 500ms), 3U);  // few gateways need not wait long
+  EXPECT_EQ(reopened_by(3, 500ms), 3U);  // a few gateways need no long delays
 }
 
-TEST(ReconnectBackoff, DoublesItsBoundUpToAMaximumAndResetsOnAList) {
+TEST(ReconnectBackoff, DoublesTheMaximumDelayUpToALimitAndResetsItOnAList) {
   ReconnectBackoff few(3, DiscoveryService::Shared, 7);
   ReconnectBackoff many(100, DiscoveryService::Shared, 7);
   ReconnectBackoff agents(300, DiscoveryService::LocalAgent, 7);
-  for (const Duration bound : {250ms, 500ms, 1000ms, 2000ms, 2000ms}) {
-    const Duration wait = few.next_delay(WatchEnd::Closed);
-    EXPECT_GT(wait, bound / 8);
-    EXPECT_LE(wait, bound);
-    EXPECT_LE(many.next_delay(WatchEnd::Closed), 20 * bound);
+  for (const Duration max_delay : {250ms, 500ms, 1000ms, 2000ms, 2000ms}) {
+    const Duration delay = few.next_delay(WatchEnd::Closed);
+    EXPECT_GT(delay, max_delay / 8);
+    EXPECT_LE(delay, max_delay);
+    EXPECT_LE(many.next_delay(WatchEnd::Closed), 20 * max_delay);
     EXPECT_LE(agents.next_delay(WatchEnd::Closed),
-              50ms);  // calls to a local agent cost nobody anything
+              50ms);  // calls to a local agent load no shared service
   }
   few.record_list_received();
   EXPECT_LE(few.next_delay(WatchEnd::Closed), 250ms);
 }
 
-// What a silent watch misses counts as notified 6 s after its last byte, at any number of gateways.
-TEST(ReconnectBackoff, ReopensASilentWatchInTimeForAnAnswer) {
+// The gateway counts as notified of the changes that a silent watch lost 6 s after the watch's last
+// byte, however many gateways share the service.
+TEST(ReconnectBackoff, ReopensASilentWatchInTimeForAResponse) {
   for (const DiscoveryService service : {DiscoveryService::LocalAgent, DiscoveryService::Shared}) {
-    // A call that waits in the queue of a shared service is not given up.
+    // The timeout is longer for a shared service, where the call may wait in a queue.
     const Duration first_timeout = service == DiscoveryService::Shared ? 5000ms : 2500ms;
     for (std::uint64_t seed = 0; seed < 300; ++seed) {
       ReconnectBackoff backoff(300, service, seed);
       EXPECT_EQ(backoff.silence_timeout(), first_timeout);
       backoff.record_list_received();
-      const Duration noticed = backoff.silence_timeout();
-      EXPECT_GT(noticed, 2000ms);  // the heartbeat of a sound watch
-      EXPECT_LE(noticed + backoff.next_delay(WatchEnd::Silent), 4500ms);
+      const Duration silence_timeout = backoff.silence_timeout();
+      EXPECT_GT(silence_timeout, 2000ms);  // the interval of the heartbeat
+      EXPECT_LE(silence_timeout + backoff.next_delay(WatchEnd::Silent), 4500ms);
       EXPECT_EQ(backoff.silence_timeout(),
-                first_timeout);  // that call was not answered yet
+                first_timeout);  // the reopened watch has delivered no list yet
     }
   }
 }
--- a/tests/timer_test.cpp
+++ b/tests/timer_test.cpp
@@ -1,4 +1,4 @@
-// Timers on the main loop: the iterations that they cause and their order.
+// Tests how many iterations of the event loop timers cause, and in which order timers fire.
 #include "net/timer.h"
 
 #include <glib.h>
@@ -31,7 +31,7 @@
   while (fired < 50)
     g_main_context_iteration(nullptr, TRUE);
   g_main_context_set_poll_func(nullptr, nullptr);
-  EXPECT_LE(poll_calls, 60) << "one for each firing, and a few";
+  EXPECT_LE(poll_calls, 60) << "more polls than one for each firing, with a margin";
 }
 
 TEST(Timer, FiresInTheNextIterationWhenSetWhileTimersFire) {
@@ -59,14 +59,15 @@
   EXPECT_EQ(order, "abc");
 }
 
-// The input that a late timer waits for may be ready: the sources of the same iteration run first.
+// The input that a late timer waits for may be ready already, so the sources that are ready in the
+// same iteration must run first.
 TEST(Timer, FiresAfterTheSourcesThatAreReadyWhenItIsLate) {
   std::string order;
   Timer late([&] {
     order += 't';
   });
   late.after(-1000ms);
-  // Attached after the source of the timers, as each socket is.
+  // The source is attached after that of the timers, as the source of each socket is.
   g_idle_add_full(
       G_PRIORITY_DEFAULT,
       [](gpointer text) -> gboolean {
