--- a/include/gorsebeam/settings.h
+++ b/include/gorsebeam/settings.h
@@ -46,17 +46,17 @@
   ListedRole listed_role = ListedRole::None;
 
   SessionTokenSource session_token_source = SessionTokenSource::Router;
-  /// A response counts as known this long after it was written, even if it was lost on the way.
-  /// Empty: it counts once it has arrived.
-  std::optional<Duration> responses_known_after;
+  /// A client is assumed to know a response this long after the endpoint wrote it, even if the
+  /// response was lost on the way. Empty: only a response that arrived counts as known.
+  std::optional<Duration> assumed_response_delay;
   StalenessCheck staleness_check = StalenessCheck::None;
   Duration staleness_check_timeout{};  ///< How long an endpoint that waits does so.
 
   LoadReportSource load_report_source = LoadReportSource::None;
-  bool load_reports_hold_positions = false;  ///< Reports contain a replication position.
-  bool load_reports_hold_roles = false;      ///< Reports contain the endpoint's role.
+  bool load_reports_contain_positions = false;  ///< Reports contain a replication position.
+  bool load_reports_contain_roles = false;      ///< Reports contain the endpoint's role.
   bool health_checks_allowed = true;
-  double health_check_price = 0.24;  ///< The cost of one, relative to a request's value; 0: free.
+  double health_check_cost = 0.24;  ///< The cost of one, relative to a request's value; 0: free.
 
   bool cancellation_allowed = false;
   bool hedging_allowed = false;      ///< A second copy of a late read may be sent in parallel.
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -101,7 +101,7 @@
   if (body.find("known"))
     config.initial_endpoints = discovery::parse_endpoint_list(body.require("known"), "known");
   config.profile = settings::read_deployment_profile(body.require_object("settings"));
-  config.profile.settings.responses_known_after = kResponsesKnownAfter;
+  config.profile.settings.assumed_response_delay = kResponsesKnownAfter;
   validate_with_router(config);
   config.restart_only_settings = print_restart_only_settings(body);
   return config;
--- a/src/router/health_check_scheduler.cpp
+++ b/src/router/health_check_scheduler.cpp
@@ -16,7 +16,7 @@
 void HealthCheckScheduler::accrue_budget(bool read_needs_own_check, double primary_saturation) {
   const double value = std::max(kMinPositionValue, primary_saturation);
   const double share =
-      read_needs_own_check ? value / std::max(settings_.health_check_price, value) : kBudgetShare;
+      read_needs_own_check ? value / std::max(settings_.health_check_cost, value) : kBudgetShare;
   budget_ = std::min(budget_ + share, kMaxBudget);
 }
 
@@ -52,7 +52,7 @@
 
 void HealthCheckScheduler::refresh_position(EndpointState& endpoint, const ReplicaGroup& group,
                                             const RequestClass& request_class) {
-  if (!settings_.load_reports_hold_positions || group.primary == endpoint.listing.id ||
+  if (!settings_.load_reports_contain_positions || group.primary == endpoint.listing.id ||
       endpoint.is_ejected)
     return;
   const Duration max_staleness = request_class.max_staleness;
--- a/src/router/primary_discovery.cpp
+++ b/src/router/primary_discovery.cpp
@@ -31,18 +31,18 @@
 }
 
 void PrimaryDiscovery::check_roles(const ReplicaGroup& group) {
-  const bool reports_hold_roles = state_.settings.load_reports_hold_roles;
+  const bool reports_contain_roles = state_.settings.load_reports_contain_roles;
   for (const EndpointId id : group.endpoints) {
     EndpointState& endpoint = state_.endpoints.at(id);
-    if (reports_hold_roles || endpoint.is_ejected)
+    if (reports_contain_roles || endpoint.is_ejected)
       state_.health_checks.check(endpoint, 2 * kHealthCheckGap, HealthCheckBudget::Exempt);
   }
 }
 
 bool PrimaryDiscovery::waits_for_reports(const PendingRequest& request) const {
-  const bool reports_hold_roles = state_.settings.load_reports_hold_roles &&
-                                  state_.settings.load_report_source != LoadReportSource::None;
-  return reports_hold_roles && state_.event.now - request.arrived_at < kHealthCheckGap;
+  const bool reports_contain_roles = state_.settings.load_reports_contain_roles &&
+                                     state_.settings.load_report_source != LoadReportSource::None;
+  return reports_contain_roles && state_.event.now - request.arrived_at < kHealthCheckGap;
 }
 
 std::optional<EndpointId> PrimaryDiscovery::choose_candidate(const PendingRequest& request) {
--- a/src/router/session_requirements.cpp
+++ b/src/router/session_requirements.cpp
@@ -5,7 +5,7 @@
 using session_tokens::WriteResult;
 
 SessionRequirements::SessionRequirements(const Settings& settings)
-    : settings_(settings), writes_(settings.responses_known_after) {}
+    : settings_(settings), writes_(settings.assumed_response_delay) {}
 
 ReplicationPosition SessionRequirements::token_for(const Request& request,
                                                    const RequestClass& request_class,
--- a/src/session_tokens/session_writes.cpp
+++ b/src/session_tokens/session_writes.cpp
@@ -5,7 +5,7 @@
 namespace gorsebeam::session_tokens {
 
 void SessionWrites::begin_write(std::uint64_t session, TimePoint now) {
-  if (known_after_)
+  if (assumed_response_delay_)
     in_flight_[session].insert(now);
 }
 
@@ -13,7 +13,8 @@
                                    std::optional<ReplicationPosition> commit_position,
                                    TimePoint now) {
   remove_in_flight(session, started_at);
-  if (result == WriteResult::NotExecuted || (result == WriteResult::Unknown && !known_after_))
+  if (result == WriteResult::NotExecuted ||
+      (result == WriteResult::Unknown && !assumed_response_delay_))
     return;
   // Without a known commit position the write was committed now at the latest.
   const ReplicationPosition position = result == WriteResult::Unknown
@@ -58,8 +59,8 @@
   const auto writes = in_flight_.find(session);
   if (writes == in_flight_.end())
     return completed;
-  // begin_write fills in_flight_ only where known_after_ has a value.
-  const TimePoint known_until = now - known_after_.value_or(0ms);
+  // begin_write fills in_flight_ only where assumed_response_delay_ has a value.
+  const TimePoint known_until = now - assumed_response_delay_.value_or(0ms);
   if (*writes->second.begin() >= known_until)
     return completed;
   return std::max(completed, position_at(known_until));
--- a/src/session_tokens/session_writes.h
+++ b/src/session_tokens/session_writes.h
@@ -40,10 +40,11 @@
   /// How long a session's position is kept at least: no replica in use lags further behind.
   static constexpr Duration kRetention = 60s;
 
-  /// `known_after`: how long after its start a write counts as known to the session, answered or
-  /// not. Without a value a write counts only once its response came, and one that is in flight or
-  /// ended without a response constrains no read.
-  explicit SessionWrites(std::optional<Duration> known_after) : known_after_(known_after) {}
+  /// `assumed_response_delay`: how long after its start a write counts as known to the session,
+  /// answered or not. Without a value a write counts only once its response came, and one that is
+  /// in flight or ended without a response constrains no read.
+  explicit SessionWrites(std::optional<Duration> assumed_response_delay)
+      : assumed_response_delay_(assumed_response_delay) {}
 
   /// Records an attempt of a write that starts at `now`.
   void begin_write(std::uint64_t session, TimePoint now);
@@ -61,7 +62,7 @@
   void remove_in_flight(std::uint64_t session, TimePoint started_at);
   void forget_oldest(TimePoint now);
 
-  std::optional<Duration> known_after_;
+  std::optional<Duration> assumed_response_delay_;
   std::unordered_map<std::uint64_t, ReplicationPosition> positions_;  // by session; never iterated
   std::deque<std::uint64_t> sessions_by_age_;  // in order of their first write
   std::unordered_map<std::uint64_t, std::multiset<TimePoint>>
--- a/src/settings/deployment_profile.cpp
+++ b/src/settings/deployment_profile.cpp
@@ -139,9 +139,9 @@
     if (!field.IsString())
       report.throw_invalid("fields", "a list of words");
     if (string_value(field) == "x0")
-      settings.load_reports_hold_positions = true;
+      settings.load_reports_contain_positions = true;
     if (string_value(field) == "x1")
-      settings.load_reports_hold_roles = true;
+      settings.load_reports_contain_roles = true;
   }
 }
 
@@ -151,7 +151,7 @@
   if (!profile.find("prices"))
     return;
   const JsonObjectReader prices = profile.require_object("prices");
-  settings.health_check_price = prices.read_non_negative("probe", settings.health_check_price);
+  settings.health_check_cost = prices.read_non_negative("probe", settings.health_check_cost);
 }
 
 void read_attempt_limits(const JsonObjectReader& limits, Settings& settings) {
--- a/tests/router/health_check_scheduler_test.cpp
+++ b/tests/router/health_check_scheduler_test.cpp
@@ -66,7 +66,7 @@
 }
 
 TEST_F(HealthCheckSchedulerTest, AReadThatNeedsItsOwnProofAccruesMoreUnderPressure) {
-  settings_.health_check_price = 0.5;
+  settings_.health_check_cost = 0.5;
   use_up_budget();
   EndpointState& endpoint = add_endpoint(1);
   scheduler_.accrue_budget(true, 0);
@@ -86,7 +86,7 @@
 }
 
 TEST_F(HealthCheckSchedulerTest, RefreshesPositionsAtHalfTheStalenessBound) {
-  settings_.load_reports_hold_positions = true;
+  settings_.load_reports_contain_positions = true;
   RequestClass bounded;
   bounded.consistency = ConsistencyLevel::BoundedStaleness;
   bounded.max_staleness = 1000ms;
--- a/tests/router/primary_discovery_test.cpp
+++ b/tests/router/primary_discovery_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 Settings without_roles_in_reports(Settings settings) {
-  settings.load_reports_hold_roles = false;
+  settings.load_reports_contain_roles = false;
   return settings;
 }
 
--- a/tests/router/router_health_check_test.cpp
+++ b/tests/router/router_health_check_test.cpp
@@ -22,7 +22,7 @@
 // not go to the primaries.
 TEST(RouterHealthCheck, ChecksOnlyRequestedGroupsOfLongList) {
   Settings settings = default_settings();
-  settings.health_check_price = 0.4;
+  settings.health_check_cost = 0.4;
   settings.listed_role = ListedRole::AtStart;
   RouterHarness harness(settings);
   std::vector<Endpoint> endpoints;
@@ -60,7 +60,7 @@
 /// the reads a replica served.
 int count_sparse_reads_by_replicas(Duration primary_latency) {
   Settings settings = default_settings();
-  settings.health_check_price = 0.4;
+  settings.health_check_cost = 0.4;
   RouterHarness harness(settings);
   harness.list_healthy_group();
   int count = 0;
@@ -128,7 +128,7 @@
 // checks one replica, not all, is served by it, and stays within its share of health checks.
 TEST(RouterHealthCheck, SparseBoundedReadChecksOneReplica) {
   Settings settings = default_settings();
-  settings.health_check_price = 0.04;
+  settings.health_check_cost = 0.04;
   std::size_t health_checks = 0;
   std::size_t served = 0;
   for (int router = 0; router < 100; ++router) {
--- a/tests/router/router_replication_position_test.cpp
+++ b/tests/router/router_replication_position_test.cpp
@@ -22,13 +22,13 @@
   std::size_t write_class = kPlainWrite;
   std::optional<AttemptStatus> write_end;  ///< Empty: the write is still in flight.
   Duration write_elapsed = 30ms;
-  std::optional<Duration> responses_known_after = 100ms;
+  std::optional<Duration> assumed_response_delay = 100ms;
 
   /// Whether a replica serves the read; if not, the read needs the write.
   [[nodiscard]] bool is_read_by_replica() const {
     Settings settings = default_settings();
     settings.session_token_source = SessionTokenSource::Router;
-    settings.responses_known_after = responses_known_after;
+    settings.assumed_response_delay = assumed_response_delay;
     RouterHarness harness(settings);
     harness.list_healthy_group();
     const std::string id = harness.send_request(write_class, 9);
--- a/tests/router/session_requirements_test.cpp
+++ b/tests/router/session_requirements_test.cpp
@@ -77,7 +77,7 @@
 
 TEST(SessionRequirements, AWriteThatMayHaveRunBindsReadsUpToItsEnd) {
   Settings settings = settings_with(SessionTokenSource::Router);
-  settings.responses_known_after = 50ns;
+  settings.assumed_response_delay = 50ns;
   SessionRequirements sessions(settings);
   const PendingRequest write = write_of_session();
   UpstreamAttempt attempt;
--- a/tests/router_settings.h
+++ b/tests/router_settings.h
@@ -22,8 +22,8 @@
 inline Settings make_settings(LoadReportSource load_report_source) {
   Settings settings;
   settings.load_report_source = load_report_source;
-  settings.load_reports_hold_positions = true;
-  settings.load_reports_hold_roles = true;
+  settings.load_reports_contain_positions = true;
+  settings.load_reports_contain_roles = true;
   settings.max_attempts = 4;
   settings.slow_start_initial_capacity = 0.2;
   settings.overload_factor = 2;
--- a/tests/session_writes_test.cpp
+++ b/tests/session_writes_test.cpp
@@ -5,19 +5,19 @@
 namespace gorsebeam::session_tokens {
 namespace {
 
-constexpr Duration kKnownAfter = 100ms;
+constexpr Duration kAssumedResponseDelay = 100ms;
 constexpr TimePoint kStart(1000s);
 constexpr std::uint64_t kSession = 7;
 constexpr std::uint64_t kOtherSession = 8;
 
 TEST(SessionWrites, RequiresNothingOfASessionThatHasNotWritten) {
-  const SessionWrites writes(kKnownAfter);
+  const SessionWrites writes(kAssumedResponseDelay);
 
   EXPECT_EQ(writes.required_position(kSession, kStart), SessionWrites::kNoWrite);
 }
 
 TEST(SessionWrites, RequiresTheCommitPositionOfTheSessionsOwnWrite) {
-  SessionWrites writes(kKnownAfter);
+  SessionWrites writes(kAssumedResponseDelay);
   const ReplicationPosition commit_position = position_at(kStart + 3ms);
 
   writes.begin_write(kSession, kStart);
@@ -28,7 +28,7 @@
 }
 
 TEST(SessionWrites, KeepsTheNewestPositionWhenAnOlderCommitCompletesLater) {
-  SessionWrites writes(kKnownAfter);
+  SessionWrites writes(kAssumedResponseDelay);
   const ReplicationPosition newer_position = position_at(kStart + 20ns);
 
   writes.complete_write(kSession, kStart, WriteResult::Committed, newer_position, kStart + 30ns);
@@ -39,8 +39,9 @@
 }
 
 TEST(SessionWrites, CountsACommitWithoutAPositionAsCommittedAtItsEnd) {
-  for (const std::optional<Duration> known_after : {std::optional<Duration>(kKnownAfter), {}}) {
-    SessionWrites writes(known_after);
+  for (const std::optional<Duration> assumed_response_delay :
+       {std::optional<Duration>(kAssumedResponseDelay), {}}) {
+    SessionWrites writes(assumed_response_delay);
     const TimePoint end = kStart + 5ms;
 
     writes.begin_write(kSession, kStart);
@@ -51,7 +52,7 @@
 }
 
 TEST(SessionWrites, IgnoresAWriteThatWasNotExecuted) {
-  SessionWrites writes(kKnownAfter);
+  SessionWrites writes(kAssumedResponseDelay);
 
   writes.begin_write(kSession, kStart);
   writes.complete_write(kSession, kStart, WriteResult::NotExecuted, position_at(kStart),
@@ -61,7 +62,7 @@
 }
 
 TEST(SessionWrites, CountsAWriteOfUnknownResultAsCommittedAtItsEndDespiteAPosition) {
-  SessionWrites writes(kKnownAfter);
+  SessionWrites writes(kAssumedResponseDelay);
   const TimePoint end = kStart + 1s;
 
   writes.begin_write(kSession, kStart);
@@ -71,40 +72,41 @@
 }
 
 TEST(SessionWrites, RequiresWhatMayBeKnownWhileAWriteIsInFlight) {
-  SessionWrites writes(kKnownAfter);
+  SessionWrites writes(kAssumedResponseDelay);
 
   writes.begin_write(kSession, kStart);
 
-  EXPECT_EQ(writes.required_position(kSession, kStart + kKnownAfter), SessionWrites::kNoWrite);
-  EXPECT_EQ(writes.required_position(kSession, kStart + kKnownAfter + 1ns),
+  EXPECT_EQ(writes.required_position(kSession, kStart + kAssumedResponseDelay),
+            SessionWrites::kNoWrite);
+  EXPECT_EQ(writes.required_position(kSession, kStart + kAssumedResponseDelay + 1ns),
             position_at(kStart + 1ns));
   EXPECT_EQ(writes.required_position(kSession, kStart + 1s),
-            position_at(kStart + 1s - kKnownAfter));
+            position_at(kStart + 1s - kAssumedResponseDelay));
 }
 
 TEST(SessionWrites, EndsOnlyTheAttemptThatBeganAtTheGivenTime) {
-  SessionWrites writes(kKnownAfter);
+  SessionWrites writes(kAssumedResponseDelay);
   const TimePoint second_start = kStart + 50ms;
   writes.begin_write(kSession, kStart);
   writes.begin_write(kSession, second_start);
 
   writes.complete_write(kSession, kStart, WriteResult::NotExecuted, std::nullopt, second_start);
 
-  const TimePoint known_second = second_start + kKnownAfter;
+  const TimePoint known_second = second_start + kAssumedResponseDelay;
   EXPECT_EQ(writes.required_position(kSession, known_second), SessionWrites::kNoWrite);
   EXPECT_EQ(writes.required_position(kSession, known_second + 1ns),
             position_at(second_start + 1ns));
 }
 
 TEST(SessionWrites, EndsOneOfTwoAttemptsThatBeganAtTheSameTime) {
-  SessionWrites writes(kKnownAfter);
+  SessionWrites writes(kAssumedResponseDelay);
   writes.begin_write(kSession, kStart);
   writes.begin_write(kSession, kStart);
 
   writes.complete_write(kSession, kStart, WriteResult::NotExecuted, std::nullopt, kStart);
 
   EXPECT_EQ(writes.required_position(kSession, kStart + 1s),
-            position_at(kStart + 1s - kKnownAfter));
+            position_at(kStart + 1s - kAssumedResponseDelay));
 }
 
 TEST(SessionWrites, RequiresNothingOfUnansweredWritesWhereOnlyResponsesCount) {
@@ -118,7 +120,7 @@
 }
 
 TEST(SessionWrites, HoldsAForgottenSessionToTheNewestForgottenPosition) {
-  SessionWrites writes(kKnownAfter);
+  SessionWrites writes(kAssumedResponseDelay);
   writes.complete_write(kSession, kStart, WriteResult::Committed, position_at(kStart), kStart);
 
   const TimePoint retained = kStart + SessionWrites::kRetention;
@@ -135,7 +137,7 @@
 }
 
 TEST(SessionWrites, ForgetsTheOldestSessionBeyondTheMaximum) {
-  SessionWrites writes(kKnownAfter);
+  SessionWrites writes(kAssumedResponseDelay);
   for (std::uint64_t session = 0; session < SessionWrites::kMaxSessions; ++session) {
     const TimePoint time = kStart + Duration(session);
     writes.complete_write(session, time, WriteResult::Committed, position_at(time), time);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -73,8 +73,8 @@
   EXPECT_EQ(profile.settings.max_attempts, 3U);
   EXPECT_EQ(profile.settings.slow_start_initial_capacity, 0.5);
   EXPECT_EQ(profile.settings.load_report_source, gorsebeam::LoadReportSource::Responses);
-  EXPECT_TRUE(profile.settings.load_reports_hold_roles);
-  EXPECT_FALSE(profile.settings.load_reports_hold_positions);
+  EXPECT_TRUE(profile.settings.load_reports_contain_roles);
+  EXPECT_FALSE(profile.settings.load_reports_contain_positions);
   EXPECT_EQ(profile.replication_epoch, gorsebeam::ReplicationPosition(9ns));
   EXPECT_EQ(profile.keepalive, 30ns);
 }
