--- a/fuzz/control.cpp
+++ b/fuzz/control.cpp
@@ -22,16 +22,16 @@
 constexpr std::size_t kHttp2PieceBytes = 64;
 constexpr Duration kTimePerPiece = 1ms;
 
-config::ValidationContext make_site() {
-  config::ValidationContext site;
-  site.classes = {{"any", 0}, {"save", 1}};
-  site.postgres_listed = true;
-  site.mongo_enabled = true;
-  return site;
+config::ValidationContext make_validation_context() {
+  config::ValidationContext context;
+  context.classes = {{"any", 0}, {"save", 1}};
+  context.postgres_listed = true;
+  context.mongo_enabled = true;
+  return context;
 }
 
-config_versions::Settings make_settings() {
-  config_versions::Settings settings;
+config_versions::TrackerSettings make_settings() {
+  config_versions::TrackerSettings settings;
   settings.stream.addresses = {"127.0.0.1:1"};
   return settings;
 }
@@ -52,7 +52,7 @@
   }
 
   void receive_message(std::string_view bytes) {
-    const auto response = xds::decode_response(bytes, site_);
+    const auto response = xds::decode_response(bytes, validation_context_);
     if (!response)
       return;
     now_ += 1ns;
@@ -71,16 +71,16 @@
       return;
     if (validate(configuration->bodies))
       std::abort();
-    static_cast<void>(
-        config::to_contract_set(xds::contracts_of(configuration->bodies[0]), site_.classes));
+    static_cast<void>(config::to_contract_set(xds::contracts_of(configuration->bodies[0]),
+                                              validation_context_.classes));
     static_cast<void>(config::to_endpoints(xds::members_of(configuration->bodies[1]).postgres()));
   }
 
   [[nodiscard]] std::optional<config_versions::ValidationError>
   validate(const config_versions::Bodies& bodies) const {
     using Code = config_versions::ValidationError::Code;
-    const auto error = config::validate_group_references(xds::contracts_of(bodies[0]),
-                                                         xds::members_of(bodies[1]), site_);
+    const auto error = config::validate_group_references(
+        xds::contracts_of(bodies[0]), xds::members_of(bodies[1]), validation_context_);
     if (!error)
       return std::nullopt;
     return config_versions::ValidationError{error->is_missing_reference ? Code::UnresolvedReference
@@ -88,7 +88,7 @@
                                             error->to_string()};
   }
 
-  config::ValidationContext site_ = make_site();
+  config::ValidationContext validation_context_ = make_validation_context();
   config_versions::VersionTracker tracker_;
   config_versions::Actions actions_;
   TimePoint now_{1ns};
@@ -96,8 +96,8 @@
 
 void feed_frames(std::string_view bytes, CheckedTracker& tracker) {
   grpc::MessageReader reader;
-  for (std::size_t at = 0; at < bytes.size(); at += kFramingPieceBytes) {
-    reader.feed(bytes.substr(at, kFramingPieceBytes));
+  for (std::size_t offset = 0; offset < bytes.size(); offset += kFramingPieceBytes) {
+    reader.feed(bytes.substr(offset, kFramingPieceBytes));
     auto message = reader.next();
     while (message && message.value()) {
       tracker.receive_message(*message.value());
@@ -115,9 +115,10 @@
   grpc::Session session("127.0.0.1:1", xds::kAggregatedStreamPath);
   discard_output(session);
   TimePoint now{};
-  for (std::size_t at = 0; at < bytes.size() && !session.error(); at += kHttp2PieceBytes) {
+  for (std::size_t offset = 0; offset < bytes.size() && !session.error();
+       offset += kHttp2PieceBytes) {
     now += kTimePerPiece;
-    session.receive(bytes.substr(at, kHttp2PieceBytes), now);
+    session.receive(bytes.substr(offset, kHttp2PieceBytes), now);
     while (const auto message = session.next_message())
       tracker.receive_message(*message);
     discard_output(session);
--- a/src/config_versions/stream_backoff.cpp
+++ b/src/config_versions/stream_backoff.cpp
@@ -12,19 +12,20 @@
 
 // xorshift64* (S. Vigna, "An experimental exploration of Marsaglia's xorshift generators").
 std::uint64_t StreamBackoff::draw() {
-  random_ ^= random_ >> 12;
-  random_ ^= random_ << 25;
-  random_ ^= random_ >> 27;
-  return random_ * 0x2545F4914F6CDD1DULL;
+  random_state_ ^= random_state_ >> 12;
+  random_state_ ^= random_state_ << 25;
+  random_state_ ^= random_state_ >> 27;
+  return random_state_ * 0x2545F4914F6CDD1DULL;
 }
 
-Duration StreamBackoff::next_delay(Duration first_bound, Duration max_bound) {
+Duration StreamBackoff::next_delay(Duration initial_bound, Duration max_bound) {
   const int doublings = std::min(failures_, kMaxDoublings);
   ++failures_;
-  const bool exceeds_max = first_bound > max_bound / (std::int64_t{1} << doublings);
-  const Duration bound = exceeds_max ? max_bound : first_bound * (std::int64_t{1} << doublings);
-  const auto choices = static_cast<std::uint64_t>(std::max(bound, Duration(1ns)).count() + 1);
-  return Duration(draw() % choices);
+  const bool exceeds_max = initial_bound > max_bound / (std::int64_t{1} << doublings);
+  const Duration bound = exceeds_max ? max_bound : initial_bound * (std::int64_t{1} << doublings);
+  const auto possible_delays =
+      static_cast<std::uint64_t>(std::max(bound, Duration(1ns)).count() + 1);
+  return Duration(draw() % possible_delays);
 }
 
 }  // namespace gorsebeam::config_versions
--- a/src/config_versions/stream_backoff.h
+++ b/src/config_versions/stream_backoff.h
@@ -11,11 +11,11 @@
 /// 2015.
 class StreamBackoff {
 public:
-  explicit StreamBackoff(std::uint64_t seed) : random_(seed | 1) {}
+  explicit StreamBackoff(std::uint64_t seed) : random_state_(seed | 1) {}
 
-  /// Returns the delay after one more failure, from 0 to the doubled `first_bound`, which never
+  /// Returns the delay after one more failure, from 0 to the doubled `initial_bound`, which never
   /// exceeds `max_bound`.
-  [[nodiscard]] Duration next_delay(Duration first_bound, Duration max_bound);
+  [[nodiscard]] Duration next_delay(Duration initial_bound, Duration max_bound);
 
   /// Sets the bound back to the first one.
   void reset() { failures_ = 0; }
@@ -24,7 +24,7 @@
   std::uint64_t draw();
 
   int failures_ = 0;
-  std::uint64_t random_;
+  std::uint64_t random_state_;
 };
 
 }  // namespace gorsebeam::config_versions
--- a/src/config_versions/stream_lifecycle.cpp
+++ b/src/config_versions/stream_lifecycle.cpp
@@ -27,13 +27,13 @@
 void StreamLifecycle::enter_disabled() {
   state_ = State::Disabled;
   deadline_ = kNever;
-  next_address_ = 0;
+  next_address_index_ = 0;
   backoff_.reset();
 }
 
 void StreamLifecycle::enter_connecting(TimePoint now, Actions& actions) {
-  address_ = settings_.addresses[next_address_ % settings_.addresses.size()];
-  ++next_address_;
+  address_ = settings_.addresses[next_address_index_ % settings_.addresses.size()];
+  ++next_address_index_;
   state_ = State::Connecting;
   deadline_ = now + settings_.connect_timeout;
   actions.emplace_back(OpenStream{address_});
@@ -48,7 +48,8 @@
 
 void StreamLifecycle::enter_backing_off(TimePoint now) {
   state_ = State::BackingOff;
-  deadline_ = now + backoff_.next_delay(settings_.reconnect_first, settings_.reconnect_max);
+  deadline_ = now + backoff_.next_delay(settings_.initial_reconnect_backoff,
+                                        settings_.max_reconnect_backoff);
 }
 
 bool StreamLifecycle::on_opened(TimePoint now) {
@@ -80,7 +81,8 @@
 TimePoint StreamLifecycle::next_deadline() const {
   if (state_ != State::Streaming)
     return deadline_;
-  const Duration allowed_silence = ping_sent_ ? 2 * settings_.silence : settings_.silence;
+  const Duration allowed_silence =
+      ping_sent_ ? 2 * settings_.keepalive_interval : settings_.keepalive_interval;
   return last_received_at_ + allowed_silence;
 }
 
@@ -95,7 +97,7 @@
   case State::Connecting:
     return check_connect_timeout(now, actions);
   case State::Streaming:
-    return check_silence(now, actions);
+    return check_keepalive(now, actions);
   }
 }
 
@@ -106,17 +108,17 @@
   on_lost(now, {StreamError::Code::ConnectTimeout, "it did not come up in time"}, actions);
 }
 
-void StreamLifecycle::check_silence(TimePoint now, Actions& actions) {
-  const Duration silent_for = now - last_received_at_;
-  if (!ping_sent_ && silent_for >= settings_.silence) {
+void StreamLifecycle::check_keepalive(TimePoint now, Actions& actions) {
+  const Duration time_since_receipt = now - last_received_at_;
+  if (!ping_sent_ && time_since_receipt >= settings_.keepalive_interval) {
     ping_sent_ = true;
     actions.emplace_back(SendPing{});
     return;
   }
-  if (!ping_sent_ || silent_for < 2 * settings_.silence)
+  if (!ping_sent_ || time_since_receipt < 2 * settings_.keepalive_interval)
     return;
   actions.emplace_back(CloseStream{});
-  on_lost(now, {StreamError::Code::SilentPeer, "it is silent, also when asked"}, actions);
+  on_lost(now, {StreamError::Code::KeepaliveTimeout, "it is silent, also when asked"}, actions);
 }
 
 }  // namespace gorsebeam::config_versions
--- a/src/config_versions/stream_lifecycle.h
+++ b/src/config_versions/stream_lifecycle.h
@@ -18,26 +18,32 @@
   /// opened.
   std::vector<std::string> addresses;
   /// Upper bound of the first reconnection delay; it doubles with each failure.
-  Duration reconnect_first = 250ms;
+  Duration initial_reconnect_backoff = 250ms;
   /// Largest upper bound of a reconnection delay.
-  Duration reconnect_max = 30s;
+  Duration max_reconnect_backoff = 30s;
   /// Time after which a connection that is not established counts as lost.
   Duration connect_timeout = 5s;
   /// Time without bytes after which a ping is sent; after twice this time the stream counts as
   /// lost.
-  Duration silence = 10s;
+  Duration keepalive_interval = 10s;
 };
 
 /// States why a stream was lost; `message` goes to the log.
 struct StreamError {
-  enum class Code { CannotConnect, ConnectTimeout, Disconnected, UnreadableMessage, SilentPeer };
+  enum class Code {
+    CannotConnect,
+    ConnectTimeout,
+    Disconnected,
+    UnreadableMessage,
+    KeepaliveTimeout
+  };
 
   Code code = Code::Disconnected;
   std::string message;
 };
 
 /// The state machine of one stream to the control service. After each loss it attempts to connect
-/// again within `reconnect_max`.
+/// again within `max_reconnect_backoff`.
 class StreamLifecycle {
 public:
   StreamLifecycle(StreamSettings settings, std::uint64_t seed);
@@ -78,13 +84,13 @@
   void enter_connecting(TimePoint now, Actions& actions);
   void enter_streaming(TimePoint now);
   void check_connect_timeout(TimePoint now, Actions& actions);
-  void check_silence(TimePoint now, Actions& actions);
+  void check_keepalive(TimePoint now, Actions& actions);
 
   StreamSettings settings_;
   StreamBackoff backoff_;
   State state_ = State::Disabled;
   std::string address_;
-  std::size_t next_address_ = 0;
+  std::size_t next_address_index_ = 0;
   /// BackingOff: the time of the next attempt. Connecting: the time at which the attempt fails.
   TimePoint deadline_ = kNever;
   TimePoint last_received_at_{};
--- a/src/config_versions/version_tracker.cpp
+++ b/src/config_versions/version_tracker.cpp
@@ -13,13 +13,13 @@
   return {response.type, response.version, response.nonce};
 }
 
-bool has_content_of(const DiscoveryResponse& response, const Version& running) {
+bool matches_running(const DiscoveryResponse& response, const Version& running) {
   return response.generation == running.generation && response.content_hash == running.content_hash;
 }
 
 }  // namespace
 
-VersionTracker::VersionTracker(Settings settings, Validator validator)
+VersionTracker::VersionTracker(TrackerSettings settings, Validator validator)
     : settings_(std::move(settings)), validator_(std::move(validator)),
       stream_(settings_.stream, settings_.seed) {}
 
@@ -78,14 +78,15 @@
   if (auto error = validator_(bodies))
     return error;
   // Not delayed by apply_interval: an operator waits for the result.
-  if (replace_by_file(now, std::move(versions), replaced))
+  if (replace_with_file_versions(now, std::move(versions), replaced))
     apply(now, actions);
   // Pending responses may be valid with the new versions.
   accept_pending(now, actions);
   return std::nullopt;
 }
 
-bool VersionTracker::replace_by_file(TimePoint now, FileVersions versions, TypeSet types) {
+bool VersionTracker::replace_with_file_versions(TimePoint now, FileVersions versions,
+                                                TypeSet types) {
   bool content_changed = false;
   for (std::size_t i = 0; i < kResourceTypeCount; ++i) {
     if (!types[i])
@@ -100,7 +101,7 @@
   return content_changed;
 }
 
-void VersionTracker::update_settings(TimePoint now, Settings settings, Actions& actions) {
+void VersionTracker::update_settings(TimePoint now, TrackerSettings settings, Actions& actions) {
   settings_ = std::move(settings);
   stream_.update_settings(now, settings_.stream, actions);
   clear_pending_without_stream();
@@ -153,7 +154,7 @@
   if (response.error)
     return reject(response, *response.error, actions);
   const AcceptedVersion& accepted = accepted_of(type);
-  if (response.generation != 0 && has_content_of(response, accepted.running))
+  if (response.generation != 0 && matches_running(response, accepted.running))
     return accept_running_content(type, response, actions);
   if (const auto error = check_generation_order(accepted, response))
     return reject(response, *error, actions);
@@ -193,7 +194,7 @@
       continue;
     const DiscoveryResponse response = pending_.remove(type)->response;
     // The file may have brought the same content since the response arrived.
-    if (has_content_of(response, accepted_of(type).running)) {
+    if (matches_running(response, accepted_of(type).running)) {
       accept_running_content(type, response, actions);
       continue;
     }
@@ -210,7 +211,7 @@
 void VersionTracker::accept_running_content(ResourceType type, const DiscoveryResponse& response,
                                             Actions& actions) {
   const bool was_from_file = accepted_of(type).running.is_from_file();
-  adopt_identity(type, response);
+  record_accepted_version(type, response);
   // A snapshot holds the versions of a control service, of which this is one only now.
   if (was_from_file)
     actions.emplace_back(WriteSnapshot{});
@@ -219,7 +220,7 @@
 
 void VersionTracker::accept_new_content(TimePoint now, ResourceType type,
                                         const DiscoveryResponse& response, Actions& actions) {
-  adopt_identity(type, response);
+  record_accepted_version(type, response);
   Version& running = accepted_of(type).running;
   running.body = response.body;
   running.content_hash = response.content_hash;
@@ -228,7 +229,7 @@
 }
 
 // Records the generation, version and source of an accepted response as those of what runs.
-void VersionTracker::adopt_identity(ResourceType type, const DiscoveryResponse& response) {
+void VersionTracker::record_accepted_version(ResourceType type, const DiscoveryResponse& response) {
   AcceptedVersion& accepted = accepted_of(type);
   accepted.newest_generation = std::max(accepted.newest_generation, response.generation);
   accepted.running.generation = response.generation;
--- a/src/config_versions/version_tracker.h
+++ b/src/config_versions/version_tracker.h
@@ -8,7 +8,7 @@
 /// Invariants, checked by tests/version_tracker_test.cpp and model/versions.pml:
 ///  - each running version was accepted as a whole, and the types are valid together;
 ///  - no older generation replaces a newer one without a rollback that names the newest;
-///  - after the loss of the stream, an attempt to connect follows within `reconnect_max`;
+///  - after the loss of the stream, an attempt to connect follows within `max_reconnect_backoff`;
 ///  - each response of a stream is acknowledged or rejected at most once, and exactly once if the
 ///    stream lasts for `dependency_timeout`.
 #pragma once
@@ -26,7 +26,7 @@
 
 namespace gorsebeam::config_versions {
 
-struct Settings {
+struct TrackerSettings {
   StreamSettings stream;
   /// Time for which a response waits for another type that it refers to.
   Duration dependency_timeout = 3s;
@@ -38,7 +38,7 @@
 /// The caller passes times that never decrease, and performs the appended actions in their order.
 class VersionTracker {
 public:
-  VersionTracker(Settings settings, Validator validator);
+  VersionTracker(TrackerSettings settings, Validator validator);
 
   /// Sets the versions that run first. Call it before `start`.
   void set_file_versions(FileVersions versions);
@@ -57,7 +57,7 @@
   replace_file_versions(TimePoint now, FileVersions versions, Actions& actions);
 
   /// Replaces the settings. A change of addresses ends the stream.
-  void update_settings(TimePoint now, Settings settings, Actions& actions);
+  void update_settings(TimePoint now, TrackerSettings settings, Actions& actions);
 
   void on_stream_opened(TimePoint now, Actions& actions);
 
@@ -95,7 +95,8 @@
 
   /// Replaces the versions of the given types by those of the file; returns whether the content of
   /// one of them differs.
-  [[nodiscard]] bool replace_by_file(TimePoint now, FileVersions versions, TypeSet types);
+  [[nodiscard]] bool replace_with_file_versions(TimePoint now, FileVersions versions,
+                                                TypeSet types);
 
   void clear_pending_without_stream();
 
@@ -105,7 +106,7 @@
                               Actions& actions);
   void accept_new_content(TimePoint now, ResourceType type, const DiscoveryResponse& response,
                           Actions& actions);
-  void adopt_identity(ResourceType type, const DiscoveryResponse& response);
+  void record_accepted_version(ResourceType type, const DiscoveryResponse& response);
   void acknowledge(ResourceType type, const DiscoveryResponse& response, std::string detail,
                    Actions& actions);
 
@@ -115,7 +116,7 @@
 
   void apply(TimePoint now, Actions& actions);
 
-  Settings settings_;
+  TrackerSettings settings_;
   Validator validator_;
   StreamLifecycle stream_;
   AcceptedVersions accepted_;
--- a/src/control_plane/control_plane_client.cpp
+++ b/src/control_plane/control_plane_client.cpp
@@ -18,11 +18,11 @@
 
 ControlPlaneClient::ControlPlaneClient(const config::OperatorFile& file, std::uint64_t seed,
                                        ApplyCallback apply)
-    : site_(file.context), file_(file.gateway), seed_(seed), apply_(std::move(apply)),
-      tracker_(make_tracker_settings(file, seed),
-               [this](const config_versions::Bodies& bodies) {
-                 return validate(bodies);
-               }),
+    : validation_context_(file.context), gateway_config_(file.gateway), seed_(seed),
+      apply_callback_(std::move(apply)), tracker_(make_tracker_settings(file, seed),
+                                                  [this](const config_versions::Bodies& bodies) {
+                                                    return validate(bodies);
+                                                  }),
       channel_(*this), timer_([this] {
         on_timer();
       }) {
@@ -31,23 +31,24 @@
 
 std::optional<ValidationError>
 ControlPlaneClient::validate(const config_versions::Bodies& bodies) const {
-  const auto fault = config::validate_group_references(
+  const auto error = config::validate_group_references(
       xds::contracts_of(bodies[config_versions::index_of(ResourceType::Contracts)]),
-      xds::members_of(bodies[config_versions::index_of(ResourceType::Members)]), site_);
-  if (!fault)
+      xds::members_of(bodies[config_versions::index_of(ResourceType::Members)]),
+      validation_context_);
+  if (!error)
     return std::nullopt;
-  const auto code = fault->is_missing_reference ? ValidationError::Code::UnresolvedReference
+  const auto code = error->is_missing_reference ? ValidationError::Code::UnresolvedReference
                                                 : ValidationError::Code::InvalidContent;
-  return ValidationError{code, fault->to_string()};
+  return ValidationError{code, error->to_string()};
 }
 
 bool ControlPlaneClient::uses_snapshots() const {
-  return file_.has_control_service() && !file_.state_folder().empty();
+  return gateway_config_.has_control_service() && !gateway_config_.state_folder().empty();
 }
 
 void ControlPlaneClient::start() {
   if (uses_snapshots())
-    SnapshotManager::restore(file_.state_folder(), site_, tracker_);
+    SnapshotManager::restore(gateway_config_.state_folder(), validation_context_, tracker_);
   tracker_.start(net::now(), actions_);
   execute_actions();
 }
@@ -61,7 +62,7 @@
 std::optional<ValidationError> ControlPlaneClient::reload_file(const config::OperatorFile& file) {
   auto error = tracker_.replace_file_versions(net::now(), make_file_versions(file), actions_);
   if (!error) {
-    file_ = file.gateway;
+    gateway_config_ = file.gateway;
     tracker_.update_settings(net::now(), make_tracker_settings(file, seed_), actions_);
   }
   execute_actions();
@@ -80,7 +81,7 @@
 }
 
 void ControlPlaneClient::on_message(std::string_view bytes) {
-  const auto response = xds::decode_response(bytes, site_);
+  const auto response = xds::decode_response(bytes, validation_context_);
   if (response) {
     tracker_.on_response(net::now(), response.value(), actions_);
   } else {
@@ -145,17 +146,17 @@
 }
 
 void ControlPlaneClient::execute(const config_versions::DiscoveryRequest& request) {
-  const config::pb::ControlService& service = file_.control_service();
+  const config::pb::ControlService& service = gateway_config_.control_service();
   channel_.send_message(xds::encode_request(request, {service.node(), service.cluster()}));
 }
 
 void ControlPlaneClient::execute(const config_versions::ApplyConfiguration& action) {
-  apply_(to_configuration_update(action));
+  apply_callback_(to_configuration_update(action));
 }
 
 void ControlPlaneClient::execute(const config_versions::WriteSnapshot&) {
   if (uses_snapshots())
-    snapshots_.write(file_.state_folder(), tracker_);
+    snapshots_.write(gateway_config_.state_folder(), tracker_);
 }
 
 void ControlPlaneClient::execute(const config_versions::StreamLost& event) {
--- a/src/control_plane/control_plane_client.h
+++ b/src/control_plane/control_plane_client.h
@@ -66,10 +66,10 @@
   static void execute(const config_versions::VersionRejected& event);
   static void execute(const config_versions::VersionPending& event);
 
-  config::ValidationContext site_;
-  config::pb::Gateway file_;
+  config::ValidationContext validation_context_;
+  config::pb::Gateway gateway_config_;
   std::uint64_t seed_;
-  ApplyCallback apply_;
+  ApplyCallback apply_callback_;
   State state_ = State::Active;
   config_versions::VersionTracker tracker_;
   /// Actions that the tracker has requested and that are not executed yet.
--- a/src/control_plane/snapshot_manager.cpp
+++ b/src/control_plane/snapshot_manager.cpp
@@ -40,7 +40,7 @@
 
 SnapshotManager::SnapshotManager() : writer_(&log_write_error) {}
 
-void SnapshotManager::restore(const std::string& folder, const config::ValidationContext& site,
+void SnapshotManager::restore(const std::string& folder, const config::ValidationContext& context,
                               config_versions::VersionTracker& tracker) {
   const auto snapshot = snapshot_store::load_snapshot(folder);
   if (!snapshot) {
@@ -48,7 +48,7 @@
       log_rejection(snapshot.error().message);
     return;
   }
-  auto versions = snapshot_store::validate_snapshot(snapshot.value(), site);
+  auto versions = snapshot_store::validate_snapshot(snapshot.value(), context);
   if (!versions)
     return log_rejection(versions.error().message);
   if (const auto error = tracker.restore_snapshot(std::move(versions.value())))
--- a/src/control_plane/snapshot_manager.h
+++ b/src/control_plane/snapshot_manager.h
@@ -17,8 +17,8 @@
   SnapshotManager();
 
   /// Makes a gateway that reaches no control service serve from the last good versions. Leaves the
-  /// tracker as it is if there is no snapshot, or none that is valid at `site`.
-  static void restore(const std::string& folder, const config::ValidationContext& site,
+  /// tracker as it is if there is no snapshot, or none that is valid at `context`.
+  static void restore(const std::string& folder, const config::ValidationContext& context,
                       config_versions::VersionTracker& tracker);
 
   /// Writes in the background. Does nothing if all versions are those of the operators' file.
--- a/src/grpc/frame_rate_limiter.cpp
+++ b/src/grpc/frame_rate_limiter.cpp
@@ -4,16 +4,16 @@
 
 namespace gorsebeam::grpc {
 
-FrameRateLimiter::Verdict FrameRateLimiter::count_control_frame(TimePoint now) {
+FrameRateLimiter::LimitStatus FrameRateLimiter::count_control_frame(TimePoint now) {
   if (now - second_started_at_ >= 1s) {
     second_started_at_ = now;
     control_frames_ = 0;
     previous_data_frames_ = std::exchange(data_frames_, 0);
   }
   ++control_frames_;
-  const int permitted = kMaxControlFramesPerSecond +
+  const int permitted = kBaseControlFramesPerSecond +
                         kControlFramesPerDataFrame * (data_frames_ + previous_data_frames_);
-  return control_frames_ <= permitted ? Verdict::WithinLimit : Verdict::LimitExceeded;
+  return control_frames_ <= permitted ? LimitStatus::WithinLimit : LimitStatus::LimitExceeded;
 }
 
 }  // namespace gorsebeam::grpc
--- a/src/grpc/frame_rate_limiter.h
+++ b/src/grpc/frame_rate_limiter.h
@@ -7,7 +7,7 @@
 
 /// Control frames (all frames without data) that are accepted in one second, in addition to those
 /// that data frames permit.
-constexpr int kMaxControlFramesPerSecond = 200;
+constexpr int kBaseControlFramesPerSecond = 200;
 
 /// Control frames that each data frame permits: a WINDOW_UPDATE for the stream and one for the
 /// connection, a PING of a server that measures its bandwidth-delay product, and its
@@ -17,13 +17,13 @@
 /// Counts frames in seconds, the first of which begins with the first control frame.
 class FrameRateLimiter {
 public:
-  enum class Verdict { WithinLimit, LimitExceeded };
+  enum class LimitStatus { WithinLimit, LimitExceeded };
 
   /// Counts a data frame in either direction.
   void count_data_frame() { ++data_frames_; }
 
   /// Counts a control frame of the peer.
-  [[nodiscard]] Verdict count_control_frame(TimePoint now);
+  [[nodiscard]] LimitStatus count_control_frame(TimePoint now);
 
 private:
   /// Frames of the current second.
--- a/src/grpc/send_buffer.cpp
+++ b/src/grpc/send_buffer.cpp
@@ -12,20 +12,20 @@
 }
 
 std::size_t SendBuffer::read(std::uint8_t* output, std::size_t capacity) {
-  std::size_t done = 0;
-  while (done < capacity && !messages_.empty()) {
+  std::size_t copied = 0;
+  while (copied < capacity && !messages_.empty()) {
     const std::string& first = messages_.front();
-    const std::size_t part = std::min(capacity - done, first.size() - offset_);
-    std::copy_n(first.data() + offset_, part, output + done);
-    done += part;
-    offset_ += part;
-    size_ -= part;
+    const std::size_t chunk_size = std::min(capacity - copied, first.size() - offset_);
+    std::copy_n(first.data() + offset_, chunk_size, output + copied);
+    copied += chunk_size;
+    offset_ += chunk_size;
+    size_ -= chunk_size;
     if (offset_ == first.size()) {
       messages_.pop_front();
       offset_ = 0;
     }
   }
-  return done;
+  return copied;
 }
 
 }  // namespace gorsebeam::grpc
--- a/src/grpc/session.cpp
+++ b/src/grpc/session.cpp
@@ -51,7 +51,7 @@
       session.fail({Code::HeadersTooLarge, "its headers are over 16 KiB"});
       return NGHTTP2_ERR_CALLBACK_FAILURE;
     }
-    if (frame->hd.stream_id == session.call_)
+    if (frame->hd.stream_id == session.call_stream_id_)
       session.response_headers_.add(view_of(name, name_size), view_of(value, value_size));
     return 0;
   }
@@ -62,10 +62,10 @@
       session.frame_rate_limiter_.count_data_frame();
       return 0;
     }
-    const auto verdict = session.frame_rate_limiter_.count_control_frame(session.now_);
-    if (verdict == FrameRateLimiter::Verdict::WithinLimit)
+    const auto limit_status = session.frame_rate_limiter_.count_control_frame(session.now_);
+    if (limit_status == FrameRateLimiter::LimitStatus::WithinLimit)
       return 0;
-    session.fail({Code::FrameFlood, "it floods with frames that carry nothing"});
+    session.fail({Code::TooManyControlFrames, "it floods with frames that carry nothing"});
     return NGHTTP2_ERR_CALLBACK_FAILURE;
   }
 
@@ -73,7 +73,7 @@
     Session& session = session_of(user_data);
     if (frame->hd.type == NGHTTP2_GOAWAY)
       session.fail({Code::GoAway, "it goes away"});
-    if (frame->hd.type != NGHTTP2_HEADERS || frame->hd.stream_id != session.call_)
+    if (frame->hd.type != NGHTTP2_HEADERS || frame->hd.stream_id != session.call_stream_id_)
       return 0;
     session.header_bytes_ = 0;
     if (auto error = session.response_headers_.validate())
@@ -84,15 +84,15 @@
   static int on_data(nghttp2_session*, std::uint8_t, std::int32_t stream, const std::uint8_t* bytes,
                      size_t size, void* user_data) {
     Session& session = session_of(user_data);
-    if (stream == session.call_)
-      session.reader_.feed(view_of(bytes, size));
+    if (stream == session.call_stream_id_)
+      session.message_reader_.feed(view_of(bytes, size));
     return 0;
   }
 
   static int on_stream_closed(nghttp2_session*, std::int32_t stream, std::uint32_t error_code,
                               void* user_data) {
     Session& session = session_of(user_data);
-    if (stream == session.call_)
+    if (stream == session.call_stream_id_)
       session.fail(session.response_headers_.call_ended_error(nghttp2_http2_strerror(error_code)));
     return 0;
   }
@@ -100,7 +100,7 @@
   // Copies unsent bytes into a DATA frame of at most `size` bytes.
   static ssize_t read_body(nghttp2_session*, std::int32_t, std::uint8_t* buffer, size_t size,
                            std::uint32_t*, nghttp2_data_source*, void* user_data) {
-    const std::size_t copied = session_of(user_data).unsent_.read(buffer, size);
+    const std::size_t copied = session_of(user_data).send_buffer_.read(buffer, size);
     if (copied == 0)
       return NGHTTP2_ERR_DEFERRED;
     return static_cast<ssize_t>(copied);
@@ -160,8 +160,8 @@
                                              make_header("user-agent", user_agent)};
   nghttp2_data_provider body{};
   body.read_callback = &SessionCallbacks::read_body;
-  call_ = nghttp2_submit_request(session_.get(), nullptr, headers.data(), headers.size(), &body,
-                                 nullptr);
+  call_stream_id_ = nghttp2_submit_request(session_.get(), nullptr, headers.data(), headers.size(),
+                                           &body, nullptr);
 }
 
 void Session::fail(SessionError error) {
@@ -180,7 +180,7 @@
 }
 
 std::optional<std::string> Session::next_message() {
-  auto message = reader_.next();
+  auto message = message_reader_.next();
   return message ? std::move(message.value()) : std::nullopt;  // `error` reports a framing error
 }
 
@@ -193,11 +193,11 @@
 }
 
 void Session::send_message(std::string_view message) {
-  unsent_.append(message);
+  send_buffer_.append(message);
   frame_rate_limiter_.count_data_frame();
-  if (unsent_.size() > kMaxUnsentBytes)
+  if (send_buffer_.size() > kMaxUnsentBytes)
     fail({Code::SendBufferFull, "it does not take what it is told"});
-  nghttp2_session_resume_data(session_.get(), call_);
+  nghttp2_session_resume_data(session_.get(), call_stream_id_);
 }
 
 void Session::send_ping() {
@@ -205,9 +205,9 @@
 }
 
 std::optional<SessionError> Session::error() const {
-  if (reader_.error())
-    return SessionError{Code::MalformedMessage, framing_error_message(*reader_.error())};
-  if (error_ && !reader_.is_between_messages())
+  if (message_reader_.error())
+    return SessionError{Code::MalformedMessage, framing_error_message(*message_reader_.error())};
+  if (error_ && !message_reader_.is_between_messages())
     return SessionError{error_->code, error_->message + ", in the midst of a message"};
   if (error_)
     return error_;
--- a/src/grpc/session.h
+++ b/src/grpc/session.h
@@ -71,9 +71,9 @@
 
   std::unique_ptr<nghttp2_session, SessionDelete> session_;
   /// The HTTP/2 stream of the call.
-  std::int32_t call_ = -1;
-  MessageReader reader_;
-  SendBuffer unsent_;
+  std::int32_t call_stream_id_ = -1;
+  MessageReader message_reader_;
+  SendBuffer send_buffer_;
   ResponseHeaders response_headers_;
   /// Size of the block of headers that is being received.
   std::size_t header_bytes_ = 0;
--- a/src/grpc/session_error.h
+++ b/src/grpc/session_error.h
@@ -8,7 +8,7 @@
 struct SessionError {
   enum class Code {
     HeadersTooLarge,
-    FrameFlood,
+    TooManyControlFrames,
     GoAway,
     /// The response has an HTTP status other than 200.
     HttpStatus,
--- a/src/snapshot_store/async_snapshot_writer.cpp
+++ b/src/snapshot_store/async_snapshot_writer.cpp
@@ -37,21 +37,21 @@
 };
 
 AsyncSnapshotWriter::~AsyncSnapshotWriter() {
-  if (running_)
-    running_->writer = nullptr;
+  if (current_job_)
+    current_job_->writer = nullptr;
 }
 
 void AsyncSnapshotWriter::write(const std::string& folder, std::string bytes) {
   Snapshot snapshot{folder, std::move(bytes)};
-  if (running_)
-    next_ = std::move(snapshot);
+  if (current_job_)
+    next_snapshot_ = std::move(snapshot);
   else
     start(std::move(snapshot));
 }
 
 void AsyncSnapshotWriter::start(Snapshot snapshot) {
   auto job = std::make_unique<WriteJob>(WriteJob{this, std::move(snapshot), std::nullopt});
-  running_ = job.get();
+  current_job_ = job.get();
   const std::unique_ptr<GTask, net::ObjectUnref> task(
       g_task_new(nullptr, nullptr, &WriteJob::on_finished, nullptr));
   g_task_set_task_data(task.get(), job.release(), &WriteJob::destroy);
@@ -59,12 +59,12 @@
 }
 
 void AsyncSnapshotWriter::finish(const WriteJob& job) {
-  running_ = nullptr;
+  current_job_ = nullptr;
   on_written_(job.error);
-  if (!next_)
+  if (!next_snapshot_)
     return;
-  Snapshot snapshot = std::move(*next_);
-  next_.reset();
+  Snapshot snapshot = std::move(*next_snapshot_);
+  next_snapshot_.reset();
   start(std::move(snapshot));
 }
 
--- a/src/snapshot_store/async_snapshot_writer.h
+++ b/src/snapshot_store/async_snapshot_writer.h
@@ -38,8 +38,8 @@
 
   WriteCallback on_written_;
   /// Owned by its GTask, which outlives this pointer: `finish` clears it.
-  WriteJob* running_ = nullptr;
-  std::optional<Snapshot> next_;
+  WriteJob* current_job_ = nullptr;
+  std::optional<Snapshot> next_snapshot_;
 };
 
 }  // namespace gorsebeam::snapshot_store
--- a/src/snapshot_store/snapshot_codec.cpp
+++ b/src/snapshot_store/snapshot_codec.cpp
@@ -32,15 +32,15 @@
 template <typename Message>
 common::Result<std::optional<AcceptedVersion>, SnapshotError>
 validate_part(const state::v1::Part& part, const Message& value,
-              const config::ValidationContext& site) {
+              const config::ValidationContext& context) {
   if (!part.held())
     return std::optional<AcceptedVersion>();
-  std::optional<config::ValidationError> fault = config::validate_no_unknown_fields(value);
-  if (!fault)
-    fault = config::validate_resource(value, site);
-  if (fault)
+  std::optional<config::ValidationError> error = config::validate_no_unknown_fields(value);
+  if (!error)
+    error = config::validate_resource(value, context);
+  if (error)
     return SnapshotError{Code::InvalidContent,
-                         "it does not fit here any more: " + fault->to_string()};
+                         "it does not fit here any more: " + error->to_string()};
   AcceptedVersion accepted;
   accepted.running = xds::make_file_version(value);
   accepted.running.version = part.version();
@@ -81,10 +81,10 @@
   state::v1::LastGood snapshot;
   if (!snapshot.ParseFromArray(content, static_cast<int>(content_size)))
     return SnapshotError{Code::Unparsable, "it is damaged: it cannot be read"};
-  if (snapshot.schema() > kSchema)
+  if (snapshot.schema() > kSnapshotSchema)
     return SnapshotError{Code::UnsupportedSchema,
                          "it is of schema " + std::to_string(snapshot.schema()) +
-                             ", newer than this program's " + std::to_string(kSchema)};
+                             ", newer than this program's " + std::to_string(kSnapshotSchema)};
   return snapshot;
 }
 
@@ -93,7 +93,7 @@
   const AcceptedVersion& members = tracker.accepted(ResourceType::Members);
   const AcceptedVersion& limits = tracker.accepted(ResourceType::Limits);
   state::v1::LastGood snapshot;
-  snapshot.set_schema(kSchema);
+  snapshot.set_schema(kSnapshotSchema);
   // The parts are written even if they are empty.
   state::v1::Part& contracts_part = *snapshot.mutable_contracts();
   state::v1::Part& members_part = *snapshot.mutable_members();
@@ -114,14 +114,14 @@
 }
 
 common::Result<config_versions::SnapshotVersions, SnapshotError>
-validate_snapshot(const state::v1::LastGood& snapshot, const config::ValidationContext& site) {
-  auto contracts = validate_part(snapshot.contracts(), snapshot.contracts_value(), site);
+validate_snapshot(const state::v1::LastGood& snapshot, const config::ValidationContext& context) {
+  auto contracts = validate_part(snapshot.contracts(), snapshot.contracts_value(), context);
   if (!contracts)
     return contracts.error();
-  auto members = validate_part(snapshot.members(), snapshot.members_value(), site);
+  auto members = validate_part(snapshot.members(), snapshot.members_value(), context);
   if (!members)
     return members.error();
-  auto limits = validate_part(snapshot.limits(), snapshot.limits_value(), site);
+  auto limits = validate_part(snapshot.limits(), snapshot.limits_value(), context);
   if (!limits)
     return limits.error();
   return config_versions::SnapshotVersions{std::move(contracts.value()), std::move(members.value()),
--- a/src/snapshot_store/snapshot_codec.h
+++ b/src/snapshot_store/snapshot_codec.h
@@ -19,7 +19,7 @@
 namespace gorsebeam::snapshot_store {
 
 /// The schema that this program writes, and the newest that it reads.
-constexpr std::uint32_t kSchema = 1;
+constexpr std::uint32_t kSnapshotSchema = 1;
 
 /// Returns the content of a snapshot file.
 [[nodiscard]] std::string encode_snapshot(const state::v1::LastGood& snapshot);
@@ -36,6 +36,6 @@
 /// Validates the types of a snapshot like those of a response of a control service. Error:
 /// InvalidContent.
 [[nodiscard]] common::Result<config_versions::SnapshotVersions, SnapshotError>
-validate_snapshot(const state::v1::LastGood& snapshot, const config::ValidationContext& site);
+validate_snapshot(const state::v1::LastGood& snapshot, const config::ValidationContext& context);
 
 }  // namespace gorsebeam::snapshot_store
--- a/src/snapshot_store/snapshot_file.cpp
+++ b/src/snapshot_store/snapshot_file.cpp
@@ -47,9 +47,10 @@
 
 std::optional<SnapshotError> write_all(const FileDescriptor& file, const std::string& path,
                                        const std::string& bytes) {
-  std::size_t done = 0;
-  while (done < bytes.size()) {
-    const ssize_t written = ::write(file.get(), bytes.data() + done, bytes.size() - done);
+  std::size_t total_written = 0;
+  while (total_written < bytes.size()) {
+    const ssize_t written =
+        ::write(file.get(), bytes.data() + total_written, bytes.size() - total_written);
     if (written < 0 && errno == EINTR)
       continue;
     if (written <= 0) {
@@ -57,7 +58,7 @@
       ::unlink(path.c_str());
       return error;
     }
-    done += static_cast<std::size_t>(written);
+    total_written += static_cast<std::size_t>(written);
   }
   return std::nullopt;
 }
--- a/src/xds/discovery_codec.cpp
+++ b/src/xds/discovery_codec.cpp
@@ -25,14 +25,15 @@
 template <typename Message>
 common::Result<Message, RejectionError> parse_resource(const google::protobuf::Any& any,
                                                        const std::string& type_url,
-                                                       const std::string& place) {
+                                                       const std::string& error_prefix) {
   if (any.type_url() != type_url)
-    return invalid_response(place + "is of type " + any.type_url() + ", not of the response's");
+    return invalid_response(error_prefix + "is of type " + any.type_url() +
+                            ", not of the response's");
   Message resource;
   if (!resource.ParseFromString(any.value()))
-    return invalid_response(place + "cannot be read");
+    return invalid_response(error_prefix + "cannot be read");
   if (const auto unknown = config::validate_no_unknown_fields(resource))
-    return invalid_response(place + unknown->to_string());
+    return invalid_response(error_prefix + unknown->to_string());
   return common::Result<Message, RejectionError>(std::move(resource));
 }
 
@@ -43,8 +44,8 @@
                                                         const std::string& type_url) {
   std::optional<Message> merged;
   for (int i = 0; i < response.resources_size(); ++i) {
-    const std::string place = "resource " + std::to_string(i + 1) + ": ";
-    auto parsed = parse_resource<Message>(response.resources(i), type_url, place);
+    const std::string error_prefix = "resource " + std::to_string(i + 1) + ": ";
+    auto parsed = parse_resource<Message>(response.resources(i), type_url, error_prefix);
     if (!parsed)
       return parsed.error();
     Message& resource = parsed.value();
@@ -54,7 +55,7 @@
     }
     if (resource.generation() != merged->generation() ||
         resource.rolls_back() != merged->rolls_back())
-      return invalid_response(place +
+      return invalid_response(error_prefix +
                               "is of another generation than the first; a response holds one");
     merged->MergeFrom(resource);
   }
@@ -63,16 +64,16 @@
 
 // Fills the content of `decoded`, or its error.
 template <typename Message>
-void decode_resources(const v3::DiscoveryResponse& response, const config::ValidationContext& site,
-                      DiscoveryResponse& decoded) {
+void decode_resources(const v3::DiscoveryResponse& response,
+                      const config::ValidationContext& context, DiscoveryResponse& decoded) {
   auto merged = merge_resources<Message>(response, decoded.type_url);
   if (!merged) {
     decoded.error = merged.error();
     return;
   }
   const auto body = std::make_shared<const Message>(std::move(merged.value()));
-  if (const auto fault = config::validate_resource(*body, site))
-    decoded.error = invalid_response(fault->to_string());
+  if (const auto error = config::validate_resource(*body, context))
+    decoded.error = invalid_response(error->to_string());
   decoded.generation = body->generation();
   decoded.rolls_back = body->rolls_back();
   decoded.content_hash = content_hash(*body);
@@ -87,21 +88,21 @@
 }
 
 void decode_resources_of(ResourceType type, const v3::DiscoveryResponse& response,
-                         const config::ValidationContext& site, DiscoveryResponse& decoded) {
+                         const config::ValidationContext& context, DiscoveryResponse& decoded) {
   switch (type) {
   case ResourceType::Contracts:
-    return decode_resources<pb::Contracts>(response, site, decoded);
+    return decode_resources<pb::Contracts>(response, context, decoded);
   case ResourceType::Members:
-    return decode_resources<pb::Members>(response, site, decoded);
+    return decode_resources<pb::Members>(response, context, decoded);
   case ResourceType::Limits:
-    return decode_resources<pb::Limits>(response, site, decoded);
+    return decode_resources<pb::Limits>(response, context, decoded);
   }
 }
 
 }  // namespace
 
 common::Result<DiscoveryResponse, DecodeError>
-decode_response(std::string_view bytes, const config::ValidationContext& site) {
+decode_response(std::string_view bytes, const config::ValidationContext& context) {
   v3::DiscoveryResponse response;
   if (!response.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return DecodeError{};
@@ -117,7 +118,7 @@
   else if (response.resources().empty())
     decoded.error = invalid_response("it holds no resource; one that is empty on purpose says so");
   else
-    decode_resources_of(*decoded.type, response, site, decoded);
+    decode_resources_of(*decoded.type, response, context, decoded);
   return decoded;
 }
 
--- a/src/xds/discovery_codec.h
+++ b/src/xds/discovery_codec.h
@@ -40,10 +40,11 @@
   Code code = Code::NotADiscoveryResponse;
 };
 
-/// Decodes a response and validates its resources against `site`, without those of other types. A
-/// response with invalid content is a value with its `error` set, as it must be answered by a NACK.
+/// Decodes a response and validates its resources against `context`, without those of other types.
+/// A response with invalid content is a value with its `error` set, as it must be answered by a
+/// NACK.
 [[nodiscard]] common::Result<config_versions::DiscoveryResponse, DecodeError>
-decode_response(std::string_view bytes, const config::ValidationContext& site);
+decode_response(std::string_view bytes, const config::ValidationContext& context);
 
 /// Encodes a request. Only a subscription, which is the first request of a type, holds the node.
 [[nodiscard]] std::string encode_request(const config_versions::DiscoveryRequest& request,
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -10,7 +10,7 @@
 using config_versions::ResourceType;
 
 template <typename Message>
-std::string url_of() {
+std::string type_url_of() {
   return "type.googleapis.com/" + Message::descriptor()->full_name();
 }
 
@@ -32,11 +32,11 @@
 std::string type_url(ResourceType type) {
   switch (type) {
   case ResourceType::Contracts:
-    return url_of<pb::Contracts>();
+    return type_url_of<pb::Contracts>();
   case ResourceType::Members:
-    return url_of<pb::Members>();
+    return type_url_of<pb::Members>();
   case ResourceType::Limits:
-    return url_of<pb::Limits>();
+    return type_url_of<pb::Limits>();
   }
   return "";
 }
--- a/tests/apply_scheduler_test.cpp
+++ b/tests/apply_scheduler_test.cpp
@@ -21,7 +21,7 @@
   return accepted;
 }
 
-TEST(ApplyScheduler, AppliesAllTypesAsChangedTheFirstTime) {
+TEST(ApplyScheduler, MarksAllTypesAsChangedTheFirstTime) {
   ApplyScheduler scheduler;
 
   const ApplyConfiguration applied = scheduler.apply(kStart, make_accepted(1, 2));
--- a/tests/control_plane_translation_test.cpp
+++ b/tests/control_plane_translation_test.cpp
@@ -16,16 +16,17 @@
 using config_versions::ResourceType;
 
 TEST(TrackerSettings, KeepDefaultsForMissingValues) {
-  const config_versions::Settings settings = make_tracker_settings(config::OperatorFile{}, 7);
+  const config_versions::TrackerSettings settings =
+      make_tracker_settings(config::OperatorFile{}, 7);
 
   EXPECT_TRUE(settings.stream.addresses.empty());
-  EXPECT_EQ(settings.stream.reconnect_max, 30s);
-  EXPECT_EQ(settings.stream.silence, 10s);
+  EXPECT_EQ(settings.stream.max_reconnect_backoff, 30s);
+  EXPECT_EQ(settings.stream.keepalive_interval, 10s);
   EXPECT_EQ(settings.dependency_timeout, 3s);
   EXPECT_EQ(settings.seed, 7U);
 }
 
-TEST(TrackerSettings, LimitTheFirstDelayAndTheConnectTimeout) {
+TEST(TrackerSettings, CapTheInitialBackoffAndTheConnectTimeout) {
   config::OperatorFile file;
   config::pb::ControlService* service = file.gateway.mutable_control_service();
   service->add_address("127.0.0.1:1");
@@ -33,10 +34,10 @@
   service->set_silence_ms(2000);
   service->set_hold_ms(500);
 
-  const config_versions::Settings settings = make_tracker_settings(file, 1);
+  const config_versions::TrackerSettings settings = make_tracker_settings(file, 1);
 
   EXPECT_EQ(settings.stream.addresses, std::vector<std::string>{"127.0.0.1:1"});
-  EXPECT_EQ(settings.stream.reconnect_first, 100ms);
+  EXPECT_EQ(settings.stream.initial_reconnect_backoff, 100ms);
   EXPECT_EQ(settings.stream.connect_timeout, 2000ms);
   EXPECT_EQ(settings.dependency_timeout, 500ms);
 }
@@ -52,7 +53,7 @@
             "control_stream_lost address=127.0.0.1:1 error=reset");
 }
 
-TEST(ConfigurationUpdate, HoldsTheChangedTypesAlone) {
+TEST(ConfigurationUpdate, HoldsOnlyChangedTypes) {
   const auto limits = std::make_shared<const config::v1::Limits>();
   config_versions::ApplyConfiguration action;
   action.bodies = {std::make_shared<const config::v1::Contracts>(),
--- a/tests/grpc_session_parts_test.cpp
+++ b/tests/grpc_session_parts_test.cpp
@@ -15,12 +15,12 @@
 namespace gorsebeam::grpc {
 namespace {
 
-using Verdict = FrameRateLimiter::Verdict;
+using LimitStatus = FrameRateLimiter::LimitStatus;
 
 /// Counts control frames until one is over the limit; returns the number within it.
 int count_accepted_control_frames(FrameRateLimiter& limiter, TimePoint now) {
   int accepted = 0;
-  while (limiter.count_control_frame(now) == Verdict::WithinLimit)
+  while (limiter.count_control_frame(now) == LimitStatus::WithinLimit)
     ++accepted;
   return accepted;
 }
@@ -33,15 +33,15 @@
   // The first control frame begins a second; the data frames then count as those of the one before.
   const int accepted = count_accepted_control_frames(limiter, TimePoint(1s));
 
-  EXPECT_EQ(accepted, kMaxControlFramesPerSecond + 2 * kControlFramesPerDataFrame);
+  EXPECT_EQ(accepted, kBaseControlFramesPerSecond + 2 * kControlFramesPerDataFrame);
 }
 
-TEST(FrameRateLimiter, StartsAgainWithEachSecondAndForgetsOlderDataFrames) {
+TEST(FrameRateLimiter, ResetsEachSecondAndIgnoresOlderDataFrames) {
   FrameRateLimiter limiter;
   limiter.count_data_frame();
   count_accepted_control_frames(limiter, TimePoint(1s));
 
-  EXPECT_EQ(count_accepted_control_frames(limiter, TimePoint(2s)), kMaxControlFramesPerSecond);
+  EXPECT_EQ(count_accepted_control_frames(limiter, TimePoint(2s)), kBaseControlFramesPerSecond);
 }
 
 TEST(SendBuffer, ReadsFramedMessagesInPieces) {
@@ -68,7 +68,7 @@
   EXPECT_FALSE(headers.validate());
 }
 
-TEST(ResponseHeaders, RejectOtherStatusesAndContentTypes) {
+TEST(ResponseHeaders, RejectOtherHttpStatusesAndContentTypes) {
   ResponseHeaders headers;
   headers.add(":status", "200");
   headers.add("content-type", "text/html");
@@ -80,7 +80,7 @@
   EXPECT_EQ(headers.validate()->message, "it answers with HTTP status 503");
 }
 
-TEST(ResponseHeaders, GiveTheReasonForTheEndOfTheCall) {
+TEST(ResponseHeaders, ReportWhyTheCallEnded) {
   ResponseHeaders headers;
   EXPECT_EQ(headers.call_ended_error("NO_ERROR").message, "it ended the call, NO_ERROR");
 
--- a/tests/snapshot_codec_test.cpp
+++ b/tests/snapshot_codec_test.cpp
@@ -76,9 +76,9 @@
 TEST(SnapshotCodec, MakesTheSameBytesFromATrackerThatRestoredARecordedFile) {
   const auto snapshot = decode_snapshot(recorded_file());
   ASSERT_TRUE(snapshot) << snapshot.error().message;
-  config::ValidationContext site;
-  site.classes = {{"any", 0}};
-  auto versions = validate_snapshot(snapshot.value(), site);
+  config::ValidationContext context;
+  context.classes = {{"any", 0}};
+  auto versions = validate_snapshot(snapshot.value(), context);
   ASSERT_TRUE(versions) << versions.error().message;
   config_versions::VersionTracker tracker({}, [](const config_versions::Bodies&) {
     return std::nullopt;
@@ -118,7 +118,7 @@
                       "it is of schema 2, newer than this program's 1");
 }
 
-TEST(SnapshotCodec, RejectsASnapshotThatIsNotValidAtTheSite) {
+TEST(SnapshotCodec, RejectsASnapshotThatNamesAnUnknownClass) {
   const auto versions = validate_snapshot(make_sample(), config::ValidationContext{});
   ASSERT_FALSE(versions);
   EXPECT_EQ(versions.error().code, SnapshotError::Code::InvalidContent);
--- a/tests/version_tracker_digest_test.cpp
+++ b/tests/version_tracker_digest_test.cpp
@@ -123,23 +123,24 @@
 
 /// Plays random events on one tracker, and adds each action and the state after each event to the
 /// digest.
-class DrawnHistory {
+class RandomHistory {
 public:
-  DrawnHistory(std::uint64_t seed, ActionDigest& digest) : random_(seed + 1), digest_(digest) {
+  RandomHistory(std::uint64_t seed, ActionDigest& digest)
+      : random_state_(seed + 1), digest_(digest) {
     settings_.seed = seed;
     for (std::uint64_t i = draw(4); i > 0; --i)
       settings_.stream.addresses.push_back("a" + std::to_string(i));
     tracker_ = std::make_unique<VersionTracker>(settings_, validate);
   }
 
-  void play(int events) {
+  void run(int events) {
     tracker_->set_file_versions(draw_file());
     if (draw(2) == 0)
       digest_.add(tracker_->restore_snapshot(draw_snapshot()));
     tracker_->start(now_, actions_);
     record();
     for (int i = 0; i < events; ++i) {
-      play_event();
+      run_event();
       record();
     }
   }
@@ -154,8 +155,8 @@
   }
 
   std::uint64_t draw(std::uint64_t bound) {  // splitmix64
-    random_ += 0x9e3779b97f4a7c15ULL;
-    std::uint64_t mixed = random_;
+    random_state_ += 0x9e3779b97f4a7c15ULL;
+    std::uint64_t mixed = random_state_;
     mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9ULL;
     mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111ebULL;
     return (mixed ^ (mixed >> 31)) % bound;
@@ -197,7 +198,7 @@
     if (type < 15)
       drawn.type = static_cast<ResourceType>(type % kResourceTypeCount);
     drawn.type_url = "u" + std::to_string(type % kResourceTypeCount);
-    drawn.nonce = "n" + std::to_string(++nonces_);
+    drawn.nonce = "n" + std::to_string(++last_nonce_);
     drawn.version = "v" + std::to_string(draw(20));
     drawn.generation = next_generation_ + draw(4);
     if (draw(3) == 0)
@@ -213,7 +214,7 @@
     return drawn;
   }
 
-  void play_event() {
+  void run_event() {
     switch (draw(16)) {
     case 0:
     case 1:
@@ -250,7 +251,7 @@
     if (draw(4) == 0)
       settings_.stream.addresses.assign(draw(3), "b" + std::to_string(draw(9)));
     settings_.dependency_timeout = std::chrono::milliseconds(1000 + draw(3000));
-    settings_.stream.silence = std::chrono::milliseconds(5000 + draw(5000));
+    settings_.stream.keepalive_interval = std::chrono::milliseconds(5000 + draw(5000));
     tracker_->update_settings(now_, settings_, actions_);
   }
 
@@ -261,22 +262,22 @@
     digest_.add(*tracker_);
   }
 
-  std::uint64_t random_;
+  std::uint64_t random_state_;
   ActionDigest& digest_;
-  Settings settings_;
+  TrackerSettings settings_;
   std::unique_ptr<VersionTracker> tracker_;
   Actions actions_;
   TimePoint now_{1000ms};
-  std::uint64_t nonces_ = 0;
+  std::uint64_t last_nonce_ = 0;
   std::uint64_t next_generation_ = 0;
 };
 
-TEST(VersionTrackerHistories, GiveTheRecordedActionsForDrawnEvents) {
+TEST(VersionTrackerHistories, ProduceTheRecordedActionsForRandomEvents) {
   constexpr std::uint64_t kSeeds = 2000;
   constexpr int kEventsPerSeed = 200;
   ActionDigest digest;
   for (std::uint64_t seed = 0; seed < kSeeds; ++seed)
-    DrawnHistory(seed, digest).play(kEventsPerSeed);
+    RandomHistory(seed, digest).run(kEventsPerSeed);
   // Recorded at commit d929b66; only a change of behaviour may change it.
   EXPECT_EQ(digest.value(), 12568706761982383764U);
 }
--- a/tests/version_tracker_history_test.cpp
+++ b/tests/version_tracker_history_test.cpp
@@ -28,7 +28,7 @@
   Advance,
   SendContracts1,
   SendContracts2,
-  RollContractsBack,
+  SendContractsRollback,
   SendMembers1,
   SendMembers2,
   SendInvalidMembers,
@@ -45,7 +45,7 @@
     tracker_->set_file_versions(make_file_versions());
   }
 
-  void play(const History& history) {
+  void run(const History& history) {
     tracker_->start(now_, actions_);
     check();
     for (const Event event : history) {
@@ -70,7 +70,7 @@
       return send(make_response(ResourceType::Contracts, 1, 1));
     case Event::SendContracts2:
       return send(make_response(ResourceType::Contracts, 2, 2));
-    case Event::RollContractsBack:
+    case Event::SendContractsRollback:
       return send(make_response(ResourceType::Contracts, 1, 1, 2));
     case Event::SendMembers1:
       return send(make_response(ResourceType::Members, 1, 1));
@@ -109,7 +109,7 @@
     if (tracker_->is_streaming())
       return;
     unanswered_.clear();
-    ASSERT_LE(tracker_->next_deadline(), now_ + settings_.stream.reconnect_max)
+    ASSERT_LE(tracker_->next_deadline(), now_ + settings_.stream.max_reconnect_backoff)
         << "does not reconnect";
   }
 
@@ -141,7 +141,7 @@
     }
   }
 
-  Settings settings_;
+  TrackerSettings settings_;
   std::unique_ptr<VersionTracker> tracker_;
   Actions actions_;
   TimePoint now_{1000ms};
@@ -160,10 +160,10 @@
 }
 
 /// Plays every history that begins with `prefix`, up to `depth` events, and returns their number.
-std::size_t play_all_histories(const History& prefix, std::size_t depth) {
+std::size_t run_all_histories(const History& prefix, std::size_t depth) {
   {
     SCOPED_TRACE("events " + describe(prefix));
-    CheckedHistory().play(prefix);
+    CheckedHistory().run(prefix);
   }
   std::size_t count = 1;
   if (prefix.size() == depth)
@@ -171,15 +171,15 @@
   for (int event = 0; event < kEventCount; ++event) {
     History longer = prefix;
     longer.push_back(static_cast<Event>(event));
-    count += play_all_histories(longer, depth);
+    count += run_all_histories(longer, depth);
   }
   return count;
 }
 
 TEST(VersionTrackerHistories, KeepTheInvariantsInEverySequenceOfEvents) {
   // The first history begins with an open stream: most events do nothing without one.
-  EXPECT_EQ(play_all_histories({Event::Open}, 6), 66430U);
-  play_all_histories({}, 3);
+  EXPECT_EQ(run_all_histories({Event::Open}, 6), 66430U);
+  run_all_histories({}, 3);
 }
 
 }  // namespace
--- a/tests/version_tracker_test.cpp
+++ b/tests/version_tracker_test.cpp
@@ -62,7 +62,7 @@
   }
 
   /// Delivers a response and returns its answer.
-  std::string answer(const DiscoveryResponse& response) {
+  std::string deliver(const DiscoveryResponse& response) {
     tracker_->on_response(now_, response, actions_);
     return answer_to(response);
   }
@@ -84,7 +84,7 @@
     return value_of(tracker_->accepted(type).running.body);
   }
 
-  Settings settings_;
+  TrackerSettings settings_;
   std::unique_ptr<VersionTracker> tracker_;
   Actions actions_;
   TimePoint now_{1000ms};
@@ -93,26 +93,26 @@
 TEST_F(VersionTrackerTest, RejectsOlderGenerationsUnlessARollbackNamesTheNewest) {
   create_streaming_tracker();
   constexpr ResourceType kLimits = ResourceType::Limits;
-  EXPECT_EQ(answer(make_response(kLimits, 0, 1)), "it has no generation; number changes from 1");
-  EXPECT_EQ(answer(make_response(kLimits, 5, 1)), kAcknowledged);
-  EXPECT_EQ(answer(make_response(kLimits, 7, 2)), kAcknowledged);
+  EXPECT_EQ(deliver(make_response(kLimits, 0, 1)), "it has no generation; number changes from 1");
+  EXPECT_EQ(deliver(make_response(kLimits, 5, 1)), kAcknowledged);
+  EXPECT_EQ(deliver(make_response(kLimits, 7, 2)), kAcknowledged);
   // The same response again, as after a reconnection.
-  EXPECT_EQ(answer(make_response(kLimits, 7, 2)), kAcknowledged);
-  EXPECT_EQ(answer(make_response(kLimits, 7, 3)), "generation 7 came before with other content");
-  EXPECT_EQ(answer(make_response(kLimits, 5, 1)),
+  EXPECT_EQ(deliver(make_response(kLimits, 7, 2)), kAcknowledged);
+  EXPECT_EQ(deliver(make_response(kLimits, 7, 3)), "generation 7 came before with other content");
+  EXPECT_EQ(deliver(make_response(kLimits, 5, 1)),
             "generation 5 is older than 7, the newest accepted");
-  EXPECT_EQ(answer(make_response(kLimits, 5, 1, 6)),
+  EXPECT_EQ(deliver(make_response(kLimits, 5, 1, 6)),
             "it rolls back generation 6, but 7 is the newest accepted");
   EXPECT_EQ(running(kLimits), 2);
 
-  EXPECT_EQ(answer(make_response(kLimits, 5, 1, 7)), kAcknowledged);
+  EXPECT_EQ(deliver(make_response(kLimits, 5, 1, 7)), kAcknowledged);
   EXPECT_EQ(tracker_->accepted(kLimits).newest_generation, 7U);
   // A server with outdated state continues to send what was rolled back.
-  EXPECT_EQ(answer(make_response(kLimits, 7, 2)), "generation 7 was rolled back");
-  EXPECT_EQ(answer(make_response(kLimits, 6, 4)),
+  EXPECT_EQ(deliver(make_response(kLimits, 7, 2)), "generation 7 was rolled back");
+  EXPECT_EQ(deliver(make_response(kLimits, 6, 4)),
             "generation 6 is older than 7, the newest accepted");
-  EXPECT_EQ(answer(make_response(kLimits, 5, 1)), kAcknowledged);
-  EXPECT_EQ(answer(make_response(kLimits, 8, 4)), kAcknowledged);
+  EXPECT_EQ(deliver(make_response(kLimits, 5, 1)), kAcknowledged);
+  EXPECT_EQ(deliver(make_response(kLimits, 8, 4)), kAcknowledged);
   advance(50ms);
   EXPECT_EQ(running(kLimits), 4);
 }
@@ -121,7 +121,7 @@
   create_streaming_tracker();
   const DiscoveryResponse contracts = make_response(ResourceType::Contracts, 1, 3);
   const DiscoveryResponse members = make_response(ResourceType::Members, 1, 3);
-  EXPECT_EQ(answer(contracts), kUnanswered);  // waits for the members that it names
+  EXPECT_EQ(deliver(contracts), kUnanswered);  // waits for the members that it names
   EXPECT_TRUE(drain<ApplyConfiguration>().empty());
 
   tracker_->on_response(now_, members, actions_);
@@ -137,11 +137,11 @@
 
 TEST_F(VersionTrackerTest, RejectsAfterATimeoutMembersThatRunningContractsStillNeed) {
   create_streaming_tracker();
-  answer(make_response(ResourceType::Contracts, 1, 3));
-  answer(make_response(ResourceType::Members, 1, 3));
+  deliver(make_response(ResourceType::Contracts, 1, 3));
+  deliver(make_response(ResourceType::Members, 1, 3));
 
   const DiscoveryResponse fewer_members = make_response(ResourceType::Members, 2, 1);
-  EXPECT_EQ(answer(fewer_members), kUnanswered);
+  EXPECT_EQ(deliver(fewer_members), kUnanswered);
   advance(settings_.dependency_timeout - 1ns);
   EXPECT_EQ(answer_to(fewer_members), kUnanswered);
   advance(1ns);
@@ -151,24 +151,24 @@
 
 TEST_F(VersionTrackerTest, RejectsAPendingResponseWhenTheNextOfItsTypeArrives) {
   create_streaming_tracker();
-  answer(make_response(ResourceType::Members, 1, 3));
+  deliver(make_response(ResourceType::Members, 1, 3));
   const DiscoveryResponse first = make_response(ResourceType::Contracts, 4, 8);
   const DiscoveryResponse second = make_response(ResourceType::Contracts, 5, 2);
-  EXPECT_EQ(answer(first), kUnanswered);
-  EXPECT_EQ(answer(second), kAcknowledged);
+  EXPECT_EQ(deliver(first), kUnanswered);
+  EXPECT_EQ(deliver(second), kAcknowledged);
   EXPECT_NE(answer_to(first), kUnanswered);
   EXPECT_NE(answer_to(first), kAcknowledged);
 }
 
 TEST_F(VersionTrackerTest, RejectsInvalidResponsesAndKeepsWhatRuns) {
   create_streaming_tracker();
-  EXPECT_EQ(answer(make_response(ResourceType::Members, 1, 5)), kAcknowledged);
+  EXPECT_EQ(deliver(make_response(ResourceType::Members, 1, 5)), kAcknowledged);
   const std::string error = "team[1].name: stands twice";
-  EXPECT_EQ(answer(make_invalid_response(ResourceType::Members, 2, 6, error)), error);
+  EXPECT_EQ(deliver(make_invalid_response(ResourceType::Members, 2, 6, error)), error);
   DiscoveryResponse unknown = make_response(ResourceType::Members, 3, 6);
   unknown.type.reset();
   unknown.type_url = "other";
-  EXPECT_EQ(answer(unknown), "type other is not known here");
+  EXPECT_EQ(deliver(unknown), "type other is not known here");
   EXPECT_EQ(running(ResourceType::Members), 5);
 }
 
@@ -178,7 +178,7 @@
   actions_.clear();
   for (int i = 1; i <= 200; ++i) {
     const auto generation = static_cast<std::uint64_t>(i);
-    EXPECT_EQ(answer(make_response(ResourceType::Limits, generation, i)), kAcknowledged);
+    EXPECT_EQ(deliver(make_response(ResourceType::Limits, generation, i)), kAcknowledged);
     advance(5ms);
   }
   advance(50ms);
@@ -193,18 +193,18 @@
   EXPECT_EQ(drain<OpenStream>().at(0).address, "a0");
   advance(settings_.stream.connect_timeout);
   EXPECT_EQ(drain<CloseStream>().size(), 1U);  // the connection was never established
-  EXPECT_LE(tracker_->next_deadline(), now_ + settings_.stream.reconnect_first);
+  EXPECT_LE(tracker_->next_deadline(), now_ + settings_.stream.initial_reconnect_backoff);
   advance(tracker_->next_deadline() - now_);
   EXPECT_EQ(drain<OpenStream>().at(0).address, "a1");
 
   tracker_->on_stream_opened(now_, actions_);
   EXPECT_EQ(drain<DiscoveryRequest>().size(), kResourceTypeCount);
-  advance(settings_.stream.silence);
+  advance(settings_.stream.keepalive_interval);
   EXPECT_EQ(drain<SendPing>().size(), 1U);
   tracker_->on_bytes_received(now_);  // the acknowledgement
-  advance(settings_.stream.silence);
+  advance(settings_.stream.keepalive_interval);
   EXPECT_EQ(drain<SendPing>().size(), 1U);
-  advance(settings_.stream.silence);
+  advance(settings_.stream.keepalive_interval);
   EXPECT_EQ(drain<CloseStream>().size(), 1U);
   EXPECT_FALSE(tracker_->is_streaming());
 }
@@ -218,19 +218,19 @@
     lose_stream("refused");
     const Duration delay = tracker_->next_deadline() - now_;
     const Duration doubled =
-        settings_.stream.reconnect_first * (std::int64_t{1} << std::min(i, 20));
-    EXPECT_LE(delay, std::min(settings_.stream.reconnect_max, doubled));
+        settings_.stream.initial_reconnect_backoff * (std::int64_t{1} << std::min(i, 20));
+    EXPECT_LE(delay, std::min(settings_.stream.max_reconnect_backoff, doubled));
     longest = std::max(longest, delay);
     delays.insert(delay);
     advance(delay);
   }
-  EXPECT_GT(longest, settings_.stream.reconnect_max / 2);
+  EXPECT_GT(longest, settings_.stream.max_reconnect_backoff / 2);
   EXPECT_GT(delays.size(), 150U);
 
   tracker_->on_stream_opened(now_, actions_);
-  EXPECT_EQ(answer(make_response(ResourceType::Limits, 1, 1)), kAcknowledged);
+  EXPECT_EQ(deliver(make_response(ResourceType::Limits, 1, 1)), kAcknowledged);
   lose_stream("reset");
-  EXPECT_LE(tracker_->next_deadline() - now_, settings_.stream.reconnect_first);
+  EXPECT_LE(tracker_->next_deadline() - now_, settings_.stream.initial_reconnect_backoff);
 }
 
 /// A snapshot that holds contracts of generation 9, which refer to 4 members.
@@ -269,7 +269,7 @@
   EXPECT_EQ(value_of(drain<ApplyConfiguration>().at(0).bodies[0]), 4);
   tracker_->on_stream_opened(now_, actions_);
   EXPECT_EQ(drain<DiscoveryRequest>().at(0).version, "v9");
-  EXPECT_EQ(answer(make_response(ResourceType::Contracts, 8, 1)),
+  EXPECT_EQ(deliver(make_response(ResourceType::Contracts, 8, 1)),
             "generation 8 is older than 9, the newest accepted");
 }
 
@@ -292,7 +292,7 @@
   start();
   EXPECT_TRUE(drain<OpenStream>().empty());
   EXPECT_EQ(tracker_->next_deadline(), kNever);
-  Settings settings;
+  TrackerSettings settings;
   settings.stream.addresses = {"new"};
   tracker_->update_settings(now_, settings, actions_);
   EXPECT_EQ(drain<OpenStream>().at(0).address, "new");
