--- a/src/discovery/reconnect_backoff.h
+++ b/src/discovery/reconnect_backoff.h
@@ -42,12 +42,12 @@
 /// and each list that arrives resets it.
 class ReconnectBackoff {
 public:
-  /// How long after a watch's last byte the gateway counts as notified of the changes
-  /// that the watch did not deliver.
+  /// How long after a watch's last byte the gateway counts as notified of the changes that
+  /// the watch did not deliver.
   static constexpr Duration kNotifiedAfter = 6s;
 
-  /// The silence after which an open watch counts as broken; discovery sends an empty
-  /// line every 2 s.
+  /// The silence after which an open watch counts as broken; discovery sends an empty line
+  /// every 2 s.
   static constexpr Duration kSilenceTimeout = 2500ms;
 
   /// The silence after which a watch on a shared service counts as broken before its first list. It
--- a/src/net/arrival_bound.h
+++ b/src/net/arrival_bound.h
@@ -33,8 +33,7 @@
   ///  - the beginning of that poll, if it returned late: the process did not run, and the input may
   ///    have arrived at any time since;
   ///  - the time at which the previous poll examined the sockets, if the last poll returned at
-  ///  once:
-  ///    the input may have been ready when the last poll began.
+  ///    once: the input may have been ready when the last poll began.
   [[nodiscard]] TimePoint earliest_arrival() const { return earliest_arrival_; }
 
 private:
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -59,7 +59,8 @@
   return poll(&descriptor, 1, 0) != 0;
 }
 
-/// How many lines with one event name were written and suppressed in the current second.
+/// How many lines with one event name were written in the current second, and how many were
+/// suppressed since the last written line.
 struct RecentLines {
   gint64 second_began_at = 0;  ///< In microseconds of the monotonic clock; 0: no line yet.
   int written = 0;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -15,8 +15,8 @@
 namespace gorsebeam::net {
 namespace {
 
-constexpr std::size_t kMinReadSize =
-    4 * 1024;  // the input buffer doubles while a message is incomplete
+// A larger minimum is not needed: the input buffer doubles while a message is incomplete.
+constexpr std::size_t kMinReadSize = 4 * 1024;
 constexpr std::size_t kMaxOutputVectors = 16;
 constexpr int kMaxReadsPerCall = 64;
 
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -92,7 +92,7 @@
 // block in a poll.
 TEST_F(ListenerTest, WaitsForDescriptorsWithoutBusyWaiting) {
   constexpr std::chrono::milliseconds kShortage(100);
-  constexpr int kMaxCalls = 10;  // one each 20 ms, with a margin
+  constexpr int kMaxCalls = 10;  // one per 20 ms, with a margin
   queue_clients(1);
   next_errors.assign(100'000, EMFILE);
   accept_calls = 0;
