--- a/fuzz/control.cpp
+++ b/fuzz/control.cpp
@@ -25,7 +25,7 @@
 config::ValidationContext make_site() {
   config::ValidationContext site;
   site.classes = {{"any", 0}, {"save", 1}};
-  site.postgres_listed = true;
+  site.postgres_members_configured = true;
   site.mongo_enabled = true;
   return site;
 }
--- a/src/command_line/command_line.cpp
+++ b/src/command_line/command_line.cpp
@@ -67,7 +67,7 @@
   const std::string platform_config = find_platform_config(arguments);
   if (platform_config.empty()) {
     std::cerr << "gorsebeam: no configuration: give --config FILE or set RELAY_CONFIG\n";
-    return kExitUnusable;
+    return kExitTrouble;
   }
   auto plan =
       gateway::read_plan(platform_config, find_option(arguments, "file").value_or(std::string()));
@@ -101,7 +101,7 @@
     return serve_or_check(command, arguments);
   std::cerr << "gorsebeam: no command '" << command << (words.empty() ? "" : " " + words[0])
             << "'; there are serve, check, config and version\n";
-  return kExitUnusable;
+  return kExitTrouble;
 }
 
 }  // namespace
--- a/src/command_line/config_command.cpp
+++ b/src/command_line/config_command.cpp
@@ -27,7 +27,7 @@
   auto platform = config::read_platform_config(*arguments.platform_config);
   if (!platform)
     return platform.error();
-  return std::optional(std::move(platform.value().profile.classes));
+  return std::optional(std::move(platform.value().profile.class_indexes));
 }
 
 int check_file(const std::string& path, const config::ClassIndexes* classes) {
@@ -51,10 +51,10 @@
   // The new file is read first, so that its error is the one reported where both are wrong.
   const auto after = config::read_operator_file(new_path, classes);
   if (!after)
-    return print_error(after.error(), kExitUnusable);
+    return print_error(after.error(), kExitTrouble);
   const auto before = config::read_operator_file(old_path, classes);
   if (!before)
-    return print_error(before.error(), kExitUnusable);
+    return print_error(before.error(), kExitTrouble);
   const auto lines = config::describe_differences(before.value(), after.value());
   for (const std::string& line : lines)
     std::cout << line << '\n';
@@ -64,23 +64,23 @@
 }  // namespace
 
 int run_config_command(const ConfigArguments& arguments) {
-  const std::vector<std::string>& words = arguments.words;
-  const std::string subcommand = words.empty() ? "" : words[0];
-  const std::size_t file_count = words.empty() ? 0 : words.size() - 1;
+  const std::vector<std::string>& positional = arguments.positional;
+  const std::string subcommand = positional.empty() ? "" : positional[0];
+  const std::size_t file_count = positional.empty() ? 0 : positional.size() - 1;
   if (subcommand == "show" && arguments.state_folder && file_count == 0)
     return show_snapshot(*arguments.state_folder);
   const auto read = read_classes(arguments);
   if (!read)
-    return print_error(read.error(), subcommand == "diff" ? kExitUnusable : kExitFailure);
+    return print_error(read.error(), subcommand == "diff" ? kExitTrouble : kExitFailure);
   const config::ClassIndexes* classes = read.value() ? &*read.value() : nullptr;
   if (subcommand == "check" && file_count == 1)
-    return check_file(words[1], classes);
+    return check_file(positional[1], classes);
   if (subcommand == "fmt" && file_count == 1)
-    return format_file(words[1]);
+    return format_file(positional[1]);
   if (subcommand == "diff" && file_count == 2)
-    return compare_files(words[1], words[2], classes);
+    return compare_files(positional[1], positional[2], classes);
   std::cerr << "gorsebeam: usage: config check FILE | fmt FILE | diff OLD NEW | show --state DIR\n";
-  return kExitUnusable;
+  return kExitTrouble;
 }
 
 }  // namespace gorsebeam::command_line
--- a/src/command_line/config_command.h
+++ b/src/command_line/config_command.h
@@ -1,4 +1,5 @@
-/// `gorsebeam config ...`: works on the operators' files and the state folder, without a gateway.
+/// `gorsebeam config ...`: checks, formats and compares operators' files and prints the state
+/// folder's last good version, without a running gateway.
 #pragma once
 
 #include <optional>
@@ -8,9 +9,13 @@
 namespace gorsebeam::command_line {
 
 struct ConfigArguments {
-  std::vector<std::string> words;              ///< check FILE, fmt FILE, diff OLD NEW or show
-  std::optional<std::string> platform_config;  ///< supplies the classes that files may name
-  std::optional<std::string> state_folder;     ///< for show
+  /// The subcommand and its files: check FILE, fmt FILE, diff OLD NEW or show.
+  std::vector<std::string> positional;
+  /// Path of the platform configuration, whose classes the operators' files may name; absent: the
+  /// files may name any class.
+  std::optional<std::string> platform_config;
+  /// The state folder that `show` reads.
+  std::optional<std::string> state_folder;
 };
 
 /// Prints the result on standard output and an error on standard error. Returns the exit status.
--- a/src/command_line/exit_status.h
+++ b/src/command_line/exit_status.h
@@ -3,8 +3,12 @@
 
 namespace gorsebeam::command_line {
 
+/// Success; for `config diff`: the files do not differ.
 constexpr int kExitSuccess = 0;
-constexpr int kExitFailure = 1;   ///< a file is wrong; for `config diff`: the files differ
-constexpr int kExitUnusable = 2;  ///< wrong usage; for `config diff` and `show`: nothing to read
+/// A file is invalid or the gateway cannot start; for `config diff`: the files differ.
+constexpr int kExitFailure = 1;
+/// Wrong usage; for `config diff` and `config show`: the input cannot be read or is invalid. `diff`
+/// and `cmp` use the same number.
+constexpr int kExitTrouble = 2;
 
 }  // namespace gorsebeam::command_line
--- a/src/command_line/show_snapshot.cpp
+++ b/src/command_line/show_snapshot.cpp
@@ -51,7 +51,7 @@
     const std::string message =
         is_missing ? state_folder + ": holds no last good version" : error.message;
     std::cerr << "gorsebeam: " << message << '\n';
-    return kExitUnusable;
+    return kExitTrouble;
   }
   const state::v1::LastGood& good = snapshot.value();
   print_part("contracts", good.contracts(), good.contracts_value());
--- a/src/config/contracts_validation.cpp
+++ b/src/config/contracts_validation.cpp
@@ -19,7 +19,7 @@
 std::optional<ValidationError> validate_class_limits(const pb::ServiceClass& service_class,
                                                      const FieldPath& path) {
   constexpr std::uint32_t kMaxAttempts = 100;
-  if (service_class.longest_wait_ms() > kMaxWaitMs)
+  if (service_class.longest_wait_ms() > kMaxDurationMs)
     return ValidationError{append_step(path, "longest_wait_ms"),
                            "is out of range; give at most 3600000, an hour"};
   if (service_class.tries() > kMaxAttempts)
@@ -91,7 +91,7 @@
 std::optional<ValidationError> validate_group_references(const pb::Contracts& contracts,
                                                          const pb::Members& members,
                                                          const ValidationContext& context) {
-  if (!context.postgres_listed)
+  if (!context.postgres_members_configured)
     return std::nullopt;
   const std::set<std::uint32_t> groups = collect_groups(members);
   for (int i = 0; i < contracts.team_size(); ++i) {
--- a/src/config/limits_validation.cpp
+++ b/src/config/limits_validation.cpp
@@ -66,7 +66,7 @@
                                         {"silence_ms", service.silence_ms(), 100},
                                         {"hold_ms", service.hold_ms(), 10}}};
   for (const Bound& bound : bounds)
-    if (bound.value_ms != 0 && (bound.value_ms < bound.min_ms || bound.value_ms > kMaxWaitMs))
+    if (bound.value_ms != 0 && (bound.value_ms < bound.min_ms || bound.value_ms > kMaxDurationMs))
       return ValidationError{{{bound.field, -1}},
                              "is out of range; give " + std::to_string(bound.min_ms) +
                                  " to 3600000 ms"};
--- a/src/config/members_validation.cpp
+++ b/src/config/members_validation.cpp
@@ -81,14 +81,14 @@
 /// Members may stand only where a frontend has them from the operator, and must where it does.
 std::optional<ValidationError> validate_frontends(const pb::Members& members,
                                                   const ValidationContext& context) {
-  if (members.postgres_size() > 0 && !context.postgres_listed)
+  if (members.postgres_size() > 0 && !context.postgres_members_configured)
     return ValidationError{
         {{"postgres", 0}},
         "these members come from discovery here; leave them out, or start with a list"};
   if (members.mongo_size() > 0 && !context.mongo_enabled)
     return ValidationError{
         {{"mongo", 0}}, "the second front is off; it is turned on at the start only, by the file"};
-  const bool is_postgres_empty = context.postgres_listed && members.postgres().empty();
+  const bool is_postgres_empty = context.postgres_members_configured && members.postgres().empty();
   const bool is_mongo_empty = context.mongo_enabled && members.mongo().empty();
   if ((is_postgres_empty || is_mongo_empty) && !members.may_be_empty())
     return ValidationError{
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -112,7 +112,7 @@
     return *std::move(error);
   if (auto error = read_inventories(file, content.members))
     return *std::move(error);
-  content.context.postgres_listed = !content.members.postgres().empty();
+  content.context.postgres_members_configured = !content.members.postgres().empty();
   if (auto error = validate_resources(file, content))
     return *std::move(error);
   if (auto error = validate_control_settings(file))
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -57,14 +57,14 @@
 }
 
 void read_limits(const JsonObjectReader& body, PlatformConfig& config) {
-  constexpr std::int64_t kMinMemoryMb = 16;
-  constexpr std::int64_t kMaxMemoryMb = 1 << 20;
+  constexpr std::int64_t kMinMemoryMib = 16;
+  constexpr std::int64_t kMaxMemoryMib = 1 << 20;
   constexpr std::int64_t kMaxSockets = 1 << 20;
   if (!body.find("limits"))
     return;
   const JsonObjectReader limits = body.require_object("limits");
-  config.memory_mb = static_cast<std::size_t>(
-      limits.read_integer_in_range("memory_mb", kMinMemoryMb, kMaxMemoryMb, 192));
+  config.memory_mib = static_cast<std::size_t>(
+      limits.read_integer_in_range("memory_mb", kMinMemoryMib, kMaxMemoryMib, 192));
   config.max_sockets = static_cast<std::size_t>(
       limits.read_integer_in_range("sockets", kMinSockets, kMaxSockets, 1024));
 }
--- a/src/config/platform_config.h
+++ b/src/config/platform_config.h
@@ -21,7 +21,7 @@
   std::string discovery_address;  ///< of the discovery agent
   std::uint64_t seed = 0;
   std::size_t max_sockets = 1024;
-  std::size_t memory_mb = 192;        ///< for all buffers, in MiB
+  std::size_t memory_mib = 192;       ///< for all buffers, in MiB
   std::string restart_only_settings;  ///< JSON of what a running gateway does not change
   discovery::EndpointListDocument initial_endpoints;  ///< until discovery sends its first list
   settings::DeploymentProfile profile;
--- a/src/config/validation.h
+++ b/src/config/validation.h
@@ -22,7 +22,7 @@
 struct ValidationContext {
   ClassIndexes classes;
   /// PostgreSQL's endpoints are listed by the operator and do not come from discovery.
-  bool postgres_listed = false;
+  bool postgres_members_configured = false;
   bool mongo_enabled = false;  ///< the MongoDB frontend is on
 };
 
--- a/src/config/validation_helpers.h
+++ b/src/config/validation_helpers.h
@@ -9,7 +9,8 @@
 
 namespace gorsebeam::config {
 
-constexpr std::uint32_t kMaxWaitMs = 3'600'000;
+/// The longest time that a field in milliseconds may hold: one hour.
+constexpr std::uint32_t kMaxDurationMs = 3'600'000;
 
 /// False also for what is not a finite number.
 [[nodiscard]] bool is_within(double value, double min, double max);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -63,12 +63,12 @@
   const settings::DeploymentProfile& profile = plan_.config.profile;
   const bool serves_mongo = plan_.file.gateway.has_mongo();
   ResourceShare share =
-      compute_share(plan_.config.max_sockets, plan_.config.memory_mb, serves_mongo ? 2 : 1);
+      compute_share(plan_.config.max_sockets, plan_.config.memory_mib, serves_mongo ? 2 : 1);
   if (profile.settings.connect_timeout > 0ms)
     share.pool.connect_timeout = profile.settings.connect_timeout;
   share.pool.idle_timeout.reset();
-  if (profile.keepalive > 0ms)
-    share.pool.idle_timeout = profile.keepalive;
+  if (profile.endpoint_idle_timeout > 0ms)
+    share.pool.idle_timeout = profile.endpoint_idle_timeout;
   const std::uint64_t seed = plan_.config.seed;
   postgres_ =
       std::make_unique<ProtocolPath>(profile, seed, postgres::make_upstream_protocol, share,
@@ -91,7 +91,7 @@
       plan_.file, plan_.config.seed, [this](const control_plane::ConfigurationUpdate& update) {
         apply_update(update);
       });
-  if (!plan_.file.context.postgres_listed)
+  if (!plan_.file.context.postgres_members_configured)
     start_discovery();
   control_plane_->start();
   if (auto error = listen(postgres_->frontend(), plan_.config.listen_address, "PostgreSQL"))
@@ -150,7 +150,8 @@
     return "the second front is turned on or off at the start only, as the descriptors are shared "
            "out then; "
            "restart";
-  if (plan.file.context.postgres_listed != plan_.file.context.postgres_listed)
+  if (plan.file.context.postgres_members_configured !=
+      plan_.file.context.postgres_members_configured)
     return "whether PostgreSQL's members come from discovery or from a list is settled at the "
            "start; restart";
   return std::nullopt;
@@ -205,12 +206,12 @@
 
 void Gateway::apply_contracts(const config::pb::Contracts& contracts) {
   auto contract_set = std::make_shared<proxy::ContractSet>(
-      config::to_contract_set(contracts, plan_.config.profile.classes));
+      config::to_contract_set(contracts, plan_.config.profile.class_indexes));
   contracts_.replace_contracts(std::move(contract_set), net::now());
 }
 
 void Gateway::apply_endpoints(const config::pb::Members& endpoints) {
-  if (plan_.file.context.postgres_listed)
+  if (plan_.file.context.postgres_members_configured)
     postgres_->broker().update_endpoints(EndpointList::Kind::Full,
                                          config::to_endpoints(endpoints.postgres()));
   if (mongo_)
--- a/src/gateway/plan.cpp
+++ b/src/gateway/plan.cpp
@@ -13,10 +13,10 @@
   plan.config_path = config_path;
   plan.file_path = file_path;
   plan.config = std::move(platform_config.value());
-  plan.file.context.classes = plan.config.profile.classes;
+  plan.file.context.classes = plan.config.profile.class_indexes;
   if (file_path.empty())
     return plan;
-  auto operator_file = config::read_operator_file(file_path, &plan.config.profile.classes);
+  auto operator_file = config::read_operator_file(file_path, &plan.config.profile.class_indexes);
   if (!operator_file)
     return operator_file.error();
   plan.file = std::move(operator_file.value());
--- a/src/settings/deployment_profile.cpp
+++ b/src/settings/deployment_profile.cpp
@@ -70,7 +70,7 @@
     request_class.priority_weight = entry.read_non_negative("worth", 1);
     request_class.late_weight_fraction = entry.read_non_negative("late_worth", 0);
     read_retry_safety(entry, request_class);
-    result.classes[request_class.name] = classes.size();
+    result.class_indexes[request_class.name] = classes.size();
     classes.push_back(std::move(request_class));
   }
   if (classes.empty())
@@ -85,7 +85,7 @@
       Tenant tenant;
       tenant.name = entry.read_string("name");
       tenant.requests_per_second = entry.read_non_negative("quota_rps", 0);
-      result.tenants[tenant.name] = settings.tenants.size();
+      result.tenant_indexes[tenant.name] = settings.tenants.size();
       settings.tenants.push_back(std::move(tenant));
     }
   }
@@ -195,7 +195,7 @@
   read_attempt_limits(limits, settings);
   read_obligations(obligations, settings);
   result.replication_epoch = ReplicationPosition(Duration(extra.read_integer("zero", 0)));
-  result.keepalive = limits.read_duration("keepalive", 0ms);
+  result.endpoint_idle_timeout = limits.read_duration("keepalive", 0ms);
   return result;
 }
 
--- a/src/settings/deployment_profile.h
+++ b/src/settings/deployment_profile.h
@@ -14,12 +14,15 @@
 
 /// What the platform settles for one deployment.
 struct DeploymentProfile {
-  Settings settings;                           ///< of the router
-  std::map<std::string, std::size_t> classes;  ///< index in `settings.classes` by name
-  std::map<std::string, std::size_t> tenants;  ///< index in `settings.tenants` by name
-  ReplicationPosition
-      replication_epoch{};  ///< the simulator's replication positions count from here
-  Duration keepalive{};     ///< an endpoint closes a connection that is idle this long
+  Settings settings;  ///< The router's settings.
+  /// Index of each request class in `settings.classes` by its name.
+  std::map<std::string, std::size_t> class_indexes;
+  /// Index of each tenant in `settings.tenants` by its name.
+  std::map<std::string, std::size_t> tenant_indexes;
+  /// The position that the simulator's replication positions are relative to.
+  ReplicationPosition replication_epoch{};
+  /// How long a connection may be idle before the endpoint closes it; 0: the endpoint never does.
+  Duration endpoint_idle_timeout{};
 };
 
 /// Translates the settings' names and words. Throws FormatError on the first field at fault.
--- a/src/settings/json_object_reader.h
+++ b/src/settings/json_object_reader.h
@@ -31,12 +31,12 @@
 
 /// Maps the words of a field to enumerators.
 template <typename Enum>
-using EnumWords = std::initializer_list<std::pair<const char*, Enum>>;
+using EnumNames = std::initializer_list<std::pair<const char*, Enum>>;
 
 /// The enumerator for `word`. Throws FormatError that names `field` when there is none.
 template <typename Enum>
 [[nodiscard]] Enum parse_enum(const std::string& word, const std::string& field,
-                              EnumWords<Enum> words) {
+                              EnumNames<Enum> words) {
   for (const auto& [name, value] : words)
     if (word == name)
       return value;
@@ -156,14 +156,14 @@
   }
 
   template <typename Enum>
-  [[nodiscard]] Enum read_enum(const char* name, EnumWords<Enum> words) const {
+  [[nodiscard]] Enum read_enum(const char* name, EnumNames<Enum> words) const {
     return parse_enum<Enum>(read_string(name), name, words);
   }
 
   /// `fallback` is the word that an absent field stands for.
   template <typename Enum>
   [[nodiscard]] Enum read_enum(const char* name, const char* fallback,
-                               EnumWords<Enum> words) const {
+                               EnumNames<Enum> words) const {
     return parse_enum<Enum>(read_string(name, fallback), name, words);
   }
 
--- a/src/simulator_adapter/event_reader.cpp
+++ b/src/simulator_adapter/event_reader.cpp
@@ -32,7 +32,7 @@
   if (field == report.MemberEnd() || field->value.IsNull())
     return std::nullopt;
   if (!field->value.IsNumber())
-    throw WireError(std::string("the report's '") + name + "' is not a number");
+    throw ProtocolError(std::string("the report's '") + name + "' is not a number");
   return field->value.GetDouble();
 }
 
@@ -43,7 +43,7 @@
   if (!report)
     return result;
   if (!report->IsObject())
-    throw WireError("the field 'report' is not an object");
+    throw ProtocolError("the field 'report' is not an object");
   if (const auto position = read_report_value(*report, "x0"))
     result.replication_position = epoch + to_duration(std::floor(*position * kNanosPerSecond));
   if (const auto primary = read_report_value(*report, "x1"))
@@ -86,14 +86,14 @@
 Request read_request(const JsonObjectReader& body, const DeploymentProfile& profile) {
   Request request;
   request.id = body.read_string("op_id");
-  const auto request_class = profile.classes.find(body.read_string("tier_class"));
-  if (request_class == profile.classes.end())
+  const auto request_class = profile.class_indexes.find(body.read_string("tier_class"));
+  if (request_class == profile.class_indexes.end())
     body.throw_invalid("tier_class", "a class of the settings");
   request.class_index = request_class->second;
   const Json* realm = body.find("realm");
   if (realm && realm->IsString()) {
-    const auto tenant = profile.tenants.find(settings::string_value(*realm));
-    if (tenant != profile.tenants.end())
+    const auto tenant = profile.tenant_indexes.find(settings::string_value(*realm));
+    if (tenant != profile.tenant_indexes.end())
       request.tenant = tenant->second;
   }
   if (body.find("session"))
@@ -174,7 +174,7 @@
     return TimerExpired{};
   if (name == "VANISHED")
     return ClientDisconnected{body.read_string("op_id")};
-  throw WireError("unknown event '" + name + "'");
+  throw ProtocolError("unknown event '" + name + "'");
 }
 
 }  // namespace gorsebeam::simulator_adapter
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -9,8 +9,8 @@
 
 using gorsebeam::simulator_adapter::Session;
 
-/// Returns the exit status: 1 where the input ends inside a batch. Throws WireError. `line_number`
-/// counts the lines that were read.
+/// Returns the exit status: 1 where the input ends inside a batch. Throws ProtocolError.
+/// `line_number` counts the lines that were read.
 int run_session(std::size_t& line_number) {
   Session session;
   std::string line;
--- a/src/simulator_adapter/session.cpp
+++ b/src/simulator_adapter/session.cpp
@@ -17,11 +17,11 @@
   rapidjson::Document document;
   document.Parse(text.data(), text.size());
   if (document.HasParseError())
-    throw WireError(
+    throw ProtocolError(
         "not JSON: " + std::string(rapidjson::GetParseError_En(document.GetParseError())) +
         " (byte " + std::to_string(document.GetErrorOffset()) + ")");
   if (!document.IsObject() || document.MemberCount() != 1)
-    throw WireError("a message must be an object with a single key, its name");
+    throw ProtocolError("a message must be an object with a single key, its name");
   return document;
 }
 
@@ -42,7 +42,7 @@
   if (name == "TURN")
     return begin_batch(body);
   if (!is_inside_batch_)
-    throw WireError(name + " outside a batch");
+    throw ProtocolError(name + " outside a batch");
   if (name == "END") {
     is_inside_batch_ = false;
     reply += "{\"READY\":{}}\n";
@@ -53,10 +53,10 @@
 
 void Session::begin_batch(const JsonObjectReader& body) {
   if (is_inside_batch_)
-    throw WireError("TURN inside a batch");
+    throw ProtocolError("TURN inside a batch");
   const TimePoint now(Duration(body.read_integer("time")));
   if (now < now_)
-    throw WireError("TURN: the clock went back");
+    throw ProtocolError("TURN: the clock went back");
   now_ = now;
   is_inside_batch_ = true;
 }
@@ -88,8 +88,8 @@
   const std::int64_t router_id = body.read_integer("router_id");
   const auto found = instances_.find(router_id);
   if (found == instances_.end())
-    throw WireError(name + " for router " + std::to_string(router_id) +
-                    ", which was never started or has ended");
+    throw ProtocolError(name + " for router " + std::to_string(router_id) +
+                        ", which was never started or has ended");
   if (name == "DOWN") {
     instances_.erase(found);
     return;
--- a/src/simulator_adapter/session.h
+++ b/src/simulator_adapter/session.h
@@ -14,7 +14,7 @@
 class Session {
 public:
   /// Handles one line of input and appends the reply's lines to `reply`, which is complete when the
-  /// session is no longer inside a batch. Throws WireError.
+  /// session is no longer inside a batch. Throws ProtocolError.
   void handle_line(const std::string& text, std::string& reply);
 
   [[nodiscard]] bool is_inside_batch() const { return is_inside_batch_; }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -62,12 +62,12 @@
   EXPECT_EQ(save.idempotency, gorsebeam::Idempotency::IdempotencyKey);
   EXPECT_EQ(save.deduplication_scope, gorsebeam::DeduplicationScope::Group);
   EXPECT_EQ(save.deduplication_window, 7ns);
-  EXPECT_EQ(profile.classes.at("save"), 1U);
+  EXPECT_EQ(profile.class_indexes.at("save"), 1U);
 }
 
 TEST(DeploymentProfile, ReadsLimitsAndReports) {
   const DeploymentProfile profile = read_profile(kProfile);
-  EXPECT_EQ(profile.tenants.at("shop"), 0U);
+  EXPECT_EQ(profile.tenant_indexes.at("shop"), 0U);
   EXPECT_EQ(profile.settings.tenants.at(0).requests_per_second, 12.5);
   EXPECT_TRUE(profile.settings.health_checks_allowed);
   EXPECT_EQ(profile.settings.max_attempts, 3U);
@@ -76,7 +76,7 @@
   EXPECT_TRUE(profile.settings.load_reports_hold_roles);
   EXPECT_FALSE(profile.settings.load_reports_hold_positions);
   EXPECT_EQ(profile.replication_epoch, gorsebeam::ReplicationPosition(9ns));
-  EXPECT_EQ(profile.keepalive, 30ns);
+  EXPECT_EQ(profile.endpoint_idle_timeout, 30ns);
 }
 
 TEST(DeploymentProfile, NamesTheFieldAtFault) {
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
+using gorsebeam::simulator_adapter::ProtocolError;
 using gorsebeam::simulator_adapter::Session;
-using gorsebeam::simulator_adapter::WireError;
 using testing::HasSubstr;
 
 const char* const kNewInstance =
@@ -35,7 +35,7 @@
   std::string send_malformed(const std::string& line) {
     try {
       send(line);
-    } catch (const WireError& error) {
+    } catch (const ProtocolError& error) {
       return error.what();
     }
     return "";
