--- a/src/settings/deployment_profile.cpp
+++ b/src/settings/deployment_profile.cpp
@@ -12,7 +12,7 @@
 ConsistencyLevel read_consistency(const JsonObjectReader& extra, const Json& levels,
                                   rapidjson::SizeType index) {
   if (index >= levels.Size() || !levels[index].IsString())
-    extra.throw_invalid("read_level", "a word for each class");
+    extra.throw_invalid("read_level", "a list with a string for each class");
   return parse_enum<ConsistencyLevel>(string_value(levels[index]), "read_level",
                                       {{"eventual", ConsistencyLevel::Eventual},
                                        {"lag_bound", ConsistencyLevel::BoundedStaleness},
@@ -24,20 +24,24 @@
 Duration read_max_staleness(const JsonObjectReader& extra, const Json& bounds,
                             rapidjson::SizeType index) {
   if (index >= bounds.Size() || !bounds[index].IsInt64())
-    extra.throw_invalid("lag_allowed", "a time for each class");
+    extra.throw_invalid("lag_allowed", "a list with an integer for each class, in nanoseconds");
   const Duration max_staleness(bounds[index].GetInt64());
   if (max_staleness < 0ms)
-    extra.throw_invalid("lag_allowed", "a time of zero or more for each class");
+    extra.throw_invalid("lag_allowed", "at least 0 ns for each class, but is " +
+                                           std::to_string(max_staleness.count()));
   return max_staleness;
 }
 
 void read_latency(const JsonObjectReader& entry, RequestClass& request_class) {
   request_class.latency_objective = entry.read_duration("aim");
   if (request_class.latency_objective == 0ms)
-    entry.throw_invalid("aim", "above zero");
+    entry.throw_invalid("aim", "above 0 ns");
   request_class.deadline = entry.read_duration("give_up");
   if (request_class.deadline < request_class.latency_objective)
-    entry.throw_invalid("give_up", "at or after its 'aim'");
+    entry.throw_invalid("give_up", "at least the class's 'aim' of " +
+                                       std::to_string(request_class.latency_objective.count()) +
+                                       " ns, but is " +
+                                       std::to_string(request_class.deadline.count()));
 }
 
 void read_retry_safety(const JsonObjectReader& entry, RequestClass& request_class) {
@@ -53,7 +57,8 @@
   request_class.deduplication_window = entry.read_duration("window", 0ms);
 }
 
-/// The classes' consistency and staleness stand in lists of `extra`, in the classes' order.
+/// Reads the classes from `profile`, and the consistency level and staleness of each from lists in
+/// `extra` that have the same order.
 void read_classes(const JsonObjectReader& profile, const JsonObjectReader& extra,
                   DeploymentProfile& result) {
   const Json& levels = extra.require_array("read_level");
@@ -74,7 +79,7 @@
     classes.push_back(std::move(request_class));
   }
   if (classes.empty())
-    profile.throw_invalid("classes", "a list of at least one class");
+    profile.throw_invalid("classes", "an array of at least one class");
 }
 
 void read_tenants(const JsonObjectReader& profile, DeploymentProfile& result) {
@@ -137,10 +142,10 @@
     return;
   for (const Json& field : report.require_array("fields").GetArray()) {
     if (!field.IsString())
-      report.throw_invalid("fields", "a list of words");
-    if (string_value(field) == "x0")
+      report.throw_invalid("fields", "an array of strings");
+    if (string_value(field) == "x0")  // the replication position
       settings.load_reports_hold_positions = true;
-    if (string_value(field) == "x1")
+    if (string_value(field) == "x1")  // the role
       settings.load_reports_hold_roles = true;
   }
 }
@@ -171,14 +176,16 @@
   settings.slow_start_duration = obligations.read_duration("cold", 0ms);
   settings.slow_start_initial_capacity = obligations.read_non_negative("cold_from", 1);
   if (settings.slow_start_initial_capacity <= 0 || settings.slow_start_initial_capacity > 1)
-    obligations.throw_invalid("cold_from", "above zero and at most one");
+    obligations.throw_invalid("cold_from",
+                              "above 0 and at most 1, but is " +
+                                  std::to_string(settings.slow_start_initial_capacity));
   settings.overload_duration = obligations.read_duration("fall", 0ms);
   settings.overload_factor = obligations.read_non_negative("fall_multiple", 1);
 }
 
 }  // namespace
 
-// The order of the sections decides which of several errors is reported.
+// Reading stops at the first error, so the order of these calls decides which error is reported.
 DeploymentProfile read_deployment_profile(const JsonObjectReader& profile) {
   const JsonObjectReader extra = profile.require_object("extra");
   const JsonObjectReader limits = profile.require_object("limits");
--- a/src/settings/deployment_profile.h
+++ b/src/settings/deployment_profile.h
@@ -1,5 +1,5 @@
-/// The platform's settings object, which the simulator's first message and the gateway's
-/// configuration hold.
+/// Reads the platform's settings object, a part of the simulator's NEW_INSTANCE message and of the
+/// gateway's platform configuration.
 #pragma once
 
 #include "json_object_reader.h"
@@ -12,7 +12,7 @@
 
 namespace gorsebeam::settings {
 
-/// What the platform settles for one deployment.
+/// What the platform configures for one deployment.
 struct DeploymentProfile {
   Settings settings;  ///< The router's settings.
   /// Index of each request class in `settings.classes` by its name.
@@ -25,7 +25,8 @@
   Duration endpoint_idle_timeout{};
 };
 
-/// Translates the settings' names and words. Throws FormatError on the first field at fault.
+/// Converts the settings' JSON keys and values to a profile. Throws FormatError for the first
+/// invalid field.
 [[nodiscard]] DeploymentProfile read_deployment_profile(const JsonObjectReader& profile);
 
 }  // namespace gorsebeam::settings
--- a/src/settings/file_error.cpp
+++ b/src/settings/file_error.cpp
@@ -22,7 +22,7 @@
   std::ifstream file(path);
   if (!file)
     return FileError{path, 0, std::nullopt, open_error};
-  // The buffer throws where the system cannot read what was opened, e.g. a folder.
+  // Reading throws if the path can be opened but not read, as with a folder.
   try {
     return std::string{std::istreambuf_iterator<char>(file), {}};
   } catch (const std::exception& error) {
--- a/src/settings/file_error.h
+++ b/src/settings/file_error.h
@@ -1,4 +1,4 @@
-/// What is wrong with a file, for the person who writes it.
+/// An error in a configuration file, with its place in the file.
 #pragma once
 
 #include "common/result.h"
@@ -9,18 +9,19 @@
 
 namespace gorsebeam::settings {
 
-/// An error in a file. Lines count from 1.
+/// An error in a file, as an operator reads it.
 struct FileError {
-  std::optional<std::string> file;   ///< path as it was given; absent where the system names none
-  std::size_t line = 0;              ///< 0 where the error concerns no single line
-  std::optional<std::string> field;  ///< absent where the error concerns no single field
-  std::string message;               ///< what is wrong, with the remedy where there is one
+  std::optional<std::string> file;   ///< Path as it was given; absent for errors of the system.
+  std::size_t line = 0;              ///< From 1; 0 if the error concerns no single line.
+  std::optional<std::string> field;  ///< Absent if the error concerns no single field.
+  std::string message;               ///< What is wrong and, where possible, how to correct it.
 
   /// "FILE: line LINE: field 'FIELD': MESSAGE", without the parts that are not set.
   [[nodiscard]] std::string to_string() const;
 };
 
-/// The whole text of a file. `open_error` is the message for a file that cannot be opened.
+/// Returns the whole text of a file. `open_error` is the error message if the file cannot be
+/// opened.
 [[nodiscard]] common::Result<std::string, FileError> read_text_file(const std::string& path,
                                                                     const char* open_error);
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,4 @@
-/// The platform's settings: translation of names and words, ranges, and the text of errors.
+/// The platform's settings: conversion of keys and values, ranges, and the texts of errors.
 #include "settings/deployment_profile.h"
 
 #include "router/settings_validation.h"
@@ -35,7 +35,8 @@
   return gorsebeam::settings::read_deployment_profile(JsonObjectReader(document, "settings"));
 }
 
-/// The error of kProfile with the first `old_text` replaced; empty for none.
+/// The error message for kProfile with the first `old_text` replaced by `new_text`; empty if it is
+/// valid.
 std::string error_after_replacing(const std::string& old_text, const std::string& new_text) {
   std::string text = kProfile;
   text.replace(text.find(old_text), old_text.size(), new_text);
@@ -79,19 +80,20 @@
   EXPECT_EQ(profile.endpoint_idle_timeout, 30ns);
 }
 
-TEST(DeploymentProfile, NamesTheFieldAtFault) {
+TEST(DeploymentProfile, NamesTheInvalidField) {
   EXPECT_EQ(error_after_replacing(R"("effect": "free")", R"("effect": "none")"),
-            "field 'effect' holds the unknown word 'none'");
+            "field 'effect' has the unknown value 'none'");
   EXPECT_EQ(error_after_replacing(R"("aim": 100)", R"("aim": 0)"),
-            "classes[0]: the field 'aim' is not above zero");
-  EXPECT_EQ(error_after_replacing(R"("give_up": 200)", R"("give_up": 199)"),
-            "classes[1]: the field 'give_up' is not at or after its 'aim'");
+            "classes[0]: the field 'aim' must be above 0 ns");
+  EXPECT_EQ(
+      error_after_replacing(R"("give_up": 200)", R"("give_up": 199)"),
+      "classes[1]: the field 'give_up' must be at least the class's 'aim' of 200 ns, but is 199");
   EXPECT_EQ(error_after_replacing(R"(["lag_bound", "mutate"])", R"(["lag_bound"])"),
-            "settings.extra: the field 'read_level' is not a word for each class");
+            "settings.extra: the field 'read_level' must be a list with a string for each class");
   EXPECT_EQ(error_after_replacing(R"("send_cap": 3)", R"("send_cap": 1001)"),
-            "settings.limits: the field 'send_cap' is not a whole number from 1 to 1000");
+            "settings.limits: the field 'send_cap' must be an integer from 1 to 1000, but is 1001");
   EXPECT_EQ(error_after_replacing(R"("limits")", R"("limit")"),
-            "settings lacks the field 'limits'");
+            "settings: the field 'limits' is missing");
 }
 
 TEST(JsonObjectReader, AcceptsDoublesWithoutAFractionAsIntegers) {
@@ -112,7 +114,7 @@
   EXPECT_EQ((FileError{std::nullopt, 0, std::nullopt, "no memory"}.to_string()), "no memory");
 }
 
-TEST(SettingsValidation, NamesTheSettingAtFault) {
+TEST(SettingsValidation, NamesTheInvalidSetting) {
   gorsebeam::Settings settings = read_profile(kProfile).settings;
   EXPECT_NO_THROW(gorsebeam::router::validate_settings(settings));
   settings.classes[1].deadline = 1ns;
