--- a/src/config/conversion.h
+++ b/src/config/conversion.h
@@ -1,4 +1,5 @@
-/// Converts validated messages to the types that the proxy works with, and back. Pure.
+/// Converts validated protobuf messages to the types that the proxy uses, and back. The functions
+/// are pure.
 #pragma once
 
 #include "validation.h"
@@ -10,7 +11,7 @@
 
 namespace gorsebeam::config {
 
-/// Each class that `contracts` name must be in `classes`.
+/// Converts validated contracts. Each class that `contracts` names must be in `classes`.
 [[nodiscard]] proxy::ContractSet to_contract_set(const pb::Contracts& contracts,
                                                  const ClassIndexes& classes);
 
--- a/src/config/members_validation.cpp
+++ b/src/config/members_validation.cpp
@@ -40,7 +40,7 @@
   return std::nullopt;
 }
 
-/// Validates the members of one frontend, which `field` holds.
+/// Validates the members of one frontend. `field` is the name of the field that holds them.
 class MemberListValidator {
 public:
   explicit MemberListValidator(const char* field) : field_(field) {}
@@ -78,7 +78,8 @@
   std::unordered_set<GroupId> groups_with_primary_;
 };
 
-/// Members may stand only where a frontend has them from the operator, and must where it does.
+/// Checks each frontend's list of members as a whole. The list must be empty if the frontend does
+/// not take its endpoints from the operator; otherwise it may be empty only with `may_be_empty`.
 std::optional<ValidationError> validate_frontends(const pb::Members& members,
                                                   const ValidationContext& context) {
   if (members.postgres_size() > 0 && !context.postgres_members_configured)
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -15,7 +15,7 @@
 using settings::FileError;
 using OptionalFileError = std::optional<FileError>;
 
-/// Locates an error whose path starts at `field` of the gateway message.
+/// Locates `error`, whose path is relative to `field` of the gateway message.
 OptionalFileError locate_under(const ParsedOperatorFile& file, const char* field,
                                std::optional<ValidationError> error) {
   if (!error)
@@ -41,18 +41,19 @@
     return std::nullopt;
   return file.locate(
       {{{"mongo", -1}, {"listen", -1}},
-       "'" + address + "' is no numeric address and port; write it as 127.0.0.1:27017"});
+       "'" + address + "' is not a numeric address and port; write it as 127.0.0.1:27017"});
 }
 
-/// Reads the inventory of one frontend, if it has one, into `members`.
+/// Appends the inventory of one frontend to `members` if the file names an inventory for it.
 OptionalFileError read_frontend_inventory(const ParsedOperatorFile& file,
                                           const std::string& inventory, const char* frontend,
                                           RepeatedPtrField<pb::Member>& members) {
   if (inventory.empty())
     return std::nullopt;
   if (!members.empty())
-    return file.locate({{{frontend, -1}, {"inventory", -1}},
-                        "stands beside members of the same front; keep one of them"});
+    return file.locate(
+        {{{frontend, -1}, {"inventory", -1}},
+         "cannot be combined with a list of members for the same frontend; keep one of them"});
   const auto endpoints = inventory::read_inventory(file.resolve_path(inventory));
   if (!endpoints)
     return endpoints.error();
@@ -90,13 +91,14 @@
       return error;
   const std::string& state_folder = gateway.state_folder();
   if (!state_folder.empty() && state_folder[0] != '/')
-    return file.locate({{{"state_folder", -1}}, "is no absolute path; start it with /"});
+    return file.locate({{{"state_folder", -1}},
+                        "'" + state_folder + "' is not an absolute path; start it with /"});
   return std::nullopt;
 }
 
 }  // namespace
 
-// The order of the steps decides which of several errors is reported.
+// Reading stops at the first error, so the order of the steps decides which error is reported.
 common::Result<OperatorFile, FileError> read_operator_file(const std::string& path,
                                                            const ClassIndexes* classes) {
   const auto parsed = ParsedOperatorFile::parse(path);
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -1,5 +1,5 @@
-/// Reads the operators' file, which `serve --file` names: protobuf text format,
-/// schema/gorsebeam/config/v1.
+/// Reads the operators' file, which `serve --file` names. Its format is protobuf text format with
+/// the schema in schema/gorsebeam/config/v1.
 #pragma once
 
 #include "common/result.h"
@@ -10,17 +10,17 @@
 
 namespace gorsebeam::config {
 
-/// One validated version of what an operator configures.
+/// A validated operators' file.
 struct OperatorFile {
-  pb::Gateway gateway;  ///< as it is written
-  pb::Members members;  ///< with the rows of the inventories that the file names
-  ValidationContext context;
+  pb::Gateway gateway;        ///< The file's message, without the rows of its inventories.
+  pb::Members members;        ///< The file's members and the rows of its inventories.
+  ValidationContext context;  ///< What the file was validated against.
 };
 
-/// Reads and validates the file and the inventories that it names; their paths are relative to its
-/// folder. Classes are validated against `classes`; where that is null, each class that the file
-/// names is accepted, as `config check` has no platform settings. The error's message holds the
-/// remedy.
+/// Reads and validates the file and the inventories that it names; the inventories' paths are
+/// relative to the file's folder. The file may name only classes in `classes`. If `classes` is
+/// null, any class is accepted, for `config check` without a platform configuration. Error messages
+/// also say how to correct the file.
 [[nodiscard]] common::Result<OperatorFile, settings::FileError>
 read_operator_file(const std::string& path, const ClassIndexes* classes);
 
--- a/src/config/operator_file_differences.cpp
+++ b/src/config/operator_file_differences.cpp
@@ -38,13 +38,13 @@
              : reflection->GetMessage(parent, step.field);
 }
 
-/// The value of the field "name"; empty where the type has none.
+/// The value of the field "name"; empty if the message type has no such field.
 std::string name_of(const Message& message) {
   const FieldDescriptor* field = message.GetDescriptor()->FindFieldByName("name");
   return field ? message.GetReflection()->GetString(message, field) : "";
 }
 
-/// A path by the names that operators gave.
+/// Describes a path with the names of the messages on it, e.g. "contracts team 'a'.budget".
 std::string describe_path(const Root& root, const DifferencePath& path) {
   const Message* message = &root.message;
   std::string text;
@@ -64,7 +64,7 @@
   return text;
 }
 
-/// The value at the end of `path` with a blank before it; empty for a message.
+/// Describes the value at the end of `path`, with a leading space; empty if it is a message.
 std::string describe_value(const Root& root, const DifferencePath& path) {
   const Message* message = &root.message;
   for (const auto& step : path) {
@@ -80,8 +80,9 @@
   return "";
 }
 
-/// Collects a line for each difference. The library hands over the innermost messages, while paths
-/// start at the roots, which are borrowed.
+/// Collects a line for each difference. The library passes the innermost messages to the functions
+/// below, while paths start at the root messages, so the collector keeps references to the roots;
+/// they must outlive it.
 class DifferenceCollector : public MessageDifferencer::Reporter {
 public:
   DifferenceCollector(const Message& before, const Message& after)
@@ -99,7 +100,7 @@
 
   void ReportModified(const Message& /*before*/, const Message& /*after*/,
                       const DifferencePath& path) override {
-    // A message is reported by its fields.
+    // The library reports a modified message and each of its modified fields; the fields suffice.
     if (is_message(path.back().field))
       return;
     lines_.push_back(describe_path(before_, path) + ":" + describe_value(before_, path) + " ->" +
@@ -114,7 +115,7 @@
   std::vector<std::string> lines_;
 };
 
-/// The file's message with the rows of its inventories in place of their names.
+/// The file's message with the rows of its inventories in place of the inventories' paths.
 pb::Gateway expand_inventories(const OperatorFile& file) {
   pb::Gateway gateway = file.gateway;
   *gateway.mutable_members() = file.members;
@@ -142,10 +143,10 @@
   match_by_name(differencer, pb::Members::descriptor(), "mongo");
   differencer.TreatAsSet(pb::Team::descriptor()->FindFieldByName("group"));
   differencer.set_message_field_comparison(MessageDifferencer::EQUIVALENT);
-  DifferenceCollector differences(expanded_before, expanded_after);
-  differencer.ReportDifferencesTo(&differences);
+  DifferenceCollector collector(expanded_before, expanded_after);
+  differencer.ReportDifferencesTo(&collector);
   differencer.Compare(expanded_before, expanded_after);
-  return differences.lines();
+  return collector.lines();
 }
 
 }  // namespace gorsebeam::config
--- a/src/config/operator_file_differences.h
+++ b/src/config/operator_file_differences.h
@@ -1,4 +1,4 @@
-/// Compares two versions of an operators' file by meaning.
+/// Compares the content of two operators' files.
 #pragma once
 
 #include "operator_file.h"
@@ -8,9 +8,10 @@
 
 namespace gorsebeam::config {
 
-/// One line for each difference, by the names of teams, classes and members, e.g. "team 'portal'
-/// budget.per_second: 300 -> 200". The order of teams, members, classes and groups has no meaning,
-/// and an inventory counts by its rows, wherever they stand.
+/// Returns a line for each difference. A line such as "contracts team 'a'.budget.burst: 20 -> 10"
+/// contains the names of teams, classes and members. These are matched by name, and the order of
+/// teams, members, classes and groups is ignored. An inventory is compared by its rows, so a member
+/// may move between an inventory and the file's list.
 [[nodiscard]] std::vector<std::string> describe_differences(const OperatorFile& before,
                                                             const OperatorFile& after);
 
--- a/src/config/operator_file_formatter.cpp
+++ b/src/config/operator_file_formatter.cpp
@@ -8,10 +8,11 @@
 namespace gorsebeam::config {
 namespace {
 
-constexpr std::size_t kIndentation = 2;
+constexpr std::size_t kIndentWidth = 2;
 
-/// Copies tokens as they stand, as a printer of messages would lose the comments. The text parses,
-/// so that brackets and quotes are balanced.
+/// Copies the tokens of the text unchanged and replaces the white space between them. Protobuf's
+/// own printer would lose the comments. The text must match the schema, so its brackets and quotes
+/// are balanced.
 class Formatter {
 public:
   explicit Formatter(std::string_view text) : text_(text) {}
@@ -32,7 +33,7 @@
       return format_line_end();
     const bool is_separator = next == ';' || (next == ',' && list_depth_ == 0);
     if (next == ' ' || next == '\t' || next == '\r' || is_separator)
-      return skip_blank_or_separator(next);
+      return skip_space_or_separator(next);
     line_ends_ = 0;
     switch (next) {
     case '#':
@@ -57,7 +58,8 @@
     }
   }
 
-  /// A field's value may stand on the next line; only a line that is complete ends here.
+  /// Ends the output line unless its field is incomplete, as a field's value may follow on the next
+  /// line of the input.
   void format_line_end() {
     const std::size_t last = line_.find_last_not_of(' ');
     const bool is_open = last == std::string::npos || line_[last] == ':' || list_depth_ > 0;
@@ -69,9 +71,9 @@
     ++position_;
   }
 
-  void skip_blank_or_separator(char next) {
+  void skip_space_or_separator(char next) {
     if (next == ' ' || next == '\t')
-      append_blank();
+      append_space();
     if (next == ';' || next == ',')
       end_line();
     ++position_;
@@ -79,7 +81,7 @@
 
   void copy_comment() {
     const std::size_t end = std::min(text_.find('\n', position_), text_.size());
-    append_blank();
+    append_space();
     copy_until(end);
     end_line();
   }
@@ -115,14 +117,15 @@
     ++position_;
   }
 
-  void copy_punctuation(char mark) {
-    trim_blanks();
-    line_ += mark;
+  void copy_punctuation(char punctuation) {
+    trim_trailing_spaces();
+    line_ += punctuation;
     line_ += ' ';
     ++position_;
   }
 
-  /// A word after a complete value is the name of the next field.
+  /// Copies a word. A word after a complete value is the name of the next field and starts a new
+  /// line.
   void copy_word() {
     const std::size_t end =
         std::min(text_.find_first_of(" \t\r\n;,#\"'{}<>:[]", position_), text_.size());
@@ -139,30 +142,30 @@
     position_ = end;
   }
 
-  void append_blank() {
+  void append_space() {
     if (!line_.empty() && line_.back() != ' ')
       line_ += ' ';
   }
 
-  void trim_blanks() {
+  void trim_trailing_spaces() {
     while (!line_.empty() && line_.back() == ' ')
       line_.pop_back();
   }
 
   void end_line() {
-    trim_blanks();
+    trim_trailing_spaces();
     if (!line_.empty())
-      output_ += std::string(level_ * kIndentation, ' ') + line_ + '\n';
+      output_ += std::string(level_ * kIndentWidth, ' ') + line_ + '\n';
     line_.clear();
   }
 
   std::string_view text_;
   std::size_t position_ = 0;
   std::string output_;
-  std::string line_;       ///< not yet in `output_`, without its indentation
-  std::size_t level_ = 0;  ///< of nested messages
-  int list_depth_ = 0;     ///< of square brackets
-  int line_ends_ = 0;      ///< since the last token
+  std::string line_;       ///< The line to be appended to `output_`, without its indentation.
+  std::size_t level_ = 0;  ///< The number of messages that are open.
+  int list_depth_ = 0;     ///< The number of square brackets that are open.
+  int line_ends_ = 0;      ///< The number of line ends since the last token.
 };
 
 }  // namespace
--- a/src/config/operator_file_formatter.h
+++ b/src/config/operator_file_formatter.h
@@ -1,4 +1,4 @@
-/// Prints an operators' file in its usual form.
+/// Formats an operators' file.
 #pragma once
 
 #include "common/result.h"
@@ -8,8 +8,9 @@
 
 namespace gorsebeam::config {
 
-/// The file's text with each field on a line of its own, indented by two blanks a level. Comments
-/// and single empty lines are kept. The file must parse by the schema; it is not validated further.
+/// Returns the file's text with each field on a line of its own, indented by two spaces a level.
+/// Comments are kept, and a run of empty lines becomes one. A file that does not match the schema
+/// is an error; the file is not validated further.
 [[nodiscard]] common::Result<std::string, settings::FileError>
 format_operator_file(const std::string& path);
 
--- a/src/config/parsed_operator_file.cpp
+++ b/src/config/parsed_operator_file.cpp
@@ -12,7 +12,7 @@
 using google::protobuf::TextFormat;
 using settings::FileError;
 
-/// Keeps the first error of a parser.
+/// Keeps the first error that a parser reports.
 class FirstErrorCollector : public google::protobuf::io::ErrorCollector {
 public:
   void AddError(int line, int /*column*/, const std::string& message) override {
@@ -22,12 +22,12 @@
     message_ = message;
   }
 
-  /// From 1.
+  /// The line of the error, counted from 1.
   [[nodiscard]] std::size_t line() const {
     return static_cast<std::size_t>(std::max(line_, 0)) + 1;
   }
 
-  /// Empty where the parser gave none.
+  /// The message of the error; empty if the parser has reported none.
   [[nodiscard]] const std::string& message() const { return message_; }
 
 private:
@@ -35,7 +35,8 @@
   std::string message_;
 };
 
-/// The last field that the parser's message quotes, or "text".
+/// The last text in double quotes in the parser's message, usually a field name; "text" if there is
+/// none.
 std::string last_quoted_field(const std::string& message) {
   const std::size_t close = message.rfind('"');
   if (close == std::string::npos || close == 0)
@@ -49,7 +50,7 @@
 }  // namespace
 
 common::Result<ParsedOperatorFile, FileError> ParsedOperatorFile::parse(const std::string& path) {
-  auto text = settings::read_text_file(path, "cannot be read; give a file that can");
+  auto text = settings::read_text_file(path, "cannot be read; give the path of a readable file");
   if (!text)
     return text.error();
   ParsedOperatorFile file;
@@ -63,7 +64,7 @@
     return file;
   const std::string reason = errors.message().empty() ? "cannot be read" : errors.message();
   return FileError{path, errors.line(), last_quoted_field(reason),
-                   "is not as the schema has it: " + reason + "; see schema/gorsebeam/config/v1"};
+                   "does not match the schema: " + reason + "; see schema/gorsebeam/config/v1"};
 }
 
 FileError ParsedOperatorFile::locate(const ValidationError& error) const {
--- a/src/config/parsed_operator_file.h
+++ b/src/config/parsed_operator_file.h
@@ -12,17 +12,18 @@
 
 namespace gorsebeam::config {
 
-/// A file that parses by the schema, with the place of each field in it.
+/// A file that matches the schema, with the location of each field in the text.
 class ParsedOperatorFile {
 public:
+  /// Reads and parses the file. An error has the line and the field that the parser reports.
   [[nodiscard]] static common::Result<ParsedOperatorFile, settings::FileError>
   parse(const std::string& path);
 
-  /// The error with the line where the last step of its path that is in the file stands.
-  /// `error.path` starts at the gateway message.
+  /// Converts `error`, whose path starts at the gateway message, to an error with a line: that of
+  /// the deepest field on the path that is in the file.
   [[nodiscard]] settings::FileError locate(const ValidationError& error) const;
 
-  /// `name` as a path, where relative names are relative to the file's folder.
+  /// Resolves the path `name`; a relative path is relative to the file's folder.
   [[nodiscard]] std::string resolve_path(const std::string& name) const;
 
   [[nodiscard]] const std::string& text() const { return text_; }
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -17,7 +17,8 @@
 using settings::FormatError;
 using settings::JsonObjectReader;
 
-/// Of the protocol on sockets, where responses may be lost on the way.
+/// The router counts a response as known to the client this long after it was written, as a
+/// response on a socket may be lost on the way.
 constexpr Duration kResponsesKnownAfter = 100ms;
 
 std::uint64_t parse_seed(const std::string& text) {
@@ -26,7 +27,8 @@
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text_end, seed, kHexadecimal);
   if (error != std::errc() || end != text_end)
-    throw FormatError("the field 'seed' is not a number in hex");
+    throw FormatError("the field 'seed' must be a hexadecimal number of at most 64 bits, but is '" +
+                      text + "'");
   return seed;
 }
 
@@ -35,8 +37,8 @@
   return static_cast<std::size_t>(std::count(before.begin(), before.end(), '\n')) + 1;
 }
 
-/// The line where the field that `message` quotes first stands as a key, as the parser of JSON
-/// keeps no lines; 1 where it is absent.
+/// Finds a line for an error: the first line with the field that `message` quotes first, or 1 if
+/// the text does not contain it. The JSON parser does not record the lines of fields.
 std::size_t find_line_of_quoted_field(const std::string& text, const std::string& message) {
   const std::size_t open = message.find('\'');
   const std::size_t close = message.find('\'', open + 1);
@@ -53,7 +55,8 @@
   config.discovery_address = body.read_string("discovery");
   for (const char* field : {"listen", "discovery"})
     if (!net::parse_address(body.read_string(field), 0))
-      body.throw_invalid(field, "an address and a port");
+      body.throw_invalid(field,
+                         "a numeric address and a port, but is '" + body.read_string(field) + "'");
 }
 
 void read_limits(const JsonObjectReader& body, PlatformConfig& config) {
@@ -69,7 +72,8 @@
       limits.read_integer_in_range("sockets", kMinSockets, kMaxSockets, 1024));
 }
 
-/// Reports what the router itself rejects before anything listens.
+/// Throws FormatError if the router rejects its settings, so that they are rejected before the
+/// gateway listens.
 void validate_with_router(const PlatformConfig& config) {
   try {
     const Router router(config.profile.settings, config.seed);
@@ -91,7 +95,7 @@
   return printed;
 }
 
-/// Throws FormatError, as the readers of JSON do.
+/// Throws FormatError for the first invalid field.
 PlatformConfig read_document(const settings::Json& document) {
   const JsonObjectReader body(document, "the configuration");
   PlatformConfig config;
--- a/src/config/validation.h
+++ b/src/config/validation.h
@@ -1,5 +1,6 @@
-/// Validates what an operator configures, whether a file, a control service or a snapshot holds it.
-/// The functions are pure. Each returns the first error that it finds, or nothing.
+/// Validates an operator's configuration, whether it comes from a file, a control service or a
+/// snapshot. The functions are pure. Each returns the first error that it finds, or nothing if the
+/// message is valid.
 #pragma once
 
 #include "validation_error.h"
@@ -15,22 +16,22 @@
 
 namespace pb = gorsebeam::config::v1;
 
-/// Index of each request class of the platform's settings by its name.
+/// Index of each request class in the platform's settings, by the class's name.
 using ClassIndexes = std::map<std::string, std::size_t>;
 
-/// Facts that hold as long as the process runs, against which messages are validated.
+/// What messages are validated against. It does not change while the process runs.
 struct ValidationContext {
-  ClassIndexes classes;
-  /// PostgreSQL's endpoints are listed by the operator and do not come from discovery.
+  ClassIndexes classes;  ///< The classes that contracts may name.
+  /// The operator lists PostgreSQL's endpoints as members; otherwise they come from discovery.
   bool postgres_members_configured = false;
-  bool mongo_enabled = false;  ///< the MongoDB frontend is on
+  bool mongo_enabled = false;  ///< The gateway has a MongoDB frontend.
 };
 
 constexpr std::size_t kMaxTeams = 10'000;
 constexpr std::size_t kMaxMembers = 100'000;
 constexpr std::size_t kMaxNameBytes = 128;
 
-/// One overload for each type of resource that a control service sends.
+/// Validates a resource; there is an overload for each resource type that a control service sends.
 [[nodiscard]] std::optional<ValidationError> validate_resource(const pb::Contracts& contracts,
                                                                const ValidationContext& context);
 [[nodiscard]] std::optional<ValidationError> validate_resource(const pb::Members& members,
@@ -38,13 +39,14 @@
 [[nodiscard]] std::optional<ValidationError> validate_resource(const pb::Limits& limits,
                                                                const ValidationContext& context);
 
-/// Each group that a contract names must have an endpoint. Where discovery supplies PostgreSQL's
-/// endpoints, groups cannot be validated and there is no error.
+/// Each group that a contract names must have a member. Nothing is validated if PostgreSQL's
+/// endpoints come from discovery, as their groups are not known then.
 [[nodiscard]] std::optional<ValidationError>
 validate_group_references(const pb::Contracts& contracts, const pb::Members& members,
                           const ValidationContext& context);
 
-/// Rejects fields that this version does not know, as it would not do what they ask for.
+/// Rejects a message with a field that is not in this version's schema, as the gateway would
+/// silently ignore the field.
 [[nodiscard]] std::optional<ValidationError>
 validate_no_unknown_fields(const google::protobuf::Message& message);
 
--- a/src/config/validation_error.h
+++ b/src/config/validation_error.h
@@ -1,4 +1,5 @@
-/// What is wrong with a message that an operator or a control service sends, and where in it.
+/// An error in a protobuf message of an operator or a control service, with its place in the
+/// message.
 #pragma once
 
 #include <string>
@@ -9,19 +10,19 @@
 /// One step of a path into a message.
 struct FieldStep {
   std::string field;
-  int index = -1;  ///< place in a repeated field; -1 in any other
+  int index = -1;  ///< The index in a repeated field; -1 for a singular field.
 };
 
-/// Fields from the root of a message to the one that is meant.
+/// The fields from the root of a message down to one of its fields.
 using FieldPath = std::vector<FieldStep>;
 
 struct ValidationError {
-  FieldPath path;       ///< empty where the whole message is meant
-  std::string message;  ///< what is wrong, and the remedy
-  /// Something refers to what is absent and may still arrive.
+  FieldPath path;       ///< The invalid field; empty if the error concerns the whole message.
+  std::string message;  ///< What is wrong and how to correct it.
+  /// The message refers to something that is absent but may still arrive in another resource.
   bool is_missing_reference = false;
 
-  /// "team[2].budget.per_second: is ..."
+  /// The path and the message, e.g. "team[2].budget.per_second: is out of range; give ...".
   [[nodiscard]] std::string to_string() const;
 };
 
