--- a/src/inventory/csv_inventory.cpp
+++ b/src/inventory/csv_inventory.cpp
@@ -14,11 +14,13 @@
 using Cells = std::vector<std::string>;
 
 struct Table {
-  std::vector<Cells> rows;   ///< one for each line end outside quotes, also empty ones
-  bool is_complete = false;  ///< false: a quote is out of place, and the last row is cut off there
+  /// A row for each line end outside quotation marks; the row of an empty line has no cells.
+  std::vector<Cells> rows;
+  /// False if parsing stopped in the last row because of a misplaced or unclosed quotation mark.
+  bool is_complete = false;
 };
 
-/// Owns a parser of libcsv.
+/// Owns a libcsv parser.
 class CsvParser {
 public:
   CsvParser()
@@ -46,7 +48,7 @@
   }
 
 private:
-  // The library's callbacks: no exception may pass through it.
+  // These are callbacks of libcsv, which is written in C: they must not throw.
   static void append_cell(void* text, std::size_t size, void* rows) {
     static_cast<std::vector<Cells>*>(rows)->back().emplace_back(static_cast<const char*>(text),
                                                                 size);
@@ -64,7 +66,7 @@
   return cells.empty() || cells[0].substr(0, 1) == "#";
 }
 
-/// Line ends within quoted cells.
+/// Counts the line ends in quoted cells.
 std::size_t count_line_ends(const Cells& cells) {
   std::size_t count = 0;
   for (const std::string& cell : cells)
@@ -76,7 +78,7 @@
                                          const EndpointListBuilder& builder) {
   for (const std::string& name : columns)
     if (!EndpointListBuilder::is_column(name))
-      return builder.make_error(line, name, "is no column of an inventory");
+      return builder.make_error(line, name, "is not a column of an inventory");
   return std::nullopt;
 }
 
@@ -85,8 +87,8 @@
   if (cells.size() != columns.size()) {
     const std::string& last_column = columns[std::min(cells.size(), columns.size()) - 1];
     return builder.make_error(line, last_column,
-                              std::to_string(cells.size()) + " fields where the header has " +
-                                  std::to_string(columns.size()));
+                              "the row has " + std::to_string(cells.size()) +
+                                  " fields, but the header has " + std::to_string(columns.size()));
   }
   Row row;
   for (std::size_t i = 0; i < cells.size(); ++i)
@@ -117,7 +119,7 @@
   }
   if (!table.is_complete)
     return builder.make_error(line, columns.empty() ? "name" : columns[0],
-                              "a quote is out of place");
+                              "a quotation mark is misplaced or unclosed");
   return std::nullopt;
 }
 
@@ -128,11 +130,11 @@
   if (!content)
     return content.error();
   std::string& text = content.value();
-  // The library ends a line at each of CR and LF.
+  // libcsv ends a line at CR and again at LF, so CR LF would count as two line ends.
   text.erase(std::remove(text.begin(), text.end(), '\r'), text.end());
   CsvParser parser;
   if (!parser.is_initialized())
-    return FileError{path, 0, std::nullopt, "no memory to read it"};
+    return FileError{path, 0, std::nullopt, "not enough memory to read it"};
   EndpointListBuilder builder(path);
   if (auto error = add_table(parser.parse(text), builder))
     return *std::move(error);
--- a/src/inventory/endpoint_list_builder.cpp
+++ b/src/inventory/endpoint_list_builder.cpp
@@ -12,7 +12,7 @@
 using settings::FileError;
 using OptionalError = std::optional<FileError>;
 
-/// Converts the cells of one row. Each function returns the error of the first cell at fault.
+/// Converts the cells of one row. Each parse function returns an error if its cell is invalid.
 class RowParser {
 public:
   RowParser(const EndpointListBuilder& builder, const Row& row, std::size_t line)
@@ -36,7 +36,7 @@
     if (address.empty())
       return make_error("address", "is missing");
     if (!net::parse_address(address))
-      return make_error("address", "'" + address + "' is no numeric address and port");
+      return make_error("address", "'" + address + "' is not a numeric address and port");
     return std::nullopt;
   }
 
@@ -47,7 +47,7 @@
     const char* const text_end = text.data() + text.size();
     const auto [end, error] = std::from_chars(text.data(), text_end, group);
     if (error != std::errc() || end != text_end)
-      return make_error("group", "'" + text + "' is no whole number");
+      return make_error("group", "'" + text + "' is not an integer from 0 to 4294967295");
     return std::nullopt;
   }
 
@@ -74,7 +74,7 @@
     return std::nullopt;
   }
 
-  /// Leaves `number` as it is when the cell is absent or empty.
+  /// Leaves `number` unchanged if the cell is absent or empty.
   [[nodiscard]] OptionalError parse_number(const char* field, double min, double max,
                                            double& number) const {
     const std::string text = text_of_cell(field);
@@ -83,7 +83,8 @@
     char* end = nullptr;
     const double value = std::strtod(text.c_str(), &end);
     if (*end != '\0' || !std::isfinite(value) || value < min || value > max)
-      return make_error(field, "'" + text + "' is no number in range");
+      return make_error(field, "'" + text + "' is not a number from " + std::to_string(min) +
+                                   " to " + std::to_string(max));
     number = value;
     return std::nullopt;
   }
@@ -128,7 +129,7 @@
   return kColumns.count(name) > 0;
 }
 
-// The order of the cells decides which of several errors is reported.
+// Parsing stops at the first error, so the order of the cells decides which error is reported.
 OptionalError EndpointListBuilder::add_row(const Row& row, std::size_t line) {
   const RowParser parser(*this, row, line);
   proxy::ListedEndpoint listed;
@@ -136,7 +137,7 @@
   if (auto error = parser.parse_name(listed.name))
     return error;
   if (!names_.insert(listed.name).second)
-    return parser.make_error("name", "'" + listed.name + "' stands twice");
+    return parser.make_error("name", "'" + listed.name + "' is listed twice");
   if (auto error = parser.parse_address(listed.address))
     return error;
   if (auto error = parser.parse_group(endpoint.group))
@@ -145,7 +146,8 @@
   if (auto error = parser.parse_role(endpoint.listed_as_primary))
     return error;
   if (endpoint.listed_as_primary && !groups_with_primary_.insert(endpoint.group).second)
-    return parser.make_error("role", "the group has a primary already");
+    return parser.make_error("role",
+                             "group " + std::to_string(endpoint.group) + " already has a primary");
   if (auto error = parser.parse_status(endpoint.status))
     return error;
   if (auto error = parse_weight_and_start(parser, endpoint))
--- a/src/inventory/endpoint_list_builder.h
+++ b/src/inventory/endpoint_list_builder.h
@@ -1,4 +1,4 @@
-/// Builds a list of endpoints from the rows of an inventory, whatever its file format.
+/// Builds a list of endpoints from the rows of an inventory of either file format.
 #pragma once
 
 #include "inventory.h"
@@ -12,32 +12,33 @@
 
 namespace gorsebeam::inventory {
 
-/// One value of an inventory and where it stands.
+/// One value of an inventory and its place in the file.
 struct Cell {
   std::string text;
-  std::size_t line = 0;  ///< from 1
+  std::size_t line = 0;  ///< Counted from 1.
 };
 
-/// The cells of one endpoint by column.
+/// The cells of one endpoint by the names of their columns.
 using Row = std::map<std::string, Cell>;
 
-/// Checks rows and converts them to endpoints. Names are unique, and a group has at most one
-/// primary.
+/// Validates rows and converts them to endpoints. Names must be unique, and a group may have at
+/// most one primary.
 class EndpointListBuilder {
 public:
   explicit EndpointListBuilder(std::string path) : path_(std::move(path)) {}
 
-  /// Adds the endpoint of `row`, which starts at `line`. After an error the builder is of no
-  /// further use.
+  /// Adds the endpoint of `row`, which starts at `line`. The builder must not be used after an
+  /// error.
   [[nodiscard]] std::optional<settings::FileError> add_row(const Row& row, std::size_t line);
 
+  /// Returns an error in the inventory.
   [[nodiscard]] settings::FileError make_error(std::size_t line, const std::string& field,
                                                const std::string& message) const;
 
-  /// Whether inventories have a column of this name.
+  /// Whether `name` is one of an inventory's columns.
   [[nodiscard]] static bool is_column(const std::string& name);
 
-  /// Moves the endpoints out, in the order of their rows.
+  /// Moves the endpoints out of the builder, in the order of their rows.
   [[nodiscard]] std::vector<proxy::ListedEndpoint> release_endpoints() {
     return std::move(endpoints_);
   }
@@ -49,8 +50,10 @@
   std::vector<proxy::ListedEndpoint> endpoints_;
 };
 
-/// Each reads a whole file of its format.
+/// Reads a CSV inventory, which may be without endpoints.
 [[nodiscard]] InventoryResult read_csv(const std::string& path);
+
+/// Reads a YAML inventory, which may be without endpoints.
 [[nodiscard]] InventoryResult read_yaml(const std::string& path);
 
 }  // namespace gorsebeam::inventory
--- a/src/inventory/inventory.cpp
+++ b/src/inventory/inventory.cpp
@@ -16,7 +16,7 @@
   if (ends_with(path, ".yaml") || ends_with(path, ".yml"))
     return read_yaml(path);
   return settings::FileError{path, 0, std::nullopt,
-                             "an inventory's name ends in .csv, .yaml or .yml"};
+                             "the file name of an inventory must end in .csv, .yaml or .yml"};
 }
 
 }  // namespace
@@ -24,7 +24,7 @@
 InventoryResult read_inventory(const std::string& path) {
   InventoryResult endpoints = read_by_extension(path);
   if (endpoints && endpoints.value().empty())
-    return settings::FileError{path, 0, std::nullopt, "names no member"};
+    return settings::FileError{path, 0, std::nullopt, "lists no endpoints"};
   return endpoints;
 }
 
--- a/src/inventory/inventory.h
+++ b/src/inventory/inventory.h
@@ -1,5 +1,5 @@
-/// Reads the endpoint list that configuration tools keep: CSV with a header, or YAML in the form of
-/// Ansible's inventories.
+/// Reads an inventory, a file with a list of endpoints that the operators' configuration tools
+/// maintain: CSV with a header, or YAML in the form of Ansible's inventories.
 #pragma once
 
 #include "common/result.h"
@@ -13,12 +13,12 @@
 
 using InventoryResult = common::Result<std::vector<proxy::ListedEndpoint>, settings::FileError>;
 
-/// Reads a file whose name ends in .csv, .yaml or .yml. The list that it returns is not empty.
+/// Reads a file whose name ends in .csv, .yaml or .yml. An inventory without endpoints is an error.
 ///
-/// CSV columns, in any order: name, address, group; optionally zone, role (primary, replica), state
-/// (up, draining, removed), size, started (Unix seconds). YAML: all/children/hosts, with the same
-/// names as variables of a host or of a group that holds it; `ansible_host` and `ansible_port`
-/// replace an absent address.
+/// CSV has these columns, in any order: name, address and group; optionally zone, role (primary or
+/// replica), state (up, draining or removed), size, and started (Unix seconds). YAML has the levels
+/// all, children and hosts; the columns' names are variables of a host or of a group that contains
+/// the host. If the address is absent, `ansible_host` and `ansible_port` replace it.
 [[nodiscard]] InventoryResult read_inventory(const std::string& path);
 
 }  // namespace gorsebeam::inventory
--- a/src/inventory/yaml_inventory.cpp
+++ b/src/inventory/yaml_inventory.cpp
@@ -12,7 +12,7 @@
 using settings::FileError;
 using OptionalError = std::optional<FileError>;
 
-constexpr int kMaxDepth = 16;
+constexpr int kMaxGroupDepth = 16;
 
 std::size_t line_of(const YAML::Mark& mark) {
   return static_cast<std::size_t>(std::max(mark.line, 0)) + 1;
@@ -22,20 +22,24 @@
   return line_of(node.Mark());
 }
 
-/// Walks the groups of an inventory and adds a row for each host. Functions return the first error.
+/// Walks the groups of an inventory and adds a row for each host. All functions return the first
+/// error that they find.
 class GroupWalker {
 public:
   explicit GroupWalker(EndpointListBuilder& builder) : builder_(builder) {}
 
-  /// `inherited` holds the variables of the groups around this one.
+  /// Adds the hosts of `group` and its children. `inherited` holds the variables of the groups that
+  /// contain this one.
   [[nodiscard]] OptionalError add_group(const std::string& name, const YAML::Node& group,
                                         Row inherited, int depth) {
     if (group.IsNull())
       return std::nullopt;
-    if (auto error = require_map(group, name))
+    if (auto error = require_mapping(group, name))
       return error;
-    if (depth > kMaxDepth)
-      return builder_.make_error(line_of(group), name, "is nested too deeply");
+    if (depth > kMaxGroupDepth)
+      return builder_.make_error(line_of(group), name,
+                                 "is nested more than " + std::to_string(kMaxGroupDepth) +
+                                     " levels deep");
     if (group["vars"])
       if (auto error = read_variables(group["vars"], "vars", inherited))
         return error;
@@ -46,16 +50,17 @@
   }
 
 private:
-  [[nodiscard]] OptionalError require_map(const YAML::Node& node, const std::string& field) const {
+  [[nodiscard]] OptionalError require_mapping(const YAML::Node& node,
+                                              const std::string& field) const {
     if (node.IsMap())
       return std::nullopt;
-    return builder_.make_error(line_of(node), field, "is not a map");
+    return builder_.make_error(line_of(node), field, "must be a mapping");
   }
 
   [[nodiscard]] common::Result<std::string, FileError> read_scalar(const YAML::Node& node,
                                                                    const std::string& field) const {
     if (!node.IsScalar())
-      return builder_.make_error(line_of(node), field, "is not a plain value");
+      return builder_.make_error(line_of(node), field, "must be a single value");
     return node.Scalar();
   }
 
@@ -77,7 +82,7 @@
 
   [[nodiscard]] OptionalError add_children(const YAML::Node& children, const Row& inherited,
                                            int depth) {
-    if (auto error = require_map(children, "children"))
+    if (auto error = require_mapping(children, "children"))
       return error;
     for (const auto& child : children) {
       const auto name = read_scalar(child.first, "children");
@@ -90,7 +95,7 @@
   }
 
   [[nodiscard]] OptionalError add_hosts(const YAML::Node& hosts, const Row& inherited) {
-    if (auto error = require_map(hosts, "hosts"))
+    if (auto error = require_mapping(hosts, "hosts"))
       return error;
     for (const auto& host : hosts)
       if (auto error = add_host(host.first, host.second, inherited))
@@ -123,10 +128,11 @@
     return std::nullopt;
   }
 
-  /// Adds variables to `row`, over those inherited. Other names belong to the tool and are ignored.
+  /// Adds variables to `row`, in place of inherited ones of the same name. Variables that are no
+  /// columns are ignored, as they are meant for the configuration tool.
   [[nodiscard]] OptionalError read_variables(const YAML::Node& variables, const std::string& owner,
                                              Row& row) const {
-    if (auto error = require_map(variables, owner))
+    if (auto error = require_mapping(variables, owner))
       return error;
     for (const auto& entry : variables) {
       const auto key = read_scalar(entry.first, owner);
@@ -162,7 +168,7 @@
 
 InventoryResult read_yaml(const std::string& path) {
   EndpointListBuilder builder(path);
-  // The library reports errors by exceptions, also while its nodes are walked.
+  // yaml-cpp reports errors by exceptions, both when it loads the file and when nodes are accessed.
   try {
     if (auto error = add_root(YAML::LoadFile(path), builder))
       return *std::move(error);
@@ -171,7 +177,7 @@
   } catch (const YAML::Exception& error) {
     return builder.make_error(line_of(error.mark), "yaml", error.msg);
   } catch (const std::ios_base::failure& error) {
-    // The buffer throws where the system cannot read what was opened, e.g. a folder.
+    // Reading throws if the path can be opened but not read, as with a folder.
     return FileError{std::nullopt, 0, std::nullopt, error.what()};
   }
   return builder.release_endpoints();
--- a/tests/inventory_test.cpp
+++ b/tests/inventory_test.cpp
@@ -1,4 +1,4 @@
-/// Inventories of both formats: the endpoints that they list, and where an error is located.
+/// Inventories of both formats: the endpoints that they list, and the line and field of errors.
 #include "inventory/inventory.h"
 
 #include <gtest/gtest.h>
@@ -60,18 +60,18 @@
   EXPECT_EQ(result.value()[1].endpoint.group, 3U);
 }
 
-TEST(Inventory, LocatesErrorsOfCsv) {
+TEST(Inventory, ReportsLineAndFieldOfCsvErrors) {
   expect_error(read_text("name,address,group\na,127.0.0.1:1,0\na,127.0.0.1:2,0\n", ".csv"), 3,
-               "name", "'a' stands twice");
+               "name", "'a' is listed twice");
   expect_error(read_text("name,address,colour\n", ".csv"), 1, "colour",
-               "is no column of an inventory");
+               "is not a column of an inventory");
   expect_error(read_text("name,address,group\n\"a\nb\",127.0.0.1:1,0\nc,127.0.0.1:2,x\n", ".csv"),
-               4, "group", "'x' is no whole number");
+               4, "group", "'x' is not an integer from 0 to 4294967295");
   expect_error(read_text("name,address,group\na,\"127.0.0.1:1,0\n", ".csv"), 2, "name",
-               "a quote is out of place");
+               "a quotation mark is misplaced or unclosed");
 }
 
-TEST(Inventory, LocatesErrorsOfYaml) {
+TEST(Inventory, ReportsLineAndFieldOfYamlErrors) {
   expect_error(read_text("all:\n  hosts:\n    a: {address: '127.0.0.1:1', role: king}\n", ".yaml"),
                3, "group", "is missing");
   expect_error(read_text("all:\n  machines: {}\n", ".yaml"), 2, "machines",
@@ -81,9 +81,9 @@
 TEST(Inventory, RejectsAnEmptyListAndOtherExtensions) {
   const auto empty = read_text("name,address,group\n", ".csv");
   ASSERT_FALSE(empty.has_value());
-  EXPECT_EQ(empty.error().message, "names no member");
+  EXPECT_EQ(empty.error().message, "lists no endpoints");
   EXPECT_EQ(read_inventory("hosts.txt").error().to_string(),
-            "hosts.txt: an inventory's name ends in .csv, .yaml or .yml");
+            "hosts.txt: the file name of an inventory must end in .csv, .yaml or .yml");
 }
 
 }  // namespace
