--- a/src/logging/log_record.cpp
+++ b/src/logging/log_record.cpp
@@ -15,6 +15,7 @@
   return "unknown";
 }
 
+/// Builds the record of a log message; there is an overload for each type.
 struct RecordBuilder {
   LogRecord operator()(const PrimaryElected& message) const {
     return group_event("primary_elected", message.group, message.endpoint);
@@ -56,16 +57,17 @@
   return static_cast<unsigned char>(c) < 0x20 || c == 0x7f;
 }
 
+/// `value` with control characters replaced, in quotation marks unless it is a single word.
 std::string quoted_if_needed(const std::string& value) {
-  std::string clean;
-  bool bare = !value.empty();
+  std::string escaped;
+  bool is_plain = !value.empty();
   for (const char c : value) {
-    bare &= !is_control(c) && c != ' ' && c != '"' && c != '=';
+    is_plain &= !is_control(c) && c != ' ' && c != '"' && c != '=';
     if (c == '"')
-      clean += '\\';
-    clean += is_control(c) ? '?' : c;
+      escaped += '\\';
+    escaped += is_control(c) ? '?' : c;
   }
-  return bare ? clean : '"' + clean + '"';
+  return is_plain ? escaped : '"' + escaped + '"';
 }
 
 }  // namespace
--- a/src/logging/log_record.h
+++ b/src/logging/log_record.h
@@ -1,5 +1,5 @@
-/// One line of the operators' log: a stable event name and its fields. Pure; `net/log` writes the
-/// line.
+/// Builds records of the operators' log. Each record has a stable event name and fields and becomes
+/// one line. The functions are pure; `net/log` writes the lines.
 #pragma once
 
 #include "gorsebeam/actions.h"
@@ -12,7 +12,7 @@
 
 namespace gorsebeam::logging {
 
-/// Names and values, in the order in which they are written. Names are string literals.
+/// Names and values of fields, in the order in which they are written. Names are string literals.
 using Fields = std::vector<std::pair<const char*, std::string>>;
 
 struct LogRecord {
@@ -20,18 +20,18 @@
   Fields fields;
 };
 
-/// The record of a message of the router.
+/// Converts a log message of the router to a record.
 [[nodiscard]] LogRecord to_record(const LogMessage& message);
 
-/// A reason as log fields name it, such as "out_of_time".
+/// The value of the log field `reason` for `reason`, such as "out_of_time".
 [[nodiscard]] const char* reason_name(AnswerReason reason);
 
-/// A status as log fields name it, such as "connect_failed".
+/// The value of the log field `status` for `status`, such as "connect_failed".
 [[nodiscard]] const char* status_name(AttemptStatus status);
 
-/// Text such as "endpoint_ejected endpoint=7 reason=consecutive_timeouts". A value that is not a
-/// single word is quoted, and control characters are replaced, so that no value can start a new
-/// line.
+/// Formats a record as text, such as "endpoint_ejected endpoint=7 reason=consecutive_timeouts". A
+/// value that is not a single word is quoted, and control characters are replaced by '?', so that
+/// no value can start a new line.
 [[nodiscard]] std::string to_text(const LogRecord& record);
 
 }  // namespace gorsebeam::logging
--- a/src/simulator_adapter/action_writer.cpp
+++ b/src/simulator_adapter/action_writer.cpp
@@ -10,8 +10,7 @@
 namespace gorsebeam::simulator_adapter {
 namespace {
 
-/// Builds one line, {"NAME":{"router_id":ID,...}}, and appends it to the reply when it goes out of
-/// scope.
+/// Builds one line, {"NAME":{"router_id":ID,...}}, and appends it to the reply on destruction.
 class LineBuilder {
 public:
   LineBuilder(std::string& reply, const char* name, std::int64_t router_id)
@@ -55,7 +54,8 @@
   rapidjson::Writer<rapidjson::StringBuffer> writer_;
 };
 
-/// Writes one action; an overload for each type. The names are those of the simulator's protocol.
+/// Writes one action; there is an overload for each type. The literals are names of the simulator's
+/// protocol.
 class ActionWriter {
 public:
   ActionWriter(std::string& reply, std::int64_t router_id) : reply_(reply), router_id_(router_id) {}
--- a/src/simulator_adapter/action_writer.h
+++ b/src/simulator_adapter/action_writer.h
@@ -9,8 +9,8 @@
 
 namespace gorsebeam::simulator_adapter {
 
-/// Appends one line of JSON for each action to `reply`, in order. `router_id` is the simulator's
-/// number of the router that decided them.
+/// Appends a line of JSON to `reply` for each action, in order. `router_id` is the simulator's
+/// number for the router that the actions come from.
 void write_actions(const std::vector<Action>& actions, std::int64_t router_id, std::string& reply);
 
 }  // namespace gorsebeam::simulator_adapter
--- a/src/simulator_adapter/event_reader.cpp
+++ b/src/simulator_adapter/event_reader.cpp
@@ -32,18 +32,19 @@
   if (field == report.MemberEnd() || field->value.IsNull())
     return std::nullopt;
   if (!field->value.IsNumber())
-    throw ProtocolError(std::string("the report's '") + name + "' is not a number");
+    throw ProtocolError(std::string("the field '") + name + "' of 'report' must be a number");
   return field->value.GetDouble();
 }
 
-/// Positions in a report are seconds after `epoch`.
+/// Reads the load report in `body`, if there is one. It holds the replication position in seconds
+/// after `epoch` as x0 and whether the endpoint is the primary, 1 or 0, as x1.
 LoadReport read_load_report(const JsonObjectReader& body, ReplicationPosition epoch) {
   LoadReport result;
   const Json* report = body.find("report");
   if (!report)
     return result;
   if (!report->IsObject())
-    throw ProtocolError("the field 'report' is not an object");
+    throw ProtocolError("the field 'report' must be an object");
   if (const auto position = read_report_value(*report, "x0"))
     result.replication_position = epoch + to_duration(std::floor(*position * kNanosPerSecond));
   if (const auto primary = read_report_value(*report, "x1"))
@@ -51,23 +52,25 @@
   return result;
 }
 
-/// A mark holds the endpoint's role in its last two bits, and above them its replication position
-/// in milliseconds after the epoch; 0 for unknown.
-void read_mark(const JsonObjectReader& body, ReplicationPosition epoch, AttemptResult& result) {
-  constexpr std::int64_t kRoles = 4;
+/// Reads the field 'mark', which holds the endpoint's role in its lowest two bits and its
+/// replication position in milliseconds after `epoch` in the higher bits. A value of 0 stands for
+/// unknown.
+void read_role_and_position(const JsonObjectReader& body, ReplicationPosition epoch,
+                            AttemptResult& result) {
+  constexpr std::int64_t kRoleValueCount = 4;
   constexpr std::int64_t kPrimary = 1;
   constexpr std::int64_t kReplica = 2;
   const std::int64_t mark = body.read_integer("mark", 0);
   if (mark <= 0)
     return;
-  const std::int64_t role = mark % kRoles;
+  const std::int64_t role = mark % kRoleValueCount;
   if (role == kPrimary)
     result.role = Role::Primary;
   else if (role == kReplica)
     result.role = Role::Replica;
   else
     result.role = Role::Unknown;
-  const std::int64_t position_ms = mark / kRoles;
+  const std::int64_t position_ms = mark / kRoleValueCount;
   if (position_ms > 0)
     result.replication_position = epoch + std::chrono::milliseconds(position_ms);
 }
@@ -88,7 +91,7 @@
   request.id = body.read_string("op_id");
   const auto request_class = profile.class_indexes.find(body.read_string("tier_class"));
   if (request_class == profile.class_indexes.end())
-    body.throw_invalid("tier_class", "a class of the settings");
+    body.throw_invalid("tier_class", "the name of a class in the settings");
   request.class_index = request_class->second;
   const Json* realm = body.find("realm");
   if (realm && realm->IsString()) {
@@ -114,7 +117,7 @@
   result.status = read_status(body);
   result.request_finished = body.read_bool("closed");
   result.elapsed = Duration(body.read_integer("delay_seen", 0));
-  read_mark(body, epoch, result);
+  read_role_and_position(body, epoch, result);
   result.load_report = read_load_report(body, epoch);
   return result;
 }
@@ -149,7 +152,8 @@
   constexpr std::int64_t kMaxIndex = std::tuple_size_v<EndpointBuffers> - 1;
   const std::int64_t index = body.read_integer("buffer");
   if (index < 0 || index > kMaxIndex)
-    body.throw_invalid("buffer", "between 0 and " + std::to_string(kMaxIndex));
+    body.throw_invalid("buffer", "from 0 to " + std::to_string(kMaxIndex) + ", but is " +
+                                     std::to_string(index));
   return static_cast<std::size_t>(index);
 }
 
--- a/src/simulator_adapter/event_reader.h
+++ b/src/simulator_adapter/event_reader.h
@@ -1,4 +1,4 @@
-/// Translates the simulator's messages to the router's events.
+/// Converts the simulator's messages to the router's events.
 #pragma once
 
 #include "settings/deployment_profile.h"
@@ -12,20 +12,21 @@
 
 namespace gorsebeam::simulator_adapter {
 
-/// The simulator's input is malformed. It ends the program, so it is thrown.
+/// Malformed input from the simulator. It is an exception because the program ends on it.
 using ProtocolError = settings::FormatError;
 
-/// The endpoint lists that the simulator sent, each in the numbered buffer that it names.
+/// The endpoint lists that the simulator sent. Each SHEET message names the buffer for its list,
+/// and later VIEW messages refer to the list by the buffer's number.
 using EndpointBuffers = std::array<std::vector<Endpoint>, 16>;
 
-/// The index that `body` names. Throws ProtocolError where it is out of range.
+/// Reads the buffer's index from `body`. Throws ProtocolError if it is absent or out of range.
 [[nodiscard]] std::size_t read_buffer_index(const settings::JsonObjectReader& body);
 
-/// The endpoints of a SHEET message. Throws ProtocolError.
+/// Reads the endpoints of a SHEET message. Throws ProtocolError for the first invalid field.
 [[nodiscard]] std::vector<Endpoint> read_endpoints(const settings::JsonObjectReader& body);
 
-/// The event of the message `name` with the fields of `body`. Throws ProtocolError, also where
-/// there is no such event.
+/// Reads the event of the message `name` with the fields of `body`. Throws ProtocolError if a field
+/// is invalid or there is no such event.
 [[nodiscard]] Event read_event(const std::string& name, const settings::JsonObjectReader& body,
                                const settings::DeploymentProfile& profile,
                                const EndpointBuffers& buffers);
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -9,8 +9,9 @@
 
 using gorsebeam::simulator_adapter::Session;
 
-/// Returns the exit status: 1 where the input ends inside a batch. Throws ProtocolError.
-/// `line_number` counts the lines that were read.
+/// Runs a session until the input ends. Returns the exit status, which is 1 if the input ends
+/// inside a batch. Throws ProtocolError. `line_number` is set to the number of lines that were
+/// read.
 int run_session(std::size_t& line_number) {
   Session session;
   std::string line;
--- a/src/simulator_adapter/session.cpp
+++ b/src/simulator_adapter/session.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Parses a message: an object whose single key is the message's name.
+/// Parses a message: an object whose only key is the message's name.
 rapidjson::Document parse_message(const std::string& text) {
   rapidjson::Document document;
   document.Parse(text.data(), text.size());
@@ -21,7 +21,7 @@
         "not JSON: " + std::string(rapidjson::GetParseError_En(document.GetParseError())) +
         " (byte " + std::to_string(document.GetErrorOffset()) + ")");
   if (!document.IsObject() || document.MemberCount() != 1)
-    throw ProtocolError("a message must be an object with a single key, its name");
+    throw ProtocolError("a message must be an object whose only key is the message's name");
   return document;
 }
 
@@ -56,7 +56,9 @@
     throw ProtocolError("TURN inside a batch");
   const TimePoint now(Duration(body.read_integer("time")));
   if (now < now_)
-    throw ProtocolError("TURN: the clock went back");
+    throw ProtocolError("TURN: the time " + std::to_string(now.time_since_epoch().count()) +
+                        " ns is before the previous batch's time of " +
+                        std::to_string(now_.time_since_epoch().count()) + " ns");
   now_ = now;
   is_inside_batch_ = true;
 }
@@ -80,7 +82,7 @@
       settings::read_deployment_profile(body.require_object("profile_data"));
   instances_.erase(router_id);
   Router router(profile.settings, seed);
-  instances_.emplace(router_id, Instance{std::move(router), std::move(profile)});
+  instances_.emplace(router_id, RouterInstance{std::move(router), std::move(profile)});
 }
 
 void Session::handle_router_message(const std::string& name, const JsonObjectReader& body,
@@ -94,10 +96,10 @@
     instances_.erase(found);
     return;
   }
-  // Messages between routers and streams are not used.
+  // The adapter uses neither messages between routers nor streams, so it ignores these.
   if (name == "INBOX" || name == "BEGUN")
     return;
-  Instance& instance = found->second;
+  RouterInstance& instance = found->second;
   const Event event = read_event(name, body, instance.profile, endpoint_buffers_);
   actions_.clear();
   instance.router.handle(now_, event, actions_);
--- a/src/simulator_adapter/session.h
+++ b/src/simulator_adapter/session.h
@@ -1,4 +1,5 @@
-/// A conversation with the simulator: lines of JSON in batches, with one reply to each batch.
+/// A session with the simulator, which sends lines of JSON in batches and gets one reply to each
+/// batch.
 #pragma once
 
 #include "event_reader.h"
@@ -10,17 +11,19 @@
 
 namespace gorsebeam::simulator_adapter {
 
-/// Holds the routers that the simulator started and passes them its events. Makes no decisions.
+/// Owns the routers that the simulator started and passes its events to them. All decisions are the
+/// routers'.
 class Session {
 public:
-  /// Handles one line of input and appends the reply's lines to `reply`, which is complete when the
-  /// session is no longer inside a batch. Throws ProtocolError.
+  /// Handles one line of input and appends lines to `reply`. The reply is complete once the session
+  /// is no longer inside a batch. Throws ProtocolError.
   void handle_line(const std::string& text, std::string& reply);
 
   [[nodiscard]] bool is_inside_batch() const { return is_inside_batch_; }
 
 private:
-  struct Instance {
+  /// A router that the simulator started, with the settings that it was started with.
+  struct RouterInstance {
     Router router;
     settings::DeploymentProfile profile;
   };
@@ -29,15 +32,15 @@
   void handle_message(const std::string& name, const settings::JsonObjectReader& body,
                       std::string& reply);
   void start_router(const settings::JsonObjectReader& body);
-  /// Messages to one of the routers.
+  /// Handles a message to one of the routers.
   void handle_router_message(const std::string& name, const settings::JsonObjectReader& body,
                              std::string& reply);
 
   bool is_inside_batch_ = false;
   TimePoint now_{};
-  std::map<std::int64_t, Instance> instances_;  // by the simulator's number of the router
+  std::map<std::int64_t, RouterInstance> instances_;  // By the simulator's number for the router.
   EndpointBuffers endpoint_buffers_;
-  std::vector<Action> actions_;  // empty between events; a member to save allocations
+  std::vector<Action> actions_;  // Empty between events; a member so that its memory is reused.
 };
 
 }  // namespace gorsebeam::simulator_adapter
--- a/src/sql_classifier/known_names.cpp
+++ b/src/sql_classifier/known_names.cpp
@@ -2,8 +2,8 @@
 
 namespace gorsebeam::sql_classifier {
 
-// The sets hold views of literals. Their construction allocates; if that fails, the process ends at
-// its start.
+// The sets hold views of string literals. They are constructed before main() and allocate memory;
+// if that fails, the process ends before it has started to work.
 const NameSet kReadOnlyNodes = {"A_ArrayExpr",      "A_Const",        "A_Expr",
                                 "A_Indices",        "A_Indirection",  "A_Star",
                                 "BitString",        "BoolExpr",       "Boolean",
--- a/src/sql_classifier/sql_classifier.cpp
+++ b/src/sql_classifier/sql_classifier.cpp
@@ -15,7 +15,7 @@
 using Json = rapidjson::Value;
 using FunctionSet = std::set<std::string>;
 
-/// Owns the result of a parse.
+/// Parses a statement and owns the result.
 class ParseResult {
 public:
   explicit ParseResult(const std::string& statement) : result_(pg_query_parse(statement.c_str())) {}
@@ -25,11 +25,12 @@
 
   ~ParseResult() { pg_query_free_parse_result(result_); }
 
-  /// Null if the statement was parsed.
+  /// The error message; null if the statement was parsed.
   [[nodiscard]] const char* error() const {
     return result_.error ? result_.error->message : nullptr;
   }
 
+  /// The syntax tree in JSON.
   [[nodiscard]] const char* tree() const { return result_.parse_tree; }
 
 private:
@@ -59,16 +60,16 @@
   return joined;
 }
 
-/// Whether a name has no schema or the schema pg_catalog, as the built-in names have.
+/// Whether a qualified name may be that of a built-in: it has no schema, or the schema pg_catalog.
 bool can_be_built_in(const std::vector<std::string>& parts) {
   return parts.size() == 1 || (parts.size() == 2 && parts[0] == "pg_catalog");
 }
 
-/// The names of one kind that only read.
+/// The names of one kind, such as functions, that only read.
 struct KnownNames {
-  const char* kind;  ///< Begins the reason why a name is not accepted.
+  const char* kind;  ///< Starts the reason that is given for a name that is not known.
   const NameSet& built_in;
-  const FunctionSet* additional = nullptr;  ///< Null: none.
+  const FunctionSet* additional = nullptr;  ///< The operators' own names; null if there are none.
 };
 
 bool is_known(const std::vector<std::string>& name, const KnownNames& known) {
@@ -130,13 +131,13 @@
   }
 
   void check_member(std::string_view name, const Json& value) {
-    if (name[0] >= 'A' && name[0] <= 'Z')  // nodes are named in PascalCase, fields are not
+    if (name[0] >= 'A' && name[0] <= 'Z')  // Only nodes have names in PascalCase.
       check_node(name, value);
     if (name == "intoClause")
       record(Effect::Write, "SELECT INTO");
     if (name == "lockingClause")
       record(Effect::Write, "FOR UPDATE or FOR SHARE");
-    if (name == "typeName")  // a TypeName node without its name
+    if (name == "typeName")  // The value is a TypeName node, but not under the key "TypeName".
       check_type(value);
   }
 
@@ -149,7 +150,8 @@
       check_function(value);
     if (name == "A_Expr")
       check_operator(value, "name");
-    if (name == "SubLink" || name == "SortBy") {  // ANY or ALL with an operator; ORDER BY ... USING
+    // Operators also stand in `= ANY (...)` and `= ALL (...)` and in `ORDER BY ... USING`.
+    if (name == "SubLink" || name == "SortBy") {
       check_operator(value, "operName");
       check_operator(value, "useOp");
     }
@@ -167,7 +169,8 @@
 
   void check_type(const Json& node) { check_name(node, "names", {"type ", kReadOnlyTypes}); }
 
-  /// Looks up the qualified name in `field` of `node`; a node without that field is accepted.
+  /// Looks up the qualified name in `field` of `node` and records an unknown effect if it is not
+  /// known. A node without the field is accepted.
   void check_name(const Json& node, const char* field, const KnownNames& known) {
     const Json* parts = find_array(node, field);
     if (!parts)
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -31,7 +31,7 @@
     send(R"({"END":{}})");
   }
 
-  /// The message of the error that `line` causes; empty for none.
+  /// Sends `line` and returns the message of the error that it causes; empty if there is none.
   std::string send_malformed(const std::string& line) {
     try {
       send(line);
@@ -68,7 +68,7 @@
           R"({"CALL_OUT":{"router_id":4,"op_id":"abc","give_up_after":398000000,"node":55}})"));
 }
 
-TEST_F(SimulatorSession, NamesWhatIsMalformed) {
+TEST_F(SimulatorSession, NamesTheMalformedPart) {
   start_router();
   EXPECT_THAT(send_malformed("{\"TURN\":"), HasSubstr("not JSON"));
   EXPECT_THAT(send_malformed(R"({"END":{}})"), HasSubstr("outside a batch"));
--- a/tests/sql_classifier_test.cpp
+++ b/tests/sql_classifier_test.cpp
@@ -1,3 +1,4 @@
+/// The classification of SQL statements: a write must never be classified as a read.
 #include "sql_classifier/sql_classifier.h"
 
 #include <gtest/gtest.h>
@@ -145,7 +146,7 @@
     EXPECT_NE(sql.classify(text).effect, Effect::Read) << text;
   EXPECT_EQ(sql.classify("SELECT * FROM t FOR UPDATE").effect, Effect::Write);
   EXPECT_EQ(sql.classify("SELECT mystery(); DELETE FROM t").effect,
-            Effect::Write);  // the worst counts
+            Effect::Write);  // The most severe effect is kept.
   EXPECT_EQ(sql.classify("SELECT mystery()").reason, "function mystery is not known to read only");
 }
 
