--- a/src/command_line/command_line.cpp
+++ b/src/command_line/command_line.cpp
@@ -18,34 +18,34 @@
 namespace {
 
 cxxopts::Options make_options() {
-  cxxopts::Options options("gorsebeam",
-                           "A broker of reads and writes for groups of a primary and its replicas");
+  cxxopts::Options options(
+      "gorsebeam", "Routes reads and writes to replica groups, each a primary and its replicas");
   auto add = options.add_options();
-  add("command", "serve, check (the files, and nothing else), config or version",
+  add("command", "serve; check, which only validates the files; config; or version",
       cxxopts::value<std::string>()->default_value(""));
-  add("words", "what config does: check FILE, fmt FILE, diff OLD NEW, or show with --state",
+  add("words", "for config: check FILE, fmt FILE, diff OLD NEW, or show with --state",
       cxxopts::value<std::vector<std::string>>()->default_value(""));
-  add("config", "the platform's configuration; else what RELAY_CONFIG names",
+  add("config", "the platform configuration; by default the file that RELAY_CONFIG names",
       cxxopts::value<std::string>());
   add("file",
-      "the operators' file: contracts, budgets, the second front, a control service; none: none of "
-      "them",
+      "the operators' file, which configures contracts, budgets, the MongoDB frontend and a "
+      "control service; without it these are off",
       cxxopts::value<std::string>());
-  add("state", "a state folder, for config show", cxxopts::value<std::string>());
-  add("h,help", "this text");
+  add("state", "the state folder that config show reads", cxxopts::value<std::string>());
+  add("h,help", "print this help");
   options.parse_positional({"command", "words"});
   options.positional_help("serve|check|config ...|version");
   return options;
 }
 
-/// Nothing where the option is not given.
+/// The option's value; nothing if the option is not given.
 std::optional<std::string> find_option(const cxxopts::ParseResult& arguments, const char* name) {
   if (arguments.count(name) == 0)
     return std::nullopt;
   return arguments[name].as<std::string>();
 }
 
-/// From the option, else from the environment; empty where neither names one.
+/// The path from `--config`, else from RELAY_CONFIG; empty if neither is given.
 std::string find_platform_config(const cxxopts::ParseResult& arguments) {
   if (auto path = find_option(arguments, "config"))
     return *std::move(path);
@@ -66,7 +66,7 @@
 int serve_or_check(const std::string& command, const cxxopts::ParseResult& arguments) {
   const std::string platform_config = find_platform_config(arguments);
   if (platform_config.empty()) {
-    std::cerr << "gorsebeam: no configuration: give --config FILE or set RELAY_CONFIG\n";
+    std::cerr << "gorsebeam: no platform configuration: give --config FILE or set RELAY_CONFIG\n";
     return kExitTrouble;
   }
   auto plan =
@@ -77,7 +77,7 @@
   }
   if (command == "serve")
     return serve(std::move(plan.value()));
-  std::cout << "gorsebeam: the files are fine\n";
+  std::cout << "gorsebeam: the files are valid\n";
   return kExitSuccess;
 }
 
@@ -99,15 +99,15 @@
         {words, find_option(arguments, "config"), find_option(arguments, "state")});
   if ((command == "serve" || command == "check") && words.empty())
     return serve_or_check(command, arguments);
-  std::cerr << "gorsebeam: no command '" << command << (words.empty() ? "" : " " + words[0])
-            << "'; there are serve, check, config and version\n";
+  std::cerr << "gorsebeam: unknown command '" << command << (words.empty() ? "" : " " + words[0])
+            << "'; the commands are serve, check, config and version\n";
   return kExitTrouble;
 }
 
 }  // namespace
 
 int run(int argc, char** argv) {
-  // Arguments that do not parse and a gateway that cannot be set up end the program.
+  // cxxopts throws on invalid arguments, and the gateway's constructor if it cannot be set up.
   try {
     cxxopts::Options options = make_options();
     return run_command(options, options.parse(argc, argv));
--- a/src/command_line/command_line.h
+++ b/src/command_line/command_line.h
@@ -3,7 +3,8 @@
 
 namespace gorsebeam::command_line {
 
-/// Prints an error on standard error. Returns the exit status; for `serve` after the gateway ended.
+/// Runs the command and returns the exit status; `serve` returns when the gateway has ended. Errors
+/// are printed on standard error.
 [[nodiscard]] int run(int argc, char** argv);
 
 }  // namespace gorsebeam::command_line
--- a/src/command_line/config_command.cpp
+++ b/src/command_line/config_command.cpp
@@ -20,7 +20,7 @@
   return exit_status;
 }
 
-/// The classes that files may name; nothing where the platform's configuration is not given.
+/// The classes that operators' files may name; nothing if no platform configuration is given.
 ClassesResult read_classes(const ConfigArguments& arguments) {
   if (!arguments.platform_config)
     return std::optional<config::ClassIndexes>();
@@ -34,7 +34,7 @@
   const auto file = config::read_operator_file(path, classes);
   if (!file)
     return print_error(file.error(), kExitFailure);
-  std::cout << "gorsebeam: " << path << " is fine\n";
+  std::cout << "gorsebeam: " << path << " is valid\n";
   return kExitSuccess;
 }
 
@@ -48,7 +48,7 @@
 
 int compare_files(const std::string& old_path, const std::string& new_path,
                   const config::ClassIndexes* classes) {
-  // The new file is read first, so that its error is the one reported where both are wrong.
+  // The new file is read first so that its error is reported if both files are invalid.
   const auto after = config::read_operator_file(new_path, classes);
   if (!after)
     return print_error(after.error(), kExitTrouble);
--- a/src/command_line/config_command.h
+++ b/src/command_line/config_command.h
@@ -18,7 +18,8 @@
   std::optional<std::string> state_folder;
 };
 
-/// Prints the result on standard output and an error on standard error. Returns the exit status.
+/// Runs the subcommand and returns the exit status. The result is printed on standard output, an
+/// error on standard error.
 [[nodiscard]] int run_config_command(const ConfigArguments& arguments);
 
 }  // namespace gorsebeam::command_line
--- a/src/command_line/show_snapshot.cpp
+++ b/src/command_line/show_snapshot.cpp
@@ -13,7 +13,7 @@
 namespace gorsebeam::command_line {
 namespace {
 
-/// UTC, to the second, e.g. "2026-01-01T00:00:00Z".
+/// Formats a time in UTC, without fractions of a second, e.g. "2026-01-01T00:00:00Z".
 std::string format_time(std::int64_t unix_ms) {
   constexpr std::int64_t kMsPerSecond = 1000;
   const auto seconds = static_cast<std::time_t>(unix_ms / kMsPerSecond);
@@ -23,7 +23,7 @@
   return {text.data(), size};
 }
 
-/// Prints nothing for a part that the snapshot does not hold.
+/// Prints one part of the snapshot, or nothing if the snapshot does not hold that part.
 void print_part(const char* name, const state::v1::Part& part,
                 const google::protobuf::Message& value) {
   if (!part.held())
@@ -49,7 +49,7 @@
     const SnapshotError& error = snapshot.error();
     const bool is_missing = error.code == SnapshotError::Code::NotFound;
     const std::string message =
-        is_missing ? state_folder + ": holds no last good version" : error.message;
+        is_missing ? state_folder + ": the state folder holds no last good version" : error.message;
     std::cerr << "gorsebeam: " << message << '\n';
     return kExitTrouble;
   }
--- a/src/command_line/show_snapshot.h
+++ b/src/command_line/show_snapshot.h
@@ -5,7 +5,7 @@
 
 namespace gorsebeam::command_line {
 
-/// Returns the exit status.
+/// Prints the version in text format and returns the exit status.
 [[nodiscard]] int show_snapshot(const std::string& state_folder);
 
 }  // namespace gorsebeam::command_line
