--- a/bench/config.cpp
+++ b/bench/config.cpp
@@ -1,6 +1,7 @@
-/// Measures the cost of configuration from a control service: the time from a push until the change
-/// is in force, by the number of members; and the tail of request latencies while versions are
-/// applied, compared with none, in alternating rounds of one run.
+/// Measures the cost of configuration that a control service pushes. The first part measures the
+/// time from a push of members until they are in force, for several numbers of members. The second
+/// part compares the latencies of requests while configuration versions are applied with those
+/// while none are, in alternating rounds of one run.
 #include "fake_control_plane/control_service.h"
 #include "integration/test_harness.h"
 
@@ -21,7 +22,8 @@
 
 namespace {
 
-/// Iterates the event loop without pauses; the harness's own waits check only every 5 ms.
+/// Runs the event loop without pauses until `condition` holds. The harness's own functions check a
+/// condition only every 5 ms, which is too coarse for a measurement.
 void run_loop_until(const std::function<bool()>& condition) {
   while (!condition())
     g_main_context_iteration(nullptr, FALSE);
@@ -31,17 +33,17 @@
   return static_cast<double>(g_get_monotonic_time() - start) / 1000;
 }
 
-/// The value below which the fraction `share` of `values` lies; 0 if there are none.
-double quantile(std::vector<double> values, double share) {
+/// The value below which `fraction` of `values` lie; 0 if there are no values.
+double quantile(std::vector<double> values, double fraction) {
   if (values.empty())
     return 0;
   std::sort(values.begin(), values.end());
-  const auto rank = static_cast<std::size_t>(share * static_cast<double>(values.size()));
+  const auto rank = static_cast<std::size_t>(fraction * static_cast<double>(values.size()));
   return values[std::min(values.size() - 1, rank)];
 }
 
-/// The harness's endpoints and `extra_count` more in other groups, which drain, so that the gateway
-/// sends them no health checks.
+/// The harness's endpoints as members, and `extra_count` members more in other groups. The extra
+/// ones are draining, so that the gateway sends them no health checks.
 pb::Members make_members(const GatewayHarness& harness, std::uint64_t generation, int extra_count) {
   pb::Members members;
   members.set_generation(generation);
@@ -82,8 +84,8 @@
       : harness_(harness), service_(service), client_(harness.connect_client()) {}
 
   void run() {
-    std::printf("push to in force, ms: members, median, least, most of %d (each changes every "
-                "member or none)\n",
+    std::printf("push until in force, ms: members, median, min, max of %d pushes (each push "
+                "changes every extra member)\n",
                 kPushCount);
     for (const int member_count : {10, 1000, 10000}) {
       const std::vector<double> durations = measure_pushes(member_count);
@@ -102,19 +104,20 @@
   std::vector<double> measure_pushes(int member_count) {
     std::vector<double> durations;
     for (int i = 0; i < kPushCount; ++i) {
-      run_main_loop_for(120ms);  // beyond the gateway's pause of 50 ms between two applications
+      run_main_loop_for(120ms);  // The gateway waits 50 ms between applying two versions.
       ++generation_;
       const int own_count = static_cast<int>(harness_.endpoints.size());
       pb::Members members = make_members(harness_, generation_, member_count - own_count);
       for (int j = own_count; j < members.postgres_size(); ++j)
-        members.mutable_postgres(j)->set_size(1 + i % 2);  // each differs from the last push
+        members.mutable_postgres(j)->set_size(1 + i % 2);  // Changes with each push.
       durations.push_back(measure_push(members));
     }
     return durations;
   }
 
-  /// A push is in force at the latest when the gateway answers a request that arrived after its
-  /// ACK, because one loop does both.
+  /// Pushes `members` and returns the time in ms until they are in force. That is the case at the
+  /// latest when the gateway answers a request that arrived after its ACK, because the same event
+  /// loop applies the members and answers requests.
   double measure_push(const pb::Members& members) {
     const gint64 start = g_get_monotonic_time();
     const std::string nonce = service_.push(members, "v");
@@ -138,7 +141,7 @@
   std::uint64_t generation_ = 0;
 };
 
-/// Sends requests at a steady pace over several connections and measures their latencies.
+/// Sends requests at a constant rate over several connections and measures their latencies.
 class PacedLoad {
 public:
   explicit PacedLoad(GatewayHarness& harness) {
@@ -148,7 +151,7 @@
   }
 
   /// Sends the requests of one second and appends their latencies to `latencies`, each measured
-  /// from the time at which the request was due.
+  /// from the time at which the request was due to be sent.
   void run_round(std::vector<double>& latencies) {
     idle_clients_.clear();
     for (const auto& client : clients_)
@@ -208,9 +211,10 @@
   int next_id_ = 0;
 };
 
-enum class Versions { None, FiftyPerSecond };
+/// How many configuration versions are pushed during a round.
+enum class PushRate { None, FiftyPerSecond };
 
-/// Measures request latencies with and without versions that are applied meanwhile.
+/// Measures request latencies with and without configuration versions that are applied meanwhile.
 class RequestLatencyBench {
 public:
   RequestLatencyBench(GatewayHarness& harness, ControlService& service)
@@ -219,26 +223,27 @@
   void run() {
     constexpr int kRoundPairs = 10;
     for (int i = 0; i < kRoundPairs; ++i) {
-      run_round(Versions::None);
-      run_round(Versions::FiftyPerSecond);
+      run_round(PushRate::None);
+      run_round(PushRate::FiftyPerSecond);
     }
-    print("none", latencies_of(Versions::None));
-    print("50 versions a second", latencies_of(Versions::FiftyPerSecond));
-    std::printf("ratio of p99: %.3f\n", quantile(latencies_of(Versions::FiftyPerSecond), 0.99) /
-                                            quantile(latencies_of(Versions::None), 0.99));
+    print("none", latencies_of(PushRate::None));
+    print("50 versions a second", latencies_of(PushRate::FiftyPerSecond));
+    std::printf("ratio of p99: %.3f\n", quantile(latencies_of(PushRate::FiftyPerSecond), 0.99) /
+                                            quantile(latencies_of(PushRate::None), 0.99));
   }
 
 private:
-  void run_round(Versions versions) {
-    if (versions == Versions::None) {
-      load_.run_round(latencies_of(versions));
+  void run_round(PushRate push_rate) {
+    if (push_rate == PushRate::None) {
+      load_.run_round(latencies_of(push_rate));
       return;
     }
-    // A thread of its own pushes, so that the measurement includes the gateway and not the pushes.
+    // The versions are pushed by another thread, so that the measured latencies include the work of
+    // the gateway but not that of pushing.
     std::thread pusher([this] {
       push_versions();
     });
-    load_.run_round(latencies_of(versions));
+    load_.run_round(latencies_of(push_rate));
     pusher.join();
   }
 
@@ -252,14 +257,15 @@
     }
   }
 
-  std::vector<double>& latencies_of(Versions versions) {
-    return latencies_.at(static_cast<std::size_t>(versions));
+  std::vector<double>& latencies_of(PushRate push_rate) {
+    return latencies_.at(static_cast<std::size_t>(push_rate));
   }
 
   static void print(const char* label, const std::vector<double>& latencies) {
-    std::printf("%s: %zu requests, ms median %.3f p90 %.3f p99 %.3f p99.9 %.3f most %.3f\n", label,
-                latencies.size(), quantile(latencies, 0.5), quantile(latencies, 0.9),
-                quantile(latencies, 0.99), quantile(latencies, 0.999), quantile(latencies, 1));
+    std::printf(
+        "%s: %zu requests, latency in ms: median %.3f p90 %.3f p99 %.3f p99.9 %.3f max %.3f\n",
+        label, latencies.size(), quantile(latencies, 0.5), quantile(latencies, 0.9),
+        quantile(latencies, 0.99), quantile(latencies, 0.999), quantile(latencies, 1));
   }
 
   ControlService& service_;
--- a/bench/control_service.cpp
+++ b/bench/control_service.cpp
@@ -1,5 +1,5 @@
-// Runs the tests' fake control service by itself, for trials by hand: prints its address and serves
-// for the number of seconds in the first argument, by default 60.
+// Runs the tests' fake control service as a program, for manual tests. Prints the service's address
+// and serves for the number of seconds in the first argument, 60 by default.
 #include "fake_control_plane/control_service.h"
 
 #include <cstdio>
--- a/bench/grpc_idle.cpp
+++ b/bench/grpc_idle.cpp
@@ -1,8 +1,8 @@
-// Compares the memory of an idle xDS stream on libgrpc++, which the gateway does not use, with that
-// of a session on nghttp2 and the main loop, which it uses. Prints the resident memory of the
-// process in KiB, before and after, and the number of its threads.
+// Measures the memory of an idle xDS stream, either on libgrpc++, which the gateway does not use,
+// or on nghttp2 and the main loop, which it uses. Prints the resident memory of the process in KiB
+// and the number of its threads, before and after the stream is opened.
 //
-//   grpc_idle grpc|nghttp2 ADDRESS
+// Usage: grpc_idle grpc|nghttp2 ADDRESS
 #include "integration/event_wait.h"
 
 #include "grpc/channel.h"
@@ -31,6 +31,7 @@
   std::printf("%s: %s\n", label, text.c_str());
 }
 
+/// Records that the channel is connected and ignores all other events.
 class IdleChannelEvents : public gorsebeam::grpc::Channel::Events {
 public:
   void on_connected() override { connected_ = true; }
--- a/bench/shapes.cpp
+++ b/bench/shapes.cpp
@@ -1,4 +1,4 @@
-// Measures the cost of classifying a statement, which includes parsing all of it.
+// Measures the time to classify a statement, which includes parsing it.
 #include "sql_classifier/sql_classifier.h"
 
 #include <algorithm>
@@ -31,7 +31,7 @@
                "(SELECT 1 FROM faults f WHERE f.site = s.id) ORDER BY 2, 3 LIMIT 100"},
 }};
 
-/// The time of one classification in microseconds, the mean of each round, in ascending order.
+/// Returns the mean time of a classification in microseconds for each round, in ascending order.
 std::vector<double> measure_rounds(const gorsebeam::sql_classifier::SqlClassifier& classifier,
                                    const char* statement) {
   using Clock = std::chrono::steady_clock;
@@ -53,8 +53,9 @@
   const gorsebeam::sql_classifier::SqlClassifier classifier;
   for (const Statement& statement : kStatements) {
     const std::vector<double> durations_us = measure_rounds(classifier, statement.text);
-    std::printf("%s: us a statement, median %.1f, least %.1f, most %.1f of %zu rounds of %d\n",
-                statement.name, durations_us[kRounds / 2], durations_us.front(),
-                durations_us.back(), kRounds, kStatementsPerRound);
+    std::printf(
+        "%s: us per statement: median %.1f, min %.1f, max %.1f of %zu rounds of %d statements\n",
+        statement.name, durations_us[kRounds / 2], durations_us.front(), durations_us.back(),
+        kRounds, kStatementsPerRound);
   }
 }
