--- a/fuzz/control.cpp
+++ b/fuzz/control.cpp
@@ -25,7 +25,7 @@
 config::ValidationContext make_validation_context() {
   config::ValidationContext context;
   context.classes = {{"any", 0}, {"save", 1}};
-  context.postgres_listed = true;
+  context.postgres_members_configured = true;
   context.mongo_enabled = true;
   return context;
 }
--- a/src/config/members_validation.cpp
+++ b/src/config/members_validation.cpp
@@ -40,7 +40,7 @@
   return std::nullopt;
 }
 
-/// Validates the members of one frontend, which `field` holds.
+/// Validates the members of one frontend. `field` is the name of the field that holds them.
 class MemberListValidator {
 public:
   explicit MemberListValidator(const char* field) : field_(field) {}
@@ -78,17 +78,18 @@
   std::unordered_set<GroupId> groups_with_primary_;
 };
 
-/// Members may stand only where a frontend has them from the operator, and must where it does.
+/// Checks each frontend's list of members as a whole. The list must be empty if the frontend does
+/// not take its endpoints from the operator; otherwise it may be empty only with `may_be_empty`.
 std::optional<ValidationError> validate_frontends(const pb::Members& members,
                                                   const ValidationContext& context) {
-  if (members.postgres_size() > 0 && !context.postgres_listed)
+  if (members.postgres_size() > 0 && !context.postgres_members_configured)
     return ValidationError{
         {{"postgres", 0}},
         "these members come from discovery here; leave them out, or start with a list"};
   if (members.mongo_size() > 0 && !context.mongo_enabled)
     return ValidationError{
         {{"mongo", 0}}, "the second front is off; it is turned on at the start only, by the file"};
-  const bool is_postgres_empty = context.postgres_listed && members.postgres().empty();
+  const bool is_postgres_empty = context.postgres_members_configured && members.postgres().empty();
   const bool is_mongo_empty = context.mongo_enabled && members.mongo().empty();
   if ((is_postgres_empty || is_mongo_empty) && !members.may_be_empty())
     return ValidationError{
