--- a/src/router/attempt_observer.cpp
+++ b/src/router/attempt_observer.cpp
@@ -26,7 +26,7 @@
 
 void AttemptObserver::record_load_report(EndpointState& endpoint, const LoadReport& report) {
   const TimePoint now = state_.event.now;
-  state_.outliers.record_connection_use(endpoint);
+  state_.outliers.record_answer_on_connection(endpoint);
   if (report.replication_position)
     advance_replication_position(state_.endpoints, endpoint, *report.replication_position, now);
   if (!report.is_primary)
@@ -65,7 +65,7 @@
     break;
   }
   state_.sessions.record_end(request, attempt, result, state_.event.now);
-  if (may_have_run(result.status) && request.may_have_run_at == kUnknown) {
+  if (may_have_run(result.status) && request.may_have_run_at == kUnknownTime) {
     request.may_have_run_at = attempt.sent_at;
     request.may_have_run_on = endpoint.listing.id;
   }
@@ -82,7 +82,7 @@
   const ReplicationPosition required = attempt.required_position;
   if (is_read(request) && state_.settings.staleness_check != StalenessCheck::None &&
       required != kUnknownPosition) {
-    const TimePoint reported_at = required > endpoint.position ? attempt.sent_at : kUnknown;
+    const TimePoint reported_at = required > endpoint.position ? attempt.sent_at : kUnknownTime;
     advance_replication_position(state_.endpoints, endpoint, required, reported_at);
   }
   state_.outliers.record_answer(endpoint, attempt);
@@ -108,7 +108,7 @@
                                      const UpstreamAttempt& attempt, const AttemptResult& result) {
   if (attempt.is_overdue)
     return;
-  record_silence(endpoint);
+  record_missing_answer(endpoint);
   if (result.elapsed >= retries_.overdue_after(request, endpoint.listing.id))
     state_.outliers.record_timeout(endpoint, attempt);
 }
@@ -130,17 +130,17 @@
 }
 
 void AttemptObserver::record_rejection(EndpointState& endpoint, PendingRequest& request) {
-  record_load(endpoint, LatencyLoadEstimator::kNoAnswer);
+  record_load(endpoint, LatencyLoadEstimator::kNoAnswerSample);
   if (state_.endpoints.is_primary(endpoint))
     request.retry_not_before = retries_.retry_after_rejection(request);
 }
 
 // An attempt without an answer indicates load only where other answers are slow or missing as well.
 // Where they are fast, answers are being lost, and sending fewer requests would not help.
-void AttemptObserver::record_silence(EndpointState& endpoint) {
+void AttemptObserver::record_missing_answer(EndpointState& endpoint) {
   const DecayingLoad& pool = state_.pool_of(endpoint);
   if (pool.count() < 1 || pool.exceeds(kTargetLoad))
-    record_load(endpoint, LatencyLoadEstimator::kNoAnswer);
+    record_load(endpoint, LatencyLoadEstimator::kNoAnswerSample);
 }
 
 void AttemptObserver::record_load(EndpointState& endpoint, double objective_fraction) {
@@ -191,7 +191,7 @@
     attempt.is_overdue = true;
     state_.classes.record_overdue(request.request.class_index);
     EndpointState& endpoint = state_.endpoints.at(attempt.endpoint);
-    record_silence(endpoint);
+    record_missing_answer(endpoint);
     state_.outliers.record_timeout(endpoint, attempt);
   }
 }
--- a/src/router/attempt_observer.h
+++ b/src/router/attempt_observer.h
@@ -35,7 +35,7 @@
   void record_connection_failure(EndpointState& endpoint, const PendingRequest& request,
                                  UpstreamAttempt& attempt, const AttemptResult& result);
   void record_rejection(EndpointState& endpoint, PendingRequest& request);
-  void record_silence(EndpointState& endpoint);
+  void record_missing_answer(EndpointState& endpoint);
   void record_load(EndpointState& endpoint, double objective_fraction);
   [[nodiscard]] bool is_read(const PendingRequest& request) const;
   [[nodiscard]] double objective_fraction(const PendingRequest& request, Duration elapsed) const;
--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -111,7 +111,7 @@
 // lowest value remain.
 void Dispatcher::dispatch_waiting(GroupId id) {
   ReplicaGroup& group = state_.endpoints.group(id);
-  if (state_.event.now - group.last_dispatch_at < kSweepInterval / 2)
+  if (state_.event.now - group.last_dispatch_at < kRequestCheckInterval / 2)
     return;
   group.last_dispatch_at = state_.event.now;
   std::vector<PendingRequest*> waiting;
@@ -124,7 +124,7 @@
   std::stable_sort(waiting.begin(), waiting.end(), has_higher_value);
   for (PendingRequest* request : waiting) {
     dispatch(*request);
-    scheduler_.finish_or_rearm(*request);
+    scheduler_.finish_or_reschedule(*request);
   }
 }
 
--- a/src/router/endpoint_list_updater.cpp
+++ b/src/router/endpoint_list_updater.cpp
@@ -39,7 +39,7 @@
   const bool is_new = state_.endpoints.find(entry.id) == nullptr;
   if (is_new && entry.status == EndpointStatus::Removed)
     return;
-  EndpointState& endpoint = state_.endpoints.obtain(entry.id);
+  EndpointState& endpoint = state_.endpoints.find_or_create(entry.id);
   const TimePoint previous_start = endpoint.listing.started_at;
   const EndpointStatus previous_status = endpoint.listing.status;
   const bool was_listed_as_primary = endpoint.listing.listed_as_primary;
@@ -49,7 +49,7 @@
     ids.insert(std::lower_bound(ids.begin(), ids.end(), entry.id), entry.id);
   const bool has_restarted = is_new || entry.started_at != previous_start;
   if (entry.started_at > TimePoint{} && has_restarted)
-    endpoint.warming_since = std::max(endpoint.warming_since, entry.started_at);
+    endpoint.slow_start_since = std::max(endpoint.slow_start_since, entry.started_at);
   if (entry.status != EndpointStatus::Up) {
     exclude(endpoint, previous_status, entry.status);
     return;
@@ -70,7 +70,7 @@
     return;
   const bool is_cached = kind == EndpointList::Kind::Cached;
   const TimePoint as_of =
-      is_cached ? TimePoint(kUnknown + 1ns) : state_.event.now - kAssumedEvidenceAge;
+      is_cached ? TimePoint(kUnknownTime + 1ns) : state_.event.now - kAssumedEvidenceAge;
   state_.roles.record_role_evidence(endpoint, {true, as_of, RoleEvidence::Source::Report});
 }
 
--- a/src/router/endpoint_selection.cpp
+++ b/src/router/endpoint_selection.cpp
@@ -37,7 +37,7 @@
       return true;
     const std::size_t unavailable = group.primary_suspected ? 1 : 0;
     const auto round = static_cast<double>(request.attempts.size() + unavailable);
-    if (round < state_.endpoints.serving_endpoints(group))
+    if (round < state_.endpoints.serving_endpoint_count(group))
       return true;
   }
   return false;
@@ -106,7 +106,7 @@
     return true;
   if (request_class.consistency != ConsistencyLevel::BoundedStaleness)
     return false;
-  return endpoint.position_reported_at == kUnknown ||
+  return endpoint.position_reported_at == kUnknownTime ||
          endpoint.position_reported_at - time_of(endpoint.position) <= request_class.max_staleness;
 }
 
@@ -126,12 +126,12 @@
                    : serves_long_reads && is_long_running(i))
       own += work;
   }
-  return std::max(0.0, all - own * state_.endpoints.serving_endpoints(group));
+  return std::max(0.0, all - own * state_.endpoints.serving_endpoint_count(group));
 }
 
 std::optional<EndpointId> EndpointSelector::pick_by_weighted_hash(const PendingRequest& request,
                                                                   WeightedIds candidates) {
-  std::uint64_t hash = request.hash_key;
+  std::uint64_t hash = request.affinity_hash;
   while (!candidates.empty()) {
     double sum = 0;
     for (const auto& [id, weight] : candidates)
@@ -185,7 +185,7 @@
   }
   if (slots.empty())
     return std::nullopt;
-  const EndpointId id = slots[mix_hash(request.draw) % slots.size()];
+  const EndpointId id = slots[mix_hash(request.id_hash) % slots.size()];
   if (id == kNoEndpoint)
     return std::nullopt;
   return id;
--- a/src/router/endpoint_table.cpp
+++ b/src/router/endpoint_table.cpp
@@ -20,7 +20,7 @@
   return found == endpoints_.end() ? nullptr : &found->second;
 }
 
-double EndpointTable::serving_endpoints(const ReplicaGroup& group) const {
+double EndpointTable::serving_endpoint_count(const ReplicaGroup& group) const {
   const auto serves = [this](EndpointId id) {
     return at(id).is_usable() && !at(id).is_ejected;
   };
--- a/src/router/endpoint_table.h
+++ b/src/router/endpoint_table.h
@@ -39,15 +39,15 @@
   bool has_health_check = false;      ///< One is in flight.
   TimePoint next_recovery_at{};       ///< No recovery attempt before this.
   Duration recovery_backoff =
-      kInitialRecoveryBackoff;                ///< The next backoff; doubles with each failure.
-  TimePoint last_answer_at{};                 ///< When it last answered an attempt.
-  TimePoint last_health_check_at = kUnknown;  ///< When the last one was sent.
-  TimePoint position_reported_at = kUnknown;  ///< When it last reported a position.
+      kInitialRecoveryBackoff;                    ///< The next backoff; doubles with each failure.
+  TimePoint last_answer_at{};                     ///< When it last answered an attempt.
+  TimePoint last_health_check_at = kUnknownTime;  ///< When the last one was sent.
+  TimePoint position_reported_at = kUnknownTime;  ///< When it last reported a position.
   TimePoint role_evidence_at =
-      kUnknown;  ///< The time for which the newest evidence of its role holds.
-  TimePoint answered_as_replica_at = kUnknown;  ///< When it last answered that it is a replica.
-  TimePoint warming_since = kUnknown;           ///< When its slow start began.
-  DecayingLoad load;                            ///< Estimated from its own answers.
+      kUnknownTime;  ///< The time for which the newest evidence of its role holds.
+  TimePoint answered_as_replica_at = kUnknownTime;  ///< When it last answered that it is a replica.
+  TimePoint slow_start_since = kUnknownTime;        ///< When its slow start began.
+  DecayingLoad load;                                ///< Estimated from its own answers.
 
   /// Whether requests and health checks may be sent to it at all.
   [[nodiscard]] bool is_usable() const { return listing.status == EndpointStatus::Up; }
@@ -55,16 +55,16 @@
 
 /// What is known of one replica group.
 struct ReplicaGroup {
-  std::vector<EndpointId> endpoints;         ///< Sorted.
-  std::optional<EndpointId> primary;         ///< By the newest evidence.
-  TimePoint primary_evidence_at = kUnknown;  ///< The time for which that evidence holds; remains
-                                             ///< when the primary becomes unknown.
-  bool primary_suspected = false;            ///< It failed to answer, so writes wait.
+  std::vector<EndpointId> endpoints;             ///< Sorted.
+  std::optional<EndpointId> primary;             ///< By the newest evidence.
+  TimePoint primary_evidence_at = kUnknownTime;  ///< The time for which that evidence holds;
+                                                 ///< remains when the primary becomes unknown.
+  bool primary_suspected = false;  ///< It failed to answer, so writes wait.
   bool sparse_bounded_reads =
       true;  ///< They come further apart than a position remains recent enough.
-  TimePoint last_bounded_read_at = kUnknown;
+  TimePoint last_bounded_read_at = kUnknownTime;
   bool is_dispatchable = false;  ///< Something changed that may allow waiting requests to be sent.
-  TimePoint last_discovery_at = kUnknown;  ///< When a write was last sent to find the primary.
+  TimePoint last_discovery_at = kUnknownTime;  ///< When a write was last sent to find the primary.
   TimePoint
       last_dispatch_at{};  ///< Dispatches are rate-limited, as thousands of requests may wait.
   std::set<std::uint64_t> waiting;  ///< Sequence numbers of requests with no attempt in flight.
@@ -87,7 +87,7 @@
   [[nodiscard]] const EndpointState& at(EndpointId id) const { return endpoints_.at(id); }
 
   /// The state of an endpoint, created if it is new.
-  EndpointState& obtain(EndpointId id) { return endpoints_[id]; }
+  EndpointState& find_or_create(EndpointId id) { return endpoints_[id]; }
 
   /// All endpoints, sorted by id.
   [[nodiscard]] Endpoints& all() { return endpoints_; }
@@ -109,7 +109,7 @@
   }
 
   /// The number of endpoints in the group that are usable and not ejected, at least 1.
-  [[nodiscard]] double serving_endpoints(const ReplicaGroup& group) const;
+  [[nodiscard]] double serving_endpoint_count(const ReplicaGroup& group) const;
 
   /// Records that something changed which may allow the waiting requests of a group to be sent.
   void mark_dispatchable(GroupId id);
--- a/src/router/health_check_scheduler.cpp
+++ b/src/router/health_check_scheduler.cpp
@@ -27,7 +27,7 @@
   if (limited && budget_ < 1)
     return false;
   const TimePoint last = endpoint.last_health_check_at;
-  if (last != kUnknown && event_.now - last < gap)
+  if (last != kUnknownTime && event_.now - last < gap)
     return false;
   if (limited)
     budget_ -= 1;
--- a/src/router/load_admission.cpp
+++ b/src/router/load_admission.cpp
@@ -26,7 +26,7 @@
   // for their work is below the mean.
   const double relative = 2 * value / work / value_per_work(request);
   const double exponent = std::min(kMaxSheddingExponent, std::max(1.0, relative));
-  return unit_interval(request.draw + 1) < std::pow(headroom, exponent);
+  return unit_interval(request.id_hash + 1) < std::pow(headroom, exponent);
 }
 
 // The base design has no slow start. An endpoint in slow start keeps its place in the hash, and a
@@ -42,14 +42,15 @@
   if (capacity >= 1)
     return true;
   const DecayingLoad& pool = state_.pool_of(endpoint);
-  const bool start_is_listed = endpoint.warming_since == endpoint.listing.started_at;
+  const bool start_is_listed = endpoint.slow_start_since == endpoint.listing.started_at;
   const double tolerance = start_is_listed ? std::sqrt(state_.settings.overload_factor) : 1;
-  const double relief = pool.exceeds(kTargetLoad) ? kTargetLoad * pool.count() / pool.sum() : 1;
-  return unit_interval(request.draw) < tolerance * capacity * relief;
+  const double overload_reduction =
+      pool.exceeds(kTargetLoad) ? kTargetLoad * pool.count() / pool.sum() : 1;
+  return unit_interval(request.id_hash) < tolerance * capacity * overload_reduction;
 }
 
 double LoadAdmission::saturation(Role role) {
-  const double mean = state_.loads.role_mean(role, state_.event.now);
+  const double mean = state_.loads.mean_role_load(role, state_.event.now);
   return std::clamp(2 * mean / kTargetLoad - 1, 0.0, 1.0);
 }
 
--- a/src/router/load_estimator.cpp
+++ b/src/router/load_estimator.cpp
@@ -24,7 +24,7 @@
 }
 
 void DecayingLoad::add(double objective_fraction) {
-  sum_ += std::min(objective_fraction, LatencyLoadEstimator::kNoAnswer);
+  sum_ += std::min(objective_fraction, LatencyLoadEstimator::kNoAnswerSample);
   count_ += 1;
 }
 
@@ -46,7 +46,8 @@
   return target * (own.count() + kOwnPriorCount) / (own.sum() + kOwnPriorCount * pool_mean + 1e-9);
 }
 
-double LatencyLoadEstimator::role_mean(Role role, TimePoint now, const DecayingLoad& excluded) {
+double LatencyLoadEstimator::mean_role_load(Role role, TimePoint now,
+                                            const DecayingLoad& excluded) {
   double sum = -excluded.sum();
   double count = -excluded.count();
   for (auto& [key, pool] : pools_) {
--- a/src/router/load_estimator.h
+++ b/src/router/load_estimator.h
@@ -20,7 +20,7 @@
   /// Decays all samples up to `now`.
   DecayingLoad& decay(TimePoint now);
 
-  /// Adds a sample at the time of the last `decay`, capped at `kNoAnswer`.
+  /// Adds a sample at the time of the last `decay`, capped at `kNoAnswerSample`.
   void add(double objective_fraction);
 
   /// Whether the mean of the samples exceeds `target`.
@@ -40,7 +40,7 @@
 class LatencyLoadEstimator {
 public:
   /// The sample of a request that got no usable answer.
-  static constexpr double kNoAnswer = 2;
+  static constexpr double kNoAnswerSample = 2;
 
   /// The pool of a zone and a role, decayed to `now`.
   [[nodiscard]] DecayingLoad& pool(const std::string& zone, Role role, TimePoint now);
@@ -55,7 +55,7 @@
                                        double target);
 
   /// The mean load of a role over all zones, with the samples of `excluded` left out.
-  [[nodiscard]] double role_mean(Role role, TimePoint now, const DecayingLoad& excluded = {});
+  [[nodiscard]] double mean_role_load(Role role, TimePoint now, const DecayingLoad& excluded = {});
 
 private:
   std::map<std::pair<std::string, Role>, DecayingLoad> pools_;
--- a/src/router/outlier_ejection.cpp
+++ b/src/router/outlier_ejection.cpp
@@ -14,10 +14,10 @@
 
 }  // namespace
 
-void OutlierEjector::eject(EndpointState& endpoint, RecoveryCondition proof,
+void OutlierEjector::eject(EndpointState& endpoint, RecoveryCondition condition,
                            EjectionReason reason) {
   roles_.suspect_primary(endpoint);
-  if (proof == RecoveryCondition::Attempt)
+  if (condition == RecoveryCondition::Attempt)
     endpoint.needs_recovery_attempt = true;
   if (endpoint.is_ejected)
     return;
@@ -35,8 +35,8 @@
   endpoint.is_ejected = false;
   endpoint.needs_recovery_attempt = false;
   endpoint.error_ratio = 0;
-  if (starts_cold(endpoint, may_have_restarted))
-    endpoint.warming_since = event_.now;
+  if (needs_slow_start(endpoint, may_have_restarted))
+    endpoint.slow_start_since = event_.now;
   endpoints_.mark_dispatchable(endpoint.listing.group);
   event_.log(EndpointReadmitted{endpoint.listing.id});
 }
@@ -45,7 +45,8 @@
 // silent and returns without the writes of that time. An endpoint that applied the log meanwhile
 // was only unreachable, because of a bad network path or expensive connections, and needs no slow
 // start. The cost is less traffic for an endpoint that hung and recovered.
-bool OutlierEjector::starts_cold(const EndpointState& endpoint, bool may_have_restarted) const {
+bool OutlierEjector::needs_slow_start(const EndpointState& endpoint,
+                                      bool may_have_restarted) const {
   if (may_have_restarted)
     return true;
   const Duration outage = event_.now - endpoint.ejected_at;
@@ -115,7 +116,7 @@
   return true;
 }
 
-void OutlierEjector::record_connection_use(EndpointState& endpoint) const {
+void OutlierEjector::record_answer_on_connection(EndpointState& endpoint) const {
   // An endpoint that answers on a new connection so soon did not restart: restarts take longer.
   if (event_.now - endpoint.first_break_at < kMinRestartTime)
     endpoint.may_have_restarted = false;
--- a/src/router/outlier_ejection.h
+++ b/src/router/outlier_ejection.h
@@ -30,7 +30,7 @@
       : event_(event), settings_(settings), endpoints_(endpoints), roles_(roles) {}
 
   /// Stops reads to the endpoint and suspects it if it is primary.
-  void eject(EndpointState& endpoint, RecoveryCondition proof, EjectionReason reason);
+  void eject(EndpointState& endpoint, RecoveryCondition condition, EjectionReason reason);
 
   /// Ends the ejection, if there is one. Starts a slow start if the endpoint may have restarted.
   void readmit(EndpointState& endpoint);
@@ -56,10 +56,10 @@
                                                ConnectionFailureKind kind);
 
   /// Records an answer on a connection, which resets the count of broken connections.
-  void record_connection_use(EndpointState& endpoint) const;
+  void record_answer_on_connection(EndpointState& endpoint) const;
 
 private:
-  [[nodiscard]] bool starts_cold(const EndpointState& endpoint, bool may_have_restarted) const;
+  [[nodiscard]] bool needs_slow_start(const EndpointState& endpoint, bool may_have_restarted) const;
 
   const EventContext& event_;
   const Settings& settings_;
--- a/src/router/position_requester.cpp
+++ b/src/router/position_requester.cpp
@@ -32,7 +32,7 @@
   bool position_may_arrive = false;
   const std::vector<EndpointId>& ids = group.endpoints;
   for (std::size_t i = 0; i < ids.size(); ++i) {
-    const EndpointId id = ids[(i + request.draw) % ids.size()];
+    const EndpointId id = ids[(i + request.id_hash) % ids.size()];
     EndpointState& endpoint = state_.endpoints.at(id);
     const bool is_primary = group.primary == id;
     if (!endpoint.is_usable() || (is_primary && !group.primary_suspected))
@@ -65,7 +65,8 @@
   const TimePoint now = state_.event.now;
   const auto is_being_checked = [this, now](EndpointId id) {
     const EndpointState& endpoint = state_.endpoints.at(id);
-    return endpoint.has_health_check && now - endpoint.last_health_check_at < 2 * kSweepInterval;
+    return endpoint.has_health_check &&
+           now - endpoint.last_health_check_at < 2 * kRequestCheckInterval;
   };
   return std::any_of(group.endpoints.begin(), group.endpoints.end(), is_being_checked);
 }
--- a/src/router/primary_discovery.cpp
+++ b/src/router/primary_discovery.cpp
@@ -60,11 +60,11 @@
 bool PrimaryDiscovery::is_candidate(const PendingRequest& request, EndpointState& endpoint) {
   const EndpointId id = endpoint.listing.id;
   const bool is_primary = state_.group_of(request).primary == id;
-  const bool is_alive_primary = is_primary && has_recent_evidence(endpoint);
+  const bool is_live_primary = is_primary && has_recent_evidence(endpoint);
   if (!endpoint.is_usable())
     return false;
   const bool is_backing_off = endpoint.is_ejected && state_.event.now < endpoint.next_recovery_at;
-  if (is_backing_off && !is_alive_primary)
+  if (is_backing_off && !is_live_primary)
     return false;
   if (is_primary && has_evidence_since_attempt(request))
     return true;
--- a/src/router/rejection_policy.cpp
+++ b/src/router/rejection_policy.cpp
@@ -32,12 +32,13 @@
 // it.
 bool RejectionPolicy::cannot_find_primary_in_time(const PendingRequest& request,
                                                   const ReplicaGroup& group) const {
-  if (!request.attempts.empty() || group.primary || group.primary_evidence_at == kUnknown)
+  if (!request.attempts.empty() || group.primary || group.primary_evidence_at == kUnknownTime)
     return false;
   const TimePoint now = state_.event.now;
-  const Duration patience = request.request.deadline - request.arrived_at - 4 * kSweepInterval;
-  const bool half_is_over = 2 * (now - request.arrived_at) >= patience;
-  return half_is_over && group.primary_evidence_at < now - kHandoverTime;
+  const Duration max_wait =
+      request.request.deadline - request.arrived_at - 4 * kRequestCheckInterval;
+  const bool half_has_passed = 2 * (now - request.arrived_at) >= max_wait;
+  return half_has_passed && group.primary_evidence_at < now - kHandoverTime;
 }
 
 void RejectionPolicy::give_up(PendingRequest& request, AnswerReason reason) const {
@@ -48,7 +49,8 @@
 // A rejection promises the client that the request is safe to send again.
 bool RejectionPolicy::can_reject(const PendingRequest& request) const {
   const RequestClass& request_class = state_.class_of(request);
-  if (request_class.idempotency == Idempotency::Idempotent || request.may_have_run_at == kUnknown)
+  if (request_class.idempotency == Idempotency::Idempotent ||
+      request.may_have_run_at == kUnknownTime)
     return true;
   return request_class.idempotency == Idempotency::IdempotencyKey &&
          request_class.deduplication_scope == DeduplicationScope::All;
--- a/src/router/request_scheduler.cpp
+++ b/src/router/request_scheduler.cpp
@@ -4,7 +4,7 @@
 
 namespace gorsebeam::router {
 
-void RequestScheduler::finish_or_rearm(PendingRequest& request) {
+void RequestScheduler::finish_or_reschedule(PendingRequest& request) {
   const GroupId group_id = request.request.group;
   ReplicaGroup& group = state_.endpoints.group(group_id);
   state_.timers.cancel(request);
@@ -21,17 +21,17 @@
 
 TimePoint RequestScheduler::next_check(const PendingRequest& request) {
   const TimePoint now = state_.event.now;
-  const TimePoint sweep = state_.timers.next_sweep(now);
+  const TimePoint periodic_check = state_.timers.next_periodic_check(now);
   const bool is_idempotent = state_.class_of(request).idempotency == Idempotency::Idempotent;
   const bool can_hedge = !request.is_closed && !request.is_hedged && is_idempotent;
-  TimePoint check_at = request.in_flight == 0 ? sweep : kNever;
+  TimePoint check_at = request.in_flight == 0 ? periodic_check : kNever;
   for (const UpstreamAttempt& attempt : request.attempts) {
     if (!attempt.in_flight || (attempt.is_overdue && !can_hedge))
       continue;
     const TimePoint overdue_at =
         attempt.sent_at + retries_.overdue_after(request, attempt.endpoint);
     const TimePoint earliest = now + state_.settings.clock_resolution;
-    const TimePoint at = attempt.is_overdue ? sweep : std::max(overdue_at, earliest);
+    const TimePoint at = attempt.is_overdue ? periodic_check : std::max(overdue_at, earliest);
     check_at = std::min(check_at, at);
   }
   return check_at;
--- a/src/router/request_scheduler.h
+++ b/src/router/request_scheduler.h
@@ -14,7 +14,7 @@
 
   /// Removes the request if it is finished, which invalidates references to it. Otherwise schedules
   /// its next check.
-  void finish_or_rearm(PendingRequest& request);
+  void finish_or_reschedule(PendingRequest& request);
 
 private:
   [[nodiscard]] TimePoint next_check(const PendingRequest& request);
--- a/src/router/request_table.h
+++ b/src/router/request_table.h
@@ -35,11 +35,11 @@
   TimePoint objective_at{};  ///< An answer later than this is late.
   TimePoint give_up_at{};    ///< No attempt starts after this.
   ReplicationPosition session_token =
-      kUnknownPosition;        ///< The position that a session read must see.
-  std::uint64_t hash_key = 0;  ///< Of its session, or its own; assigns it to an endpoint.
-  std::uint64_t draw = 0;      ///< Its own random number.
+      kUnknownPosition;             ///< The position that a session read must see.
+  std::uint64_t affinity_hash = 0;  ///< Of its session, or its own; assigns it to an endpoint.
+  std::uint64_t id_hash = 0;        ///< Its own random number.
   std::vector<UpstreamAttempt> attempts;
-  TimePoint may_have_run_at = kUnknown;  ///< When the first attempt that may have run was sent.
+  TimePoint may_have_run_at = kUnknownTime;  ///< When the first attempt that may have run was sent.
   EndpointId may_have_run_on = 0;
   bool is_closed = false;  ///< It has its final answer.
   bool is_hedged = false;
--- a/src/router/request_timers.cpp
+++ b/src/router/request_timers.cpp
@@ -7,13 +7,13 @@
 namespace gorsebeam::router {
 
 RequestTimers::RequestTimers(std::uint64_t seed, Duration clock_resolution)
-    : phase_(mix_hash(seed) % static_cast<std::uint64_t>(kSweepInterval.count())),
+    : phase_(mix_hash(seed) % static_cast<std::uint64_t>(kRequestCheckInterval.count())),
       clock_resolution_(clock_resolution) {}
 
-TimePoint RequestTimers::next_sweep(TimePoint now) {
-  const TimePoint sweep = now + std::max(kSweepInterval, clock_resolution_) + phase_;
+TimePoint RequestTimers::next_periodic_check(TimePoint now) {
+  const TimePoint check_at = now + std::max(kRequestCheckInterval, clock_resolution_) + phase_;
   phase_ = 0ms;
-  return sweep;
+  return check_at;
 }
 
 void RequestTimers::schedule(PendingRequest& request, TimePoint at) {
@@ -42,7 +42,7 @@
 }
 
 bool RequestTimers::is_long_overdue(TimePoint now) const {
-  return armed_at_ != kNever && now - armed_at_ > 4 * kSweepInterval;
+  return armed_at_ != kNever && now - armed_at_ > 4 * kRequestCheckInterval;
 }
 
 void RequestTimers::record_expiry(TimePoint now) {
--- a/src/router/request_timers.h
+++ b/src/router/request_timers.h
@@ -12,7 +12,7 @@
 namespace gorsebeam::router {
 
 /// The interval between checks of a waiting request; far below any latency objective.
-constexpr Duration kSweepInterval = 10ms;
+constexpr Duration kRequestCheckInterval = 10ms;
 
 /// Holds the check times of requests and arms a timer for the earliest.
 class RequestTimers {
@@ -23,7 +23,7 @@
   RequestTimers(std::uint64_t seed, Duration clock_resolution);
 
   /// The time of the next sweep. Only the first call applies the phase.
-  [[nodiscard]] TimePoint next_sweep(TimePoint now);
+  [[nodiscard]] TimePoint next_periodic_check(TimePoint now);
 
   /// Sets the time at which a request that is not scheduled is checked; kNever: not at all.
   void schedule(PendingRequest& request, TimePoint at);
--- a/src/router/retry_policy.cpp
+++ b/src/router/retry_policy.cpp
@@ -11,7 +11,7 @@
 // In multiples of the median; one answer in fifty takes longer if latencies are exponential.
 constexpr double kOverdueFactor = 6;
 constexpr double kHedgeShare = 0.02;  // hedges per request; bounds the load that they add
-constexpr Duration kRejectionBackoff = 5 * kSweepInterval;
+constexpr Duration kRejectionBackoff = 5 * kRequestCheckInterval;
 
 }  // namespace
 
@@ -50,8 +50,8 @@
   const Role role = is_primary ? Role::Primary : Role::Replica;
   const Role other_role = is_primary ? Role::Replica : Role::Primary;
   const TimePoint now = state_.event.now;
-  const double peers = state_.loads.role_mean(role, now, state_.load_of(endpoint));
-  const double others = std::max(peers, state_.loads.role_mean(other_role, now));
+  const double peers = state_.loads.mean_role_load(role, now, state_.load_of(endpoint));
+  const double others = std::max(peers, state_.loads.mean_role_load(other_role, now));
   const double limit = std::max(kOverdueFactor * state_.typical_latency(request), objective / 4) +
                        2 * others * objective;
   return to_duration(std::min(limit, 2.0 * to_double(request_class.deadline)));
@@ -67,7 +67,8 @@
 // A request that may have run is sent again only if its idempotency key is still remembered.
 bool RetryPolicy::is_safe_to_retry(const PendingRequest& request) const {
   const RequestClass& request_class = state_.class_of(request);
-  if (request.may_have_run_at == kUnknown || request_class.idempotency == Idempotency::Idempotent)
+  if (request.may_have_run_at == kUnknownTime ||
+      request_class.idempotency == Idempotency::Idempotent)
     return true;
   if (request_class.idempotency == Idempotency::NotIdempotent)
     return false;
@@ -80,7 +81,7 @@
   const RequestClass& request_class = state_.class_of(request);
   if (request_class.idempotency != Idempotency::IdempotencyKey ||
       request_class.deduplication_scope != DeduplicationScope::Zone ||
-      request.may_have_run_at == kUnknown)
+      request.may_have_run_at == kUnknownTime)
     return true;
   const EndpointState& ran_on = state_.endpoints.at(request.may_have_run_on);
   return endpoint.listing.zone == ran_on.listing.zone;
@@ -117,7 +118,7 @@
 }
 
 TimePoint RetryPolicy::give_up_at(const PendingRequest& request) const {
-  const Duration margin = kSweepInterval + 2 * state_.settings.clock_resolution;
+  const Duration margin = kRequestCheckInterval + 2 * state_.settings.clock_resolution;
   const TimePoint before_deadline = request.request.deadline - margin;
   if (state_.class_of(request).late_weight_fraction > 0)
     return before_deadline;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -14,7 +14,7 @@
 namespace gorsebeam {
 
 using router::EndpointState;
-using router::kSweepInterval;
+using router::kRequestCheckInterval;
 using router::PendingRequest;
 using router::UpstreamAttempt;
 
@@ -68,12 +68,12 @@
     request.arrived_at = now;
     request.objective_at = now + request_class.latency_objective;
     request.give_up_at = retries_.give_up_at(request);
-    request.draw = router::hash_text(arrived.id);
-    request.hash_key = router::mix_hash(arrived.session.value_or(request.draw + 2));
+    request.id_hash = router::hash_text(arrived.id);
+    request.affinity_hash = router::mix_hash(arrived.session.value_or(request.id_hash + 2));
     request.session_token = state_.sessions.token_for(arrived, request_class, now);
     state_.classes.record_request(arrived.class_index);
     dispatcher_.accept(request);
-    scheduler_.finish_or_rearm(request);
+    scheduler_.finish_or_reschedule(request);
   }
 
   void on(const AttemptResult& result) {
@@ -89,7 +89,7 @@
       request->is_closed = true;
     if (!request->is_closed)
       dispatcher_.dispatch(*request);
-    scheduler_.finish_or_rearm(*request);
+    scheduler_.finish_or_reschedule(*request);
   }
 
   void end_attempt(PendingRequest& request, EndpointState& endpoint, const AttemptResult& result) {
@@ -121,7 +121,7 @@
     if (request == nullptr)
       return;
     request->is_closed = true;
-    scheduler_.finish_or_rearm(*request);
+    scheduler_.finish_or_reschedule(*request);
   }
 
   void on(const TimerExpired&) {
@@ -139,11 +139,11 @@
     if (request.in_flight == 0) {
       // Requests that wait are dispatched in order of value.
       state_.endpoints.mark_dispatchable(request.request.group);
-      state_.timers.schedule(request, state_.event.now + kSweepInterval);
+      state_.timers.schedule(request, state_.event.now + kRequestCheckInterval);
       return;
     }
     dispatcher_.dispatch(request);
-    scheduler_.finish_or_rearm(request);
+    scheduler_.finish_or_reschedule(request);
   }
 
   router::RouterState state_;
--- a/src/router/session_requirements.cpp
+++ b/src/router/session_requirements.cpp
@@ -18,20 +18,20 @@
   return age > 0ns ? position_at(now - age) : kUnknownPosition;
 }
 
-bool SessionRequirements::remembers(const PendingRequest& request) const {
+bool SessionRequirements::is_tracked_write(const PendingRequest& request) const {
   const RequestClass& request_class = settings_.classes[request.request.class_index];
   return request_class.consistency == ConsistencyLevel::Write &&
          settings_.session_token_source == SessionTokenSource::Router && request.request.session;
 }
 
 void SessionRequirements::record_start(const PendingRequest& request, TimePoint now) {
-  if (remembers(request))
+  if (is_tracked_write(request))
     writes_.begin_write(*request.request.session, now);
 }
 
 void SessionRequirements::record_end(const PendingRequest& request, const UpstreamAttempt& attempt,
                                      const AttemptResult& result, TimePoint now) {
-  if (!remembers(request))
+  if (!is_tracked_write(request))
     return;
   WriteResult end = WriteResult::NotExecuted;
   if (may_have_run(result.status))
--- a/src/router/session_requirements.h
+++ b/src/router/session_requirements.h
@@ -25,7 +25,7 @@
                   const AttemptResult& result, TimePoint now);
 
 private:
-  [[nodiscard]] bool remembers(const PendingRequest& request) const;
+  [[nodiscard]] bool is_tracked_write(const PendingRequest& request) const;
 
   const Settings& settings_;
   session_tokens::SessionWrites writes_;
--- a/src/router/time_points.h
+++ b/src/router/time_points.h
@@ -6,7 +6,7 @@
 namespace gorsebeam::router {
 
 /// A point in time that is not known; before all others.
-constexpr TimePoint kUnknown = TimePoint::min();
+constexpr TimePoint kUnknownTime = TimePoint::min();
 
 /// A replication position that is not known; before all others.
 constexpr ReplicationPosition kUnknownPosition = ReplicationPosition::min();
--- a/tests/router/class_statistics_test.cpp
+++ b/tests/router/class_statistics_test.cpp
@@ -22,7 +22,7 @@
   EXPECT_DOUBLE_EQ(statistics.traffic(0), 0);
 }
 
-TEST(ClassStatistics, AnswersMoveTheUsualTimeTowardsTheMedian) {
+TEST(ClassStatistics, AnswersMoveTheTypicalLatencyTowardsTheMedian) {
   ClassStatistics statistics(two_classes());
   statistics.record_answer(0, 300);
   EXPECT_DOUBLE_EQ(statistics.typical_latency(0), 200 * 1.02);
@@ -31,13 +31,13 @@
   EXPECT_DOUBLE_EQ(statistics.typical_latency(1), 1000);
 }
 
-TEST(ClassStatistics, AnOverdueAttemptCountsAsALongAnswer) {
+TEST(ClassStatistics, AnOverdueAttemptCountsAsASlowAnswer) {
   ClassStatistics statistics(two_classes());
   statistics.record_overdue(1);
   EXPECT_DOUBLE_EQ(statistics.typical_latency(1), 1000 * 1.02);
 }
 
-TEST(ClassStatistics, TrafficOfAllClassesFadesWithEachRequest) {
+TEST(ClassStatistics, TrafficOfAllClassesDecaysWithEachRequest) {
   ClassStatistics statistics(two_classes());
   statistics.record_request(0);
   statistics.record_request(1);
--- a/tests/router/endpoint_fixture.h
+++ b/tests/router/endpoint_fixture.h
@@ -24,7 +24,7 @@
 
   /// Adds an endpoint that serves.
   EndpointState& add_endpoint(EndpointId id) {
-    EndpointState& endpoint = endpoints_.obtain(id);
+    EndpointState& endpoint = endpoints_.find_or_create(id);
     endpoint.listing.id = id;
     endpoint.listing.group = kGroup;
     endpoint.is_ejected = false;
--- a/tests/router/endpoint_table_test.cpp
+++ b/tests/router/endpoint_table_test.cpp
@@ -12,7 +12,7 @@
 constexpr GroupId kGroup = 7;
 
 EndpointState& add_endpoint(EndpointTable& table, EndpointId id) {
-  EndpointState& endpoint = table.obtain(id);
+  EndpointState& endpoint = table.find_or_create(id);
   endpoint.listing.id = id;
   endpoint.listing.group = kGroup;
   table.group(kGroup).endpoints.push_back(id);
@@ -34,8 +34,8 @@
   draining.is_ejected = false;
   draining.listing.status = EndpointStatus::Draining;
   add_endpoint(table, 4).is_ejected = false;
-  EXPECT_EQ(table.serving_endpoints(table.group(kGroup)), 2);
-  EXPECT_EQ(table.serving_endpoints(table.group(kGroup + 1)), 1) << "at least one";
+  EXPECT_EQ(table.serving_endpoint_count(table.group(kGroup)), 2);
+  EXPECT_EQ(table.serving_endpoint_count(table.group(kGroup + 1)), 1) << "at least one";
 }
 
 TEST(EndpointTable, MarksEachGroupOnceAndOnlyIfRequestsWait) {
--- a/tests/router/hashing_test.cpp
+++ b/tests/router/hashing_test.cpp
@@ -15,15 +15,15 @@
 }
 
 TEST(Hashing, UnitIntervalStaysBelowOneWithMeanOfOneHalf) {
-  constexpr std::uint64_t kDraws = 10'000;
+  constexpr std::uint64_t kKeys = 10'000;
   double sum = 0;
-  for (std::uint64_t key = 0; key < kDraws; ++key) {
-    const double draw = unit_interval(key);
-    ASSERT_GE(draw, 0) << key;
-    ASSERT_LT(draw, 1) << key;
-    sum += draw;
+  for (std::uint64_t key = 0; key < kKeys; ++key) {
+    const double value = unit_interval(key);
+    ASSERT_GE(value, 0) << key;
+    ASSERT_LT(value, 1) << key;
+    sum += value;
   }
-  EXPECT_NEAR(sum / kDraws, 0.5, 0.02);
+  EXPECT_NEAR(sum / kKeys, 0.5, 0.02);
 }
 
 TEST(Hashing, HashesTextAsMixedFnv1a) {
--- a/tests/router/health_check_scheduler_test.cpp
+++ b/tests/router/health_check_scheduler_test.cpp
@@ -65,7 +65,7 @@
   EXPECT_TRUE(scheduler_.check(endpoint));
 }
 
-TEST_F(HealthCheckSchedulerTest, AReadThatNeedsItsOwnProofAccruesMoreUnderPressure) {
+TEST_F(HealthCheckSchedulerTest, AReadThatNeedsItsOwnCheckAccruesMoreWhilePrimariesAreSaturated) {
   settings_.health_check_cost = 0.5;
   use_up_budget();
   EndpointState& endpoint = add_endpoint(1);
--- a/tests/router/load_estimator_test.cpp
+++ b/tests/router/load_estimator_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kTarget = 0.35;
 
-TEST(DecayingLoad, FadesToOneOverEInThreeSeconds) {
+TEST(DecayingLoad, DecaysToOneOverEInThreeSeconds) {
   DecayingLoad load;
   load.decay(TimePoint(1s)).add(1);
   load.decay(TimePoint(4s));
@@ -18,10 +18,10 @@
   EXPECT_DOUBLE_EQ(load.sum(), std::exp(-1.0));
 }
 
-TEST(DecayingLoad, CapsSamplesAtNoAnswer) {
+TEST(DecayingLoad, CapsSamplesAtThatOfAMissingAnswer) {
   DecayingLoad load;
   load.add(50);
-  EXPECT_DOUBLE_EQ(load.sum(), LatencyLoadEstimator::kNoAnswer);
+  EXPECT_DOUBLE_EQ(load.sum(), LatencyLoadEstimator::kNoAnswerSample);
 }
 
 TEST(DecayingLoad, ExceedsATargetOnlyAboveIt) {
@@ -43,24 +43,24 @@
   EXPECT_DOUBLE_EQ(estimator.pool("north", Role::Primary, TimePoint{}).count(), 0);
 }
 
-TEST(LatencyLoadEstimator, RoleMeanSpansZonesAndLeavesOutOneEndpoint) {
+TEST(LatencyLoadEstimator, MeanRoleLoadSpansZonesAndExcludesOneEndpoint) {
   LatencyLoadEstimator estimator;
   DecayingLoad slow;
-  DecayingLoad quick;
+  DecayingLoad fast;
   LatencyLoadEstimator::record(slow, estimator.pool("north", Role::Replica, TimePoint{}), 1,
                                TimePoint{});
-  LatencyLoadEstimator::record(quick, estimator.pool("south", Role::Replica, TimePoint{}), 0.5,
+  LatencyLoadEstimator::record(fast, estimator.pool("south", Role::Replica, TimePoint{}), 0.5,
                                TimePoint{});
-  EXPECT_DOUBLE_EQ(estimator.role_mean(Role::Replica, TimePoint{}), 1.5 / 3);
-  EXPECT_DOUBLE_EQ(estimator.role_mean(Role::Replica, TimePoint{}, slow), 0.5 / 2);
-  EXPECT_DOUBLE_EQ(estimator.role_mean(Role::Primary, TimePoint{}), 0);
+  EXPECT_DOUBLE_EQ(estimator.mean_role_load(Role::Replica, TimePoint{}), 1.5 / 3);
+  EXPECT_DOUBLE_EQ(estimator.mean_role_load(Role::Replica, TimePoint{}, slow), 0.5 / 2);
+  EXPECT_DOUBLE_EQ(estimator.mean_role_load(Role::Primary, TimePoint{}), 0);
 }
 
 TEST(LatencyLoadEstimator, HeadroomWithoutSamplesIsThatOfAnIdleEndpoint) {
   EXPECT_NEAR(LatencyLoadEstimator::headroom({}, {}, kTarget), kTarget / 0.21, 1e-6);
 }
 
-TEST(LatencyLoadEstimator, FewSlowAnswersOfAPoolDoNotMakeAnEndpointFull) {
+TEST(LatencyLoadEstimator, FewSlowAnswersOfAPoolLeaveAnEndpointHeadroom) {
   DecayingLoad pool;
   for (int i = 0; i < 3; ++i)
     pool.add(1);
--- a/tests/router/outlier_ejection_test.cpp
+++ b/tests/router/outlier_ejection_test.cpp
@@ -29,7 +29,7 @@
   EXPECT_EQ(count_logs<EndpointEjected>(), 1U);
 }
 
-TEST_F(OutlierEjectorTest, AnAnswerBetweenTimeoutsStartsTheCountAnew) {
+TEST_F(OutlierEjectorTest, AnAnswerBetweenTimeoutsResetsTheCount) {
   EndpointState& endpoint = add_endpoint(1);
   outliers_.record_timeout(endpoint, {});
   outliers_.record_answer(endpoint, {});
@@ -103,21 +103,21 @@
   EXPECT_TRUE(group().primary_suspected);
 }
 
-TEST_F(OutlierEjectorTest, OneThatAnswersSoonAfterABrokenConnectionHasNotRestarted) {
+TEST_F(OutlierEjectorTest, AnEndpointThatAnswersSoonAfterABrokenConnectionHasNotRestarted) {
   EndpointState& endpoint = add_endpoint(1);
   endpoint.may_have_restarted = true;
   endpoint.first_break_at = kStart;
   event_.now = kStart + 299ms;
-  outliers_.record_connection_use(endpoint);
+  outliers_.record_answer_on_connection(endpoint);
   EXPECT_FALSE(endpoint.may_have_restarted);
   EXPECT_EQ(endpoint.connection_breaks, 0);
   endpoint.may_have_restarted = true;
   event_.now = kStart + 300ms;
-  outliers_.record_connection_use(endpoint);
+  outliers_.record_answer_on_connection(endpoint);
   EXPECT_TRUE(endpoint.may_have_restarted);
 }
 
-TEST_F(OutlierEjectorTest, StartsColdAfterASilentOutageUnlessItAppliedTheLogMeanwhile) {
+TEST_F(OutlierEjectorTest, NeedsSlowStartAfterAnOutageUnlessItAppliedTheLogMeanwhile) {
   settings_.overload_duration = 1000ms;
   EndpointState& silent = add_endpoint(1);
   EndpointState& applying = add_endpoint(2);
@@ -127,17 +127,17 @@
   applying.position = position_at(event_.now - 500ms);
   outliers_.readmit(silent);
   outliers_.readmit(applying);
-  EXPECT_EQ(silent.warming_since, event_.now);
-  EXPECT_EQ(applying.warming_since, kUnknown);
+  EXPECT_EQ(silent.slow_start_since, event_.now);
+  EXPECT_EQ(applying.slow_start_since, kUnknownTime);
 }
 
-TEST_F(OutlierEjectorTest, StaysWarmAfterAnOutageTooShortToRestart) {
+TEST_F(OutlierEjectorTest, NeedsNoSlowStartAfterAnOutageTooShortForARestart) {
   settings_.overload_duration = 1000ms;
   EndpointState& endpoint = add_endpoint(1);
   outliers_.eject(endpoint, RecoveryCondition::HealthCheck, EjectionReason::ConnectionFailure);
   event_.now = kStart + 1000ms;
   outliers_.readmit(endpoint);
-  EXPECT_EQ(endpoint.warming_since, kUnknown);
+  EXPECT_EQ(endpoint.slow_start_since, kUnknownTime);
 }
 
 }  // namespace
--- a/tests/router/policy_fixture.h
+++ b/tests/router/policy_fixture.h
@@ -43,7 +43,7 @@
 
   /// Adds an endpoint of group 0 that serves and is current.
   EndpointState& add_endpoint(EndpointId id) {
-    EndpointState& endpoint = state_.endpoints.obtain(id);
+    EndpointState& endpoint = state_.endpoints.find_or_create(id);
     endpoint.listing.id = id;
     endpoint.is_ejected = false;
     endpoint.position = position_at(kStart);
--- a/tests/router/replication_positions_test.cpp
+++ b/tests/router/replication_positions_test.cpp
@@ -11,7 +11,7 @@
 using ReplicationPositionsTest = EndpointFixture;
 using SlowStartTest = EndpointFixture;
 
-TEST_F(ReplicationPositionsTest, APositionNeverFalls) {
+TEST_F(ReplicationPositionsTest, APositionNeverDecreases) {
   EndpointState& endpoint = add_endpoint(1);
   advance_replication_position(endpoints_, endpoint, ReplicationPosition(100ns), TimePoint(150ns));
   advance_replication_position(endpoints_, endpoint, ReplicationPosition(90ns), TimePoint(200ns));
@@ -76,7 +76,7 @@
   settings.slow_start_initial_capacity = 0.2;
   EndpointState& endpoint = add_endpoint(1);
   EXPECT_DOUBLE_EQ(slow_start_capacity(endpoint, settings, kStart), 1);
-  endpoint.warming_since = kStart;
+  endpoint.slow_start_since = kStart;
   EXPECT_DOUBLE_EQ(slow_start_capacity(endpoint, settings, kStart - 10ns), 0.2);
   EXPECT_DOUBLE_EQ(slow_start_capacity(endpoint, settings, kStart), 0.2);
   EXPECT_DOUBLE_EQ(slow_start_capacity(endpoint, settings, kStart + 500ns), 0.6);
--- a/tests/router/request_table_test.cpp
+++ b/tests/router/request_table_test.cpp
@@ -13,7 +13,7 @@
 namespace gorsebeam::router {
 namespace {
 
-Request request_named(const std::string& id) {
+Request make_request(const std::string& id) {
   Request request;
   request.id = id;
   return request;
@@ -21,14 +21,14 @@
 
 TEST(RequestTable, NumbersRequestsByArrivalAndForgetsThem) {
   RequestTable table;
-  EXPECT_EQ(table.add(request_named("a")).sequence, 0U);
-  EXPECT_EQ(table.add(request_named("b")).sequence, 1U);
+  EXPECT_EQ(table.add(make_request("a")).sequence, 0U);
+  EXPECT_EQ(table.add(make_request("b")).sequence, 1U);
   table.remove(table.at(0));
   EXPECT_FALSE(table.contains("a"));
   EXPECT_EQ(table.find("a"), nullptr);
   ASSERT_NE(table.find("b"), nullptr);
   EXPECT_EQ(table.find("b")->sequence, 1U);
-  EXPECT_EQ(table.add(request_named("a")).sequence, 2U);
+  EXPECT_EQ(table.add(make_request("a")).sequence, 2U);
 }
 
 TEST(RequestTable, ListsEndpointsOfAllAttempts) {
@@ -38,26 +38,27 @@
   ended.in_flight = false;
   UpstreamAttempt open;
   open.endpoint = 2;
-  table.add(request_named("a")).attempts = {ended, open};
-  table.add(request_named("b")).attempts = {open};
+  table.add(make_request("a")).attempts = {ended, open};
+  table.add(make_request("b")).attempts = {open};
   EXPECT_EQ(table.endpoints_in_use(), (std::set<EndpointId>{2, 4}));
 }
 
-TEST(RequestTimers, RoutersWithDifferentSeedsSweepOutOfPhaseOnce) {
+TEST(RequestTimers, RoutersWithDifferentSeedsOffsetTheirFirstCheck) {
   RequestTimers first(1, 1ns);
   RequestTimers second(2, 1ns);
-  const TimePoint first_sweep = first.next_sweep(TimePoint{});
-  EXPECT_NE(first_sweep, second.next_sweep(TimePoint{}));
-  EXPECT_GE(first_sweep, TimePoint(kSweepInterval));
-  EXPECT_LT(first_sweep, TimePoint(2 * kSweepInterval));
-  EXPECT_EQ(first.next_sweep(TimePoint{}), TimePoint(kSweepInterval)) << "the phase is used up";
+  const TimePoint first_check = first.next_periodic_check(TimePoint{});
+  EXPECT_NE(first_check, second.next_periodic_check(TimePoint{}));
+  EXPECT_GE(first_check, TimePoint(kRequestCheckInterval));
+  EXPECT_LT(first_check, TimePoint(2 * kRequestCheckInterval));
+  EXPECT_EQ(first.next_periodic_check(TimePoint{}), TimePoint(kRequestCheckInterval))
+      << "the phase is used up";
 }
 
 TEST(RequestTimers, ReturnsDueRequestsByTimeThenArrival) {
   RequestTimers timers(1, 1ns);
   RequestTable table;
-  PendingRequest& late = table.add(request_named("late"));
-  PendingRequest& early = table.add(request_named("early"));
+  PendingRequest& late = table.add(make_request("late"));
+  PendingRequest& early = table.add(make_request("early"));
   timers.schedule(late, TimePoint(20ns));
   timers.schedule(early, TimePoint(10ns));
   EXPECT_EQ(timers.first_due(TimePoint(9ns)), std::nullopt);
@@ -72,7 +73,7 @@
 TEST(RequestTimers, ArmsOnlyForAnEarlierTime) {
   RequestTimers timers(1, 5ns);
   RequestTable table;
-  PendingRequest& request = table.add(request_named("a"));
+  PendingRequest& request = table.add(make_request("a"));
   std::vector<Action> actions;
   EventContext event;
   event.actions = &actions;
@@ -99,7 +100,7 @@
   EXPECT_FALSE(timers.consume_due_list_poll(TimePoint(101ns)));
 }
 
-TEST(RequestTimers, ATimerFarTooLateMeansThatTheRouterStoodStill) {
+TEST(RequestTimers, ATimerFarTooLateMeansThatTheRouterWasStalled) {
   RequestTimers timers(1, 1ns);
   std::vector<Action> actions;
   EventContext event;
@@ -107,10 +108,10 @@
   EXPECT_FALSE(timers.is_long_overdue(kNever - 1ns)) << "no timer is armed";
   timers.schedule_list_poll(TimePoint(100ns));
   timers.arm(event);
-  EXPECT_FALSE(timers.is_long_overdue(TimePoint(100ns) + 4 * kSweepInterval));
-  EXPECT_TRUE(timers.is_long_overdue(TimePoint(101ns) + 4 * kSweepInterval));
+  EXPECT_FALSE(timers.is_long_overdue(TimePoint(100ns) + 4 * kRequestCheckInterval));
+  EXPECT_TRUE(timers.is_long_overdue(TimePoint(101ns) + 4 * kRequestCheckInterval));
   timers.record_expiry(TimePoint(100ns));
-  EXPECT_FALSE(timers.is_long_overdue(TimePoint(101ns) + 4 * kSweepInterval));
+  EXPECT_FALSE(timers.is_long_overdue(TimePoint(101ns) + 4 * kRequestCheckInterval));
 }
 
 }  // namespace
--- a/tests/router/role_evidence_test.cpp
+++ b/tests/router/role_evidence_test.cpp
@@ -31,7 +31,7 @@
   EXPECT_EQ(group().primary, 2U);
 }
 
-TEST_F(RoleTrackerTest, ReportOlderThanADenialDoesNotElectAgain) {
+TEST_F(RoleTrackerTest, ReportOlderThanADemotionDoesNotElectAgain) {
   EndpointState& endpoint = add_endpoint(1);
   roles_.record_role_evidence(endpoint, {true, kStart, Source::Answer});
   roles_.record_role_evidence(endpoint, {false, kStart + 2ns, Source::Answer});
@@ -51,7 +51,7 @@
   EXPECT_FALSE(group().primary_suspected);
 }
 
-TEST_F(RoleTrackerTest, SuspectsThePrimaryAloneAndLogsItOnce) {
+TEST_F(RoleTrackerTest, SuspectsOnlyThePrimaryAndLogsItOnce) {
   EndpointState& primary = add_endpoint(1);
   EndpointState& replica = add_endpoint(2);
   roles_.record_role_evidence(primary, {true, kStart, Source::Answer});
--- a/tests/router/router_drawn_histories_test.cpp
+++ b/tests/router/router_drawn_histories_test.cpp
@@ -1,4 +1,4 @@
-/// Plays histories drawn from seeds and checks in each step that no action breaks a rule: nothing
+/// Plays random histories and checks in each step that no action breaks a rule: nothing
 /// goes to an endpoint that is leaving, no request has two attempts in flight where hedging is off,
 /// none is attempted after its final answer, and none is repeated where its class does not allow
 /// it.
@@ -11,14 +11,14 @@
 namespace gorsebeam::router_test {
 namespace {
 
-constexpr std::array kDrawnStatuses{AttemptStatus::Ok,          AttemptStatus::Ok,
-                                    AttemptStatus::Misdirected, AttemptStatus::Error,
-                                    AttemptStatus::Rejected,    AttemptStatus::Reset,
-                                    AttemptStatus::Timeout,     AttemptStatus::ConnectFailed,
-                                    AttemptStatus::NotSent};
+constexpr std::array kAttemptStatuses{AttemptStatus::Ok,          AttemptStatus::Ok,
+                                      AttemptStatus::Misdirected, AttemptStatus::Error,
+                                      AttemptStatus::Rejected,    AttemptStatus::Reset,
+                                      AttemptStatus::Timeout,     AttemptStatus::ConnectFailed,
+                                      AttemptStatus::NotSent};
 
-constexpr std::array kDrawnEndpointStatuses{EndpointStatus::Up, EndpointStatus::Draining,
-                                            EndpointStatus::Removed};
+constexpr std::array kEndpointStatuses{EndpointStatus::Up, EndpointStatus::Draining,
+                                       EndpointStatus::Removed};
 
 /// What the histories covered, so that a pass shows something.
 struct Coverage {
@@ -42,36 +42,36 @@
          status == AttemptStatus::Timeout;
 }
 
-/// One history, drawn from a seed. Odd seeds allow hedging.
-class DrawnHistory {
+/// One history, generated from a seed. Odd seeds allow hedging.
+class RandomHistory {
 public:
-  DrawnHistory(std::uint64_t seed, Coverage& coverage)
-      : random_(seed), hedging_(seed % 2 == 1), harness_(drawn_settings(hedging_)),
+  RandomHistory(std::uint64_t seed, Coverage& coverage)
+      : random_(seed), hedging_(seed % 2 == 1), harness_(settings_with_hedging(hedging_)),
         coverage_(coverage) {}
 
-  void play() {
+  void run() {
     harness_.list_healthy_group();
     for (const EndpointId id : {1U, 2U, 3U, 4U})
       listed_[id] = EndpointStatus::Up;
     check_actions();
     for (int step = 0; step < 300; ++step) {
-      harness_.now += std::chrono::milliseconds(below(hedging_ ? 90 : 30));
+      harness_.now += std::chrono::milliseconds(random_below(hedging_ ? 90 : 30));
       harness_.deliver_keeping_actions(TimerExpired{});
       check_actions();
-      draw_event();
+      deliver_random_event();
       check_actions();
     }
   }
 
 private:
-  static Settings drawn_settings(bool hedging) {
+  static Settings settings_with_hedging(bool hedging) {
     Settings settings = default_settings();
     settings.hedging_allowed = hedging;
     return settings;
   }
 
   /// A number in [0, bound).
-  std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
+  std::uint64_t random_below(std::uint64_t bound) { return random_() % bound; }
 
   // ---- checks
 
@@ -133,38 +133,38 @@
 
   // ---- events
 
-  void draw_event() {
-    switch (below(8)) {
+  void deliver_random_event() {
+    switch (random_below(8)) {
     case 0:
     case 1:
-      draw_request();
+      send_random_request();
       break;
     case 2:
     case 3:
     case 4:
-      draw_attempt_end();
+      end_random_attempt();
       break;
     case 5:
-      draw_disconnect();
+      disconnect_random_client();
       break;
     case 6:
-      draw_list();
+      deliver_random_list();
       break;
     default:
-      draw_health_report();
+      report_random_health();
     }
   }
 
-  void draw_request() {
-    const std::size_t class_index = below(6);
+  void send_random_request() {
+    const std::size_t class_index = random_below(6);
     // The request is known here before the router acts on it.
     requests_["r" + std::to_string(harness_.next_request_number)].class_index = class_index;
-    harness_.send_request(class_index, below(3));
+    harness_.send_request(class_index, random_below(3));
   }
 
-  void draw_attempt_end() {
+  void end_random_attempt() {
     for (auto& [id, request] : requests_) {
-      if (request.in_flight.empty() || below(2) != 0)
+      if (request.in_flight.empty() || random_below(2) != 0)
         continue;
       end_first_attempt(id, request);
       return;
@@ -174,7 +174,7 @@
   void end_first_attempt(const std::string& id, OpenRequest& request) {
     const auto [attempt, endpoint] = *request.in_flight.begin();
     request.in_flight.erase(request.in_flight.begin());
-    const AttemptStatus status = kDrawnStatuses.at(below(kDrawnStatuses.size()));
+    const AttemptStatus status = kAttemptStatuses.at(random_below(kAttemptStatuses.size()));
     if (can_have_taken_effect(status) && !request.may_have_run_since)
       request.may_have_run_since = harness_.now - 10ms;
     request.finished |= status == AttemptStatus::Ok;
@@ -183,23 +183,24 @@
                          attempt);
   }
 
-  void draw_disconnect() {
+  void disconnect_random_client() {
     if (requests_.empty())
       return;
-    const auto drawn = std::next(requests_.begin(), static_cast<long>(below(requests_.size())));
-    if (drawn->second.finished)
+    const auto client =
+        std::next(requests_.begin(), static_cast<long>(random_below(requests_.size())));
+    if (client->second.finished)
       return;
-    drawn->second.finished = true;
+    client->second.finished = true;
     ++coverage_.disconnected_clients;
-    harness_.deliver(ClientDisconnected{drawn->first});
+    harness_.deliver(ClientDisconnected{client->first});
   }
 
-  void draw_list() {
-    Endpoint changed = make_endpoint(draw_endpoint());
-    changed.status = kDrawnEndpointStatuses.at(below(kDrawnEndpointStatuses.size()));
-    if (changed.status == EndpointStatus::Up && below(2) != 0)
+  void deliver_random_list() {
+    Endpoint changed = make_endpoint(random_endpoint());
+    changed.status = kEndpointStatuses.at(random_below(kEndpointStatuses.size()));
+    if (changed.status == EndpointStatus::Up && random_below(2) != 0)
       changed.started_at = harness_.now - 5ms;
-    const bool is_delta = below(2) != 0 || changed.status == EndpointStatus::Removed;
+    const bool is_delta = random_below(2) != 0 || changed.status == EndpointStatus::Removed;
     listed_[changed.id] = changed.status;
     if (is_delta)
       harness_.deliver_list({changed}, EndpointList::Kind::Delta);
@@ -213,20 +214,20 @@
     for (auto& [id, status] : listed_) {
       if (id == changed.id || status == EndpointStatus::Removed)
         continue;
-      status = below(4) != 0 ? EndpointStatus::Up : EndpointStatus::Removed;
+      status = random_below(4) != 0 ? EndpointStatus::Up : EndpointStatus::Removed;
       if (status == EndpointStatus::Up)
         endpoints.push_back(make_endpoint(id));
     }
     harness_.deliver_list(std::move(endpoints));
   }
 
-  void draw_health_report() {
-    const EndpointId id = draw_endpoint();
-    const Duration lag = std::chrono::milliseconds(below(1500));
+  void report_random_health() {
+    const EndpointId id = random_endpoint();
+    const Duration lag = std::chrono::milliseconds(random_below(1500));
     harness_.report_health(id, id == 1 ? Role::Primary : Role::Replica, lag);
   }
 
-  EndpointId draw_endpoint() { return static_cast<EndpointId>(1 + below(4)); }
+  EndpointId random_endpoint() { return static_cast<EndpointId>(1 + random_below(4)); }
 
   std::mt19937_64 random_;
   bool hedging_;
@@ -236,11 +237,11 @@
   std::map<EndpointId, EndpointStatus> listed_;
 };
 
-TEST(RouterDrawnHistories, NoAttemptOrHealthCheckBreaksARule) {
+TEST(RouterRandomHistories, NoAttemptOrHealthCheckBreaksARule) {
   Coverage coverage;
 
   for (std::uint64_t seed = 0; seed < 100; ++seed)
-    DrawnHistory(seed, coverage).play();
+    RandomHistory(seed, coverage).run();
 
   EXPECT_GT(coverage.attempts, 3'000U);
   EXPECT_GT(coverage.retries, 300U);
--- a/tests/router/router_endpoint_list_test.cpp
+++ b/tests/router/router_endpoint_list_test.cpp
@@ -32,7 +32,7 @@
   }
 }
 
-TEST(RouterEndpointList, KeepsRemovedEndpointsWhereOnlyDrainingIsBinding) {
+TEST(RouterEndpointList, KeepsRemovedEndpointsWhereTheyMayServe) {
   Settings settings = default_settings();
   settings.removed_endpoints_may_serve = true;
   RouterHarness harness(settings);
--- a/tests/router/router_health_check_test.cpp
+++ b/tests/router/router_health_check_test.cpp
@@ -58,7 +58,7 @@
 /// Plays 40 bounded reads that come further apart than a known position holds, with an expensive
 /// health check, beside writes that the primary answers in `primary_latency`. Returns how many of
 /// the reads a replica served.
-int count_sparse_reads_by_replicas(Duration primary_latency) {
+int count_sparse_reads_served_by_replicas(Duration primary_latency) {
   Settings settings = default_settings();
   settings.health_check_cost = 0.4;
   RouterHarness harness(settings);
@@ -83,10 +83,10 @@
 
 // Most such reads go to the primary unchecked. Once primaries answer as slowly as the target load
 // allows, each read checks a replica first, at any price.
-TEST(RouterHealthCheck, SparseBoundedReadsSpareLoadedPrimary) {
+TEST(RouterHealthCheck, SparseBoundedReadsAvoidSaturatedPrimary) {
   // Ten health checks may go at once and a tenth for each request.
-  EXPECT_LE(count_sparse_reads_by_replicas(20ms), 22);
-  EXPECT_GE(count_sparse_reads_by_replicas(600ms), 26);
+  EXPECT_LE(count_sparse_reads_served_by_replicas(20ms), 22);
+  EXPECT_GE(count_sparse_reads_served_by_replicas(600ms), 26);
 }
 
 // A hundred routers have used up their share of health checks when their group's primary drains.
--- a/tests/router/router_load_test.cpp
+++ b/tests/router/router_load_test.cpp
@@ -6,7 +6,7 @@
 namespace gorsebeam::router_test {
 namespace {
 
-TEST(RouterLoad, SlowAnswersHoldBackLowestPriorityFirst) {
+TEST(RouterLoad, SlowAnswersShedLowestPriorityFirst) {
   Settings settings = default_settings();
   settings.classes[kEventualRead].priority_weight = 1;
   settings.classes[kBoundedRead].priority_weight = 10;
@@ -35,7 +35,7 @@
 /// Draws latencies from an exponential distribution, the same on each platform.
 class LatencySource {
 public:
-  Duration draw(double mean_in_milliseconds) {
+  Duration next(double mean_in_milliseconds) {
     state_ = state_ * 6364136223846793005ULL + 1442695040888963407ULL;
     const double uniform = static_cast<double>(state_ >> 11) / 9007199254740992.0;
     const double milliseconds = -mean_in_milliseconds * std::log(1 - uniform);
@@ -50,7 +50,7 @@
 // latency. What a router mistakes for overload by chance, it rejects for nothing.
 TEST(RouterLoad, FewAnswersShowNoOverload) {
   int requests = 0;
-  int held_back = 0;
+  int not_attempted = 0;
   LatencySource latencies;
   for (int router = 0; router < 100; ++router) {
     RouterHarness harness;
@@ -59,10 +59,10 @@
     for (int i = 0; i < 40; ++i) {
       const std::string id = harness.send_request(kStrongRead);
       const EndpointId endpoint = harness.attempted_endpoint();
-      const Duration latency = latencies.draw(90);  // The objective is 300.
+      const Duration latency = latencies.next(90);  // The objective is 300.
       ++requests;
       if (endpoint == kNoEndpoint) {
-        ++held_back;
+        ++not_attempted;
         harness.deliver(ClientDisconnected{id});
       } else {
         harness.answer(id, endpoint, latency);
@@ -71,10 +71,10 @@
     }
   }
 
-  EXPECT_LT(held_back, requests / 50);
+  EXPECT_LT(not_attempted, requests / 50);
 }
 
-TEST(RouterLoad, LostAnswersAmongQuickOnesHoldNothingBack) {
+TEST(RouterLoad, LostAnswersAmongFastOnesShedNoLoad) {
   RouterHarness harness;
   harness.list_healthy_group();
   int attempts = 0;
--- a/tests/router/router_outlier_ejection_test.cpp
+++ b/tests/router/router_outlier_ejection_test.cpp
@@ -104,7 +104,7 @@
   EXPECT_NE(harness.attempted_endpoint(), kNoEndpoint);
 }
 
-TEST(RouterOutlierEjection, OwnStallEjectsNoEndpoint) {
+TEST(RouterOutlierEjection, RouterStallEjectsNoEndpoint) {
   for (const bool stalled : {true, false}) {
     RouterHarness harness;
     harness.list_healthy_group();
--- a/tests/router/router_replication_position_test.cpp
+++ b/tests/router/router_replication_position_test.cpp
@@ -20,12 +20,12 @@
 /// Session 9 writes, and reads a while after; all replicas are current up to the write.
 struct WriteThenRead {
   std::size_t write_class = kPlainWrite;
-  std::optional<AttemptStatus> write_end;  ///< Empty: the write is still in flight.
+  std::optional<AttemptStatus> write_status;  ///< Empty: the write is still in flight.
   Duration write_elapsed = 30ms;
   std::optional<Duration> assumed_response_delay = 100ms;
 
   /// Whether a replica serves the read; if not, the read needs the write.
-  [[nodiscard]] bool is_read_by_replica() const {
+  [[nodiscard]] bool is_read_served_by_replica() const {
     Settings settings = default_settings();
     settings.session_token_source = SessionTokenSource::Router;
     settings.assumed_response_delay = assumed_response_delay;
@@ -34,8 +34,8 @@
     const std::string id = harness.send_request(write_class, 9);
     EXPECT_EQ(harness.attempted_endpoint(), 1U);
     harness.now += write_elapsed;
-    if (write_end)
-      harness.end_attempt(id, 1, *write_end, RequestState::Finished);
+    if (write_status)
+      harness.end_attempt(id, 1, *write_status, RequestState::Finished);
     harness.now += 5ms;
     harness.send_request(kSessionRead, 9);
     const EndpointId reader = harness.attempted_endpoint();
@@ -111,32 +111,33 @@
 // the session must see it, also where the write ended without an answer, or with one without a
 // commit.
 TEST(RouterReplicationPosition, SessionReadNeedsWriteWithUnknownResult) {
-  EXPECT_FALSE((WriteThenRead{kKeyedWrite, std::nullopt, 100ms}.is_read_by_replica()))
+  EXPECT_FALSE((WriteThenRead{kKeyedWrite, std::nullopt, 100ms}.is_read_served_by_replica()))
       << "the write is in flight and may have been answered";
-  EXPECT_FALSE((WriteThenRead{kPlainWrite, AttemptStatus::Reset}.is_read_by_replica()));
-  EXPECT_FALSE((WriteThenRead{kPlainWrite, AttemptStatus::Timeout}.is_read_by_replica()));
-  EXPECT_FALSE((WriteThenRead{kPlainWrite, AttemptStatus::Error}.is_read_by_replica()));
-  EXPECT_FALSE((WriteThenRead{kKeyedWrite, AttemptStatus::Ok}.is_read_by_replica()))
+  EXPECT_FALSE((WriteThenRead{kPlainWrite, AttemptStatus::Reset}.is_read_served_by_replica()));
+  EXPECT_FALSE((WriteThenRead{kPlainWrite, AttemptStatus::Timeout}.is_read_served_by_replica()));
+  EXPECT_FALSE((WriteThenRead{kPlainWrite, AttemptStatus::Error}.is_read_served_by_replica()));
+  EXPECT_FALSE((WriteThenRead{kKeyedWrite, AttemptStatus::Ok}.is_read_served_by_replica()))
       << "answered without a commit position";
-  EXPECT_TRUE((WriteThenRead{kKeyedWrite, std::nullopt, 90ms}.is_read_by_replica()))
+  EXPECT_TRUE((WriteThenRead{kKeyedWrite, std::nullopt, 90ms}.is_read_served_by_replica()))
       << "in flight for less time than an answer takes to count as known";
-  EXPECT_TRUE((WriteThenRead{kPlainWrite, AttemptStatus::NotSent}.is_read_by_replica()))
+  EXPECT_TRUE((WriteThenRead{kPlainWrite, AttemptStatus::NotSent}.is_read_served_by_replica()))
       << "it never ran";
-  EXPECT_TRUE((WriteThenRead{kPlainWrite, AttemptStatus::Rejected}.is_read_by_replica()))
+  EXPECT_TRUE((WriteThenRead{kPlainWrite, AttemptStatus::Rejected}.is_read_served_by_replica()))
       << "it never ran";
 }
 
 TEST(RouterReplicationPosition, SessionReadNeedsOnlyAnsweredWritesWhereLostAnswersDoNotCount) {
   const Duration elapsed = 500ms;
   const std::optional<Duration> never;
-  EXPECT_TRUE((WriteThenRead{kKeyedWrite, std::nullopt, elapsed, never}.is_read_by_replica()));
   EXPECT_TRUE(
-      (WriteThenRead{kPlainWrite, AttemptStatus::Reset, elapsed, never}.is_read_by_replica()));
+      (WriteThenRead{kKeyedWrite, std::nullopt, elapsed, never}.is_read_served_by_replica()));
+  EXPECT_TRUE((WriteThenRead{kPlainWrite, AttemptStatus::Reset, elapsed, never}
+                   .is_read_served_by_replica()));
   EXPECT_FALSE(
-      (WriteThenRead{kKeyedWrite, AttemptStatus::Ok, elapsed, never}.is_read_by_replica()));
+      (WriteThenRead{kKeyedWrite, AttemptStatus::Ok, elapsed, never}.is_read_served_by_replica()));
 }
 
-TEST(RouterReplicationPosition, OldWritesAreRequiredOfAllSessions) {
+TEST(RouterReplicationPosition, ForgottenWritesAreRequiredOfAllSessions) {
   Settings settings = default_settings();
   settings.session_token_source = SessionTokenSource::Router;
   RouterHarness harness(settings);
--- a/tests/router/router_slow_start_test.cpp
+++ b/tests/router/router_slow_start_test.cpp
@@ -53,7 +53,7 @@
   EXPECT_LT(attempts, 0.35 * requests);
 }
 
-TEST(RouterSlowStart, EndpointBackAtOnceHasNotRestarted) {
+TEST(RouterSlowStart, EndpointThatReturnsAtOnceHasNotRestarted) {
   for (const Duration absence : {10ms, 400ms}) {
     Settings settings = default_settings();
     settings.connect_timeout = 250ms;
--- a/tests/router/session_requirements_test.cpp
+++ b/tests/router/session_requirements_test.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kRead = 0;
 constexpr std::size_t kWrite = 1;
 
-Settings settings_with(SessionTokenSource source) {
+Settings make_settings(SessionTokenSource source) {
   Settings settings;
   settings.classes.resize(2);
   settings.classes[kRead].consistency = ConsistencyLevel::Session;
@@ -19,13 +19,13 @@
   return settings;
 }
 
-Request read_of_session() {
+Request make_session_read() {
   Request read;
   read.session = kSession;
   return read;
 }
 
-PendingRequest write_of_session() {
+PendingRequest make_session_write() {
   PendingRequest write;
   write.request.session = kSession;
   write.request.class_index = kWrite;
@@ -33,9 +33,9 @@
 }
 
 TEST(SessionRequirements, ReadsTheClientsTokenAsAnAge) {
-  const Settings settings = settings_with(SessionTokenSource::Client);
+  const Settings settings = make_settings(SessionTokenSource::Client);
   const SessionRequirements sessions(settings);
-  Request read = read_of_session();
+  Request read = make_session_read();
   EXPECT_EQ(sessions.token_for(read, settings.classes[kRead], TimePoint(100ns)), kUnknownPosition);
   read.session_token_age = 0ns;
   EXPECT_EQ(sessions.token_for(read, settings.classes[kRead], TimePoint(100ns)), kUnknownPosition)
@@ -47,46 +47,46 @@
 }
 
 TEST(SessionRequirements, ASessionsReadsMustSeeItsAnsweredWrite) {
-  const Settings settings = settings_with(SessionTokenSource::Router);
+  const Settings settings = make_settings(SessionTokenSource::Router);
   SessionRequirements sessions(settings);
-  const PendingRequest write = write_of_session();
+  const PendingRequest write = make_session_write();
   UpstreamAttempt attempt;
   attempt.sent_at = TimePoint(10ns);
   AttemptResult result;
   result.replication_position = ReplicationPosition(15ns);
   sessions.record_start(write, TimePoint(10ns));
   sessions.record_end(write, attempt, result, TimePoint(20ns));
-  EXPECT_EQ(sessions.token_for(read_of_session(), settings.classes[kRead], TimePoint(100ns)),
+  EXPECT_EQ(sessions.token_for(make_session_read(), settings.classes[kRead], TimePoint(100ns)),
             ReplicationPosition(15ns));
   EXPECT_EQ(sessions.token_for({}, settings.classes[kRead], TimePoint(100ns)), kUnknownPosition)
       << "another session";
 }
 
-TEST(SessionRequirements, AWriteThatNeverRanBindsNoRead) {
-  const Settings settings = settings_with(SessionTokenSource::Router);
+TEST(SessionRequirements, AWriteThatNeverRanConstrainsNoRead) {
+  const Settings settings = make_settings(SessionTokenSource::Router);
   SessionRequirements sessions(settings);
-  const PendingRequest write = write_of_session();
+  const PendingRequest write = make_session_write();
   AttemptResult result;
   result.status = AttemptStatus::Misdirected;
   result.replication_position = ReplicationPosition(15ns);
   sessions.record_start(write, TimePoint(10ns));
   sessions.record_end(write, {}, result, TimePoint(20ns));
-  EXPECT_EQ(sessions.token_for(read_of_session(), settings.classes[kRead], TimePoint(100ns)),
+  EXPECT_EQ(sessions.token_for(make_session_read(), settings.classes[kRead], TimePoint(100ns)),
             kUnknownPosition);
 }
 
-TEST(SessionRequirements, AWriteThatMayHaveRunBindsReadsUpToItsEnd) {
-  Settings settings = settings_with(SessionTokenSource::Router);
+TEST(SessionRequirements, ReadsMustSeeAWriteThatMayHaveRunUpToItsEnd) {
+  Settings settings = make_settings(SessionTokenSource::Router);
   settings.assumed_response_delay = 50ns;
   SessionRequirements sessions(settings);
-  const PendingRequest write = write_of_session();
+  const PendingRequest write = make_session_write();
   UpstreamAttempt attempt;
   attempt.sent_at = TimePoint(10ns);
   AttemptResult result;
   result.status = AttemptStatus::Timeout;
   sessions.record_start(write, TimePoint(10ns));
   sessions.record_end(write, attempt, result, TimePoint(20ns));
-  EXPECT_EQ(sessions.token_for(read_of_session(), settings.classes[kRead], TimePoint(100ns)),
+  EXPECT_EQ(sessions.token_for(make_session_read(), settings.classes[kRead], TimePoint(100ns)),
             ReplicationPosition(20ns));
 }
 
