--- a/src/connection_pool/pooled_connection.h
+++ b/src/connection_pool/pooled_connection.h
@@ -61,7 +61,7 @@
                    std::unique_ptr<UpstreamProtocol> protocol, EndpointId endpoint,
                    std::string address);
 
-  [[nodiscard]] bool is_open() const { return stream_ && stream_->open(); }
+  [[nodiscard]] bool is_open() const { return stream_ && stream_->is_open(); }
 
   /// Whether the connection is open and has neither unread input nor the end of the endpoint's
   /// sending side. An idle connection that has either is not usable any more.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -63,13 +63,13 @@
       }) {
   const settings::DeploymentProfile& profile = config_.platform.profile;
   const bool serves_mongo = config_.operator_file.gateway.has_mongo();
-  ResourceShare share =
-      compute_share(config_.platform.max_sockets, config_.platform.memory_mb, serves_mongo ? 2 : 1);
+  ResourceShare share = compute_share(config_.platform.max_sockets, config_.platform.memory_mib,
+                                      serves_mongo ? 2 : 1);
   if (profile.settings.connect_timeout > 0ms)
     share.pool.connect_timeout = profile.settings.connect_timeout;
   share.pool.idle_timeout.reset();
-  if (profile.keepalive > 0ms)
-    share.pool.idle_timeout = profile.keepalive;
+  if (profile.endpoint_idle_timeout > 0ms)
+    share.pool.idle_timeout = profile.endpoint_idle_timeout;
   const std::uint64_t seed = config_.platform.seed;
   postgres_ =
       std::make_unique<ProtocolPath>(profile, seed, postgres::make_upstream_protocol, share,
@@ -93,7 +93,7 @@
       [this](const control_plane::ConfigurationUpdate& update) {
         apply_update(update);
       });
-  if (!config_.operator_file.context.postgres_listed)
+  if (!config_.operator_file.context.postgres_members_configured)
     start_discovery();
   control_plane_->start();
   if (auto error = listen(postgres_->frontend(), config_.platform.listen_address, "PostgreSQL"))
@@ -151,7 +151,8 @@
   if (config.operator_file.gateway.has_mongo() != (mongo_ != nullptr))
     return "MongoDB can be turned on or off only by a restart, because the file descriptors are "
            "divided among the protocols at startup";
-  if (config.operator_file.context.postgres_listed != config_.operator_file.context.postgres_listed)
+  if (config.operator_file.context.postgres_members_configured !=
+      config_.operator_file.context.postgres_members_configured)
     return "a change between PostgreSQL members from discovery and from the operators' file "
            "requires a restart";
   return std::nullopt;
@@ -206,12 +207,12 @@
 
 void Gateway::apply_contracts(const config::pb::Contracts& contracts) {
   auto contract_set = std::make_shared<proxy::ContractSet>(
-      config::to_contract_set(contracts, config_.platform.profile.classes));
+      config::to_contract_set(contracts, config_.platform.profile.class_indexes));
   contracts_.replace_contracts(std::move(contract_set), net::now());
 }
 
 void Gateway::apply_endpoints(const config::pb::Members& endpoints) {
-  if (config_.operator_file.context.postgres_listed)
+  if (config_.operator_file.context.postgres_members_configured)
     postgres_->broker().update_endpoints(EndpointList::Kind::Full,
                                          config::to_endpoints(endpoints.postgres()));
   if (mongo_)
--- a/src/router/primary_discovery.cpp
+++ b/src/router/primary_discovery.cpp
@@ -31,18 +31,18 @@
 }
 
 void PrimaryDiscovery::check_roles(const ReplicaGroup& group) {
-  const bool reports_hold_roles = state_.settings.load_reports_hold_roles;
+  const bool reports_contain_roles = state_.settings.load_reports_contain_roles;
   for (const EndpointId id : group.endpoints) {
     EndpointState& endpoint = state_.endpoints.at(id);
-    if (reports_hold_roles || endpoint.is_ejected)
+    if (reports_contain_roles || endpoint.is_ejected)
       state_.health_checks.check(endpoint, 2 * kHealthCheckGap, HealthCheckBudget::Exempt);
   }
 }
 
 bool PrimaryDiscovery::waits_for_reports(const PendingRequest& request) const {
-  const bool reports_hold_roles = state_.settings.load_reports_hold_roles &&
-                                  state_.settings.load_report_source != LoadReportSource::None;
-  return reports_hold_roles && state_.event.now - request.arrived_at < kHealthCheckGap;
+  const bool reports_contain_roles = state_.settings.load_reports_contain_roles &&
+                                     state_.settings.load_report_source != LoadReportSource::None;
+  return reports_contain_roles && state_.event.now - request.arrived_at < kHealthCheckGap;
 }
 
 std::optional<EndpointId> PrimaryDiscovery::choose_candidate(const PendingRequest& request) {
@@ -60,11 +60,11 @@
 bool PrimaryDiscovery::is_candidate(const PendingRequest& request, EndpointState& endpoint) {
   const EndpointId id = endpoint.listing.id;
   const bool is_primary = state_.group_of(request).primary == id;
-  const bool is_alive_primary = is_primary && has_recent_evidence(endpoint);
+  const bool is_live_primary = is_primary && has_recent_evidence(endpoint);
   if (!endpoint.is_usable())
     return false;
   const bool is_backing_off = endpoint.is_ejected && state_.event.now < endpoint.next_recovery_at;
-  if (is_backing_off && !is_alive_primary)
+  if (is_backing_off && !is_live_primary)
     return false;
   if (is_primary && has_evidence_since_attempt(request))
     return true;
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
+using gorsebeam::simulator_adapter::ProtocolError;
 using gorsebeam::simulator_adapter::Session;
-using gorsebeam::simulator_adapter::WireError;
 using testing::HasSubstr;
 
 const char* const kNewInstance =
@@ -31,11 +31,11 @@
     send(R"({"END":{}})");
   }
 
-  /// The message of the error that `line` causes; empty for none.
+  /// Sends `line` and returns the message of the error that it causes; empty if there is none.
   std::string send_malformed(const std::string& line) {
     try {
       send(line);
-    } catch (const WireError& error) {
+    } catch (const ProtocolError& error) {
       return error.what();
     }
     return "";
@@ -68,7 +68,7 @@
           R"({"CALL_OUT":{"router_id":4,"op_id":"abc","give_up_after":398000000,"node":55}})"));
 }
 
-TEST_F(SimulatorSession, NamesWhatIsMalformed) {
+TEST_F(SimulatorSession, NamesTheMalformedPart) {
   start_router();
   EXPECT_THAT(send_malformed("{\"TURN\":"), HasSubstr("not JSON"));
   EXPECT_THAT(send_malformed(R"({"END":{}})"), HasSubstr("outside a batch"));
