--- a/src/connection_pool/connection_pool.h
+++ b/src/connection_pool/connection_pool.h
@@ -51,7 +51,7 @@
   /// The connections to one endpoint.
   struct EndpointConnections {
     std::string address;                  ///< Empty if it was removed or never added.
-    std::vector<PooledConnection*> idle;  ///< In the order in which they became idle.
+    std::vector<PooledConnection*> idle;  ///< Ordered by when they became idle.
     std::size_t count = 0;                ///< All connections, idle or assigned.
   };
 
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -114,7 +114,7 @@
   std::unique_ptr<net::Listener> listener_;
   std::map<ClientConnection*, OwnedConnection> connections_;
   std::vector<OwnedConnection> removed_;  ///< Closed, and destroyed in the next iteration.
-  std::list<OwnedConnection> lingering_;  ///< In the order in which they began to linger.
+  std::list<OwnedConnection> lingering_;  ///< Ordered by when they began to linger.
   net::Timer removal_timer_;
   net::Timer stop_timer_;
   net::Timer maintenance_timer_;
--- a/src/proxy/event_queue.h
+++ b/src/proxy/event_queue.h
@@ -1,7 +1,7 @@
 /// Queues events for the router, in the order in which the router gets them.
 ///
 /// Performs no I/O; runs on one thread. Holds at most one event for each request, attempt and
-/// health check that began or ended since the last dispatch, and each endpoint list.
+/// health check that began or ended since the last dispatch, and one for each endpoint list.
 #pragma once
 
 #include "gorsebeam/events.h"
--- a/src/proxy/interfaces.h
+++ b/src/proxy/interfaces.h
@@ -45,7 +45,8 @@
   /// The commit position of a write, if it differs from `replication_position`.
   std::optional<ReplicationPosition> commit_position;
   LoadReport load_report;
-  ByteSpans body;  ///< With `Ok`; valid during the call that passes it.
+  /// The response body, if `status` is `Ok`. It is valid during the call that passes it.
+  ByteSpans body;
 };
 
 /// A client's open request, owned by its frontend.
--- a/src/proxy/invariant_guard.h
+++ b/src/proxy/invariant_guard.h
@@ -19,7 +19,7 @@
 enum class Violation {
   EndpointDraining,  ///< A send to an endpoint that is listed as draining or removed.
   EndpointUnknown,   ///< A send to an endpoint that is not listed, or not in the request's group.
-  SecondInFlight,    ///< An attempt beside another one of the same request.
+  SecondInFlight,    ///< An attempt while another one of the request is in flight.
   AttemptAfterEnd,   ///< An attempt of a request that is not open any more.
   RetryNotAllowed,   ///< An attempt after one that may have run, where its class forbids that.
   AttemptsExceeded,  ///< An attempt beyond the number that the settings allow.
--- a/src/rate_limit/token_buckets.h
+++ b/src/rate_limit/token_buckets.h
@@ -1,7 +1,7 @@
 /// Request rate limits of teams at this gateway, as one token bucket per team.
 ///
-/// The module is pure: the caller passes the time in, and no call does I/O. It runs on one thread.
-/// It keeps one bucket for each team that has a rate and removes a bucket with its rate.
+/// Performs no I/O; the caller passes the time in. Runs on one thread. Keeps one bucket for each
+/// team that has a rate and removes a bucket with its rate.
 #pragma once
 
 #include "gorsebeam/router.h"
