--- a/fuzz/control.cpp
+++ b/fuzz/control.cpp
@@ -1,6 +1,6 @@
-// Feeds the bytes of a hostile control service to all parts of the gateway that parse them, up to
-// the version tracker. The first byte selects the layer that receives the others: as an xDS
-// message, as gRPC frames or as HTTP/2.
+// Passes the bytes of a malicious control service to all parts of the gateway that parse them, up
+// to the version tracker. The first byte selects how the other bytes are parsed: as an xDS message,
+// as gRPC frames or as HTTP/2.
 #include "config/conversion.h"
 #include "config_versions/version_tracker.h"
 #include "grpc/session.h"
@@ -36,8 +36,8 @@
   return settings;
 }
 
-// A tracker on an open stream. It aborts if the tracker applies resources that are not valid
-// together.
+// A version tracker with an open stream. The process aborts if the tracker applies resources that
+// are not valid together.
 class CheckedTracker {
 public:
   CheckedTracker()
--- a/fuzz/seeds.sh
+++ b/fuzz/seeds.sh
@@ -1,16 +1,17 @@
 #!/bin/sh
-# Writes seeds for control_fuzz into the folder $1: responses of a control service, as messages, in gRPC frames and in HTTP/2.
+# Writes the seed inputs of control_fuzz into the folder $1. Each response of a control service is written three times: as a
+# bare message, in a gRPC frame and in HTTP/2.
 set -eu
 cd "$(dirname "$0")/.."
 out=$1
 mkdir -p "$out"
 octal() { printf '\\%03o' "$@"; }
-length() { # $1 in $2 big-endian bytes
+length() { # writes the number $1 as $2 bytes in big-endian order
   n=$1 bytes=''
   for _ in $(seq "$2"); do bytes="$(octal $((n % 256)))$bytes" n=$((n / 256)); done
   printf "$bytes"
 }
-seed() { # $1: name; standard input: a response as text
+seed() { # $1: name of the seed; standard input: a DiscoveryResponse in protobuf text format
   protoc -I schema --encode=gorsebeam.xds.v3.DiscoveryResponse gorsebeam/xds/v3/discovery.proto \
     gorsebeam/config/v1/config.proto > "$out/m"
   size=$(wc -c < "$out/m")
--- a/src/config_versions/actions.h
+++ b/src/config_versions/actions.h
@@ -1,4 +1,4 @@
-/// What the version tracker asks its embedder to do.
+/// The actions that the version tracker requests from its caller, the control plane client.
 #pragma once
 
 #include "configuration.h"
@@ -11,61 +11,61 @@
 
 namespace gorsebeam::config_versions {
 
-/// Connect to the control service and open the stream; `on_stream_opened` or `on_stream_lost`
-/// follows.
+/// Connect to the control service and open the stream; then call `on_stream_opened` or
+/// `on_stream_lost`.
 struct OpenStream {
   std::string address;
 };
 
-/// Close the connection; it must cause no further event.
+/// Close the connection; it must not cause any further event.
 struct CloseStream {};
 
-/// Send an HTTP/2 PING; its acknowledgement is reported by `on_bytes_received`.
+/// Send an HTTP/2 PING; report its acknowledgement by `on_bytes_received`.
 struct SendPing {};
 
-/// Put the content in force.
+/// Apply the content.
 struct ApplyConfiguration {
   Bodies bodies;
-  /// Whether the content of each type differs from the previous action of this kind.
+  /// For each type, whether its content differs from the previous ApplyConfiguration action.
   std::array<bool, kResourceTypeCount> changed{};
 };
 
-/// Write the accepted versions to disk, as they have changed.
+/// Write the accepted versions, which have changed, to disk.
 struct WriteSnapshot {};
 
-/// The response that a log event is about.
+/// Identifies the response that a log event reports.
 struct ResponseIdentity {
   std::optional<ResourceType> type;
   std::string version;
   std::string nonce;
 };
 
-/// Log: the stream is lost; a reconnection follows.
+/// Log that the stream was lost; the tracker will connect again.
 struct StreamLost {
   std::string error;
 };
 
-/// Log: the first response is accepted after the stream was lost.
+/// Log that the first response after the loss of a stream was accepted.
 struct StreamRestored {};
 
-/// Log: a response has arrived.
+/// Log that a response has arrived.
 struct VersionReceived {
   ResponseIdentity response;
 };
 
-/// Log: a response is accepted (ACK).
+/// Log that a response was accepted (ACK).
 struct VersionAccepted {
   ResponseIdentity response;
   std::string detail;
 };
 
-/// Log: a response is rejected (NACK).
+/// Log that a response was rejected (NACK).
 struct VersionRejected {
   ResponseIdentity response;
   std::string error;
 };
 
-/// Log: a response waits for another type.
+/// Log that a response waits for a response of another type.
 struct VersionPending {
   ResponseIdentity response;
   std::string waiting_for;
--- a/src/config_versions/configuration.h
+++ b/src/config_versions/configuration.h
@@ -1,5 +1,5 @@
-/// The values that the version tracker uses: resource types, versions, and the messages of a
-/// control service after they are decoded and validated one by one.
+/// Defines the values that the version tracker uses: resource types, versions, and the messages
+/// exchanged with a control service, each decoded and validated without regard to the others.
 #pragma once
 
 #include "gorsebeam/time.h"
@@ -21,26 +21,28 @@
 constexpr std::array<ResourceType, kResourceTypeCount> kResourceTypes = {
     ResourceType::Contracts, ResourceType::Members, ResourceType::Limits};
 
-/// "contracts", "members" or "limits".
+/// Returns "contracts", "members" or "limits".
 [[nodiscard]] const char* resource_type_name(ResourceType type);
 
 [[nodiscard]] constexpr std::size_t index_of(ResourceType type) {
   return static_cast<std::size_t>(type);
 }
 
-/// The content of one type. Only the embedder interprets it.
+/// The content of one resource type. Only the tracker's caller and its `Validator` interpret it.
 using Body = std::shared_ptr<const void>;
 using Bodies = std::array<Body, kResourceTypeCount>;
 
 /// The source of a version that was read from the operators' file.
 constexpr const char* kFileSource = "file";
 
-/// One version of one type.
+/// One version of one resource type.
 struct Version {
   Body body;
-  /// The name that the control service gave to the version; empty for one of the operators' file.
+  /// The name that the control service gave to the version; empty for a version of the operators'
+  /// file.
   std::string version;
-  /// Grows with each change. 0 means unnumbered, which is valid only in the operators' file.
+  /// The number of the version, which grows with each change. 0 means unnumbered, which is valid
+  /// only in the operators' file.
   std::uint64_t generation = 0;
   std::uint64_t content_hash = 0;
   /// `kFileSource`, or the address of the control service.
@@ -52,26 +54,26 @@
 
 using FileVersions = std::array<Version, kResourceTypeCount>;
 
-/// The accepted version of one type.
+/// The accepted version of one resource type.
 struct AcceptedVersion {
   Version running;
-  /// The highest generation that was ever accepted; it exceeds `running.generation` after a
+  /// The highest generation that was ever accepted. It exceeds `running.generation` after a
   /// rollback.
   std::uint64_t newest_generation = 0;
 };
 
-/// The accepted version of each type.
+/// The accepted version of each resource type.
 using AcceptedVersions = std::array<AcceptedVersion, kResourceTypeCount>;
 
-/// The versions of a snapshot; nothing for a type that it does not hold.
+/// The versions of a snapshot; nothing for a type that the snapshot does not hold.
 using SnapshotVersions = std::array<std::optional<AcceptedVersion>, kResourceTypeCount>;
 
-/// States why bodies are not valid together.
+/// States why the bodies of different types are not valid together.
 struct ValidationError {
   enum class Code {
-    /// The content is invalid with any content of the other types.
+    /// The content is invalid, whatever the content of the other types is.
     InvalidContent,
-    /// The content refers to something that a later version of another type may define.
+    /// The content refers to a name that a later version of another type may define.
     UnresolvedReference,
   };
 
@@ -82,27 +84,27 @@
 /// Returns the first error of a set of bodies, or nothing if they are valid together.
 using Validator = std::function<std::optional<ValidationError>(const Bodies&)>;
 
-/// States why a response of the control service is rejected; `message` becomes the NACK's
-/// error_detail.
+/// States why a response of the control service is rejected. `message` is sent in the error_detail
+/// of the NACK.
 struct RejectionError {
   enum class Code {
     UnknownResourceType,
-    /// The response is invalid, independent of what runs.
+    /// The response is invalid, whatever versions are running.
     InvalidResponse,
-    /// The response is valid, but not together with what runs.
+    /// The response is valid by itself, but not together with the running versions.
     InvalidContent,
     MissingGeneration,
-    /// The generation is older than the newest accepted one.
+    /// The generation is older than the newest accepted generation.
     OlderGeneration,
     /// The generation was accepted before and has been rolled back.
     RolledBackGeneration,
     /// The generation was accepted before with other content.
     ConflictingContent,
-    /// The rollback names a generation that is older than the newest accepted one.
+    /// The response rolls back a generation that is older than the newest accepted generation.
     OutdatedRollback,
-    /// A later response of the type arrived while this one waited for another type.
+    /// A later response of the same type arrived while this one waited for another type.
     Superseded,
-    /// No other type defined what the response refers to before the deadline.
+    /// No version of another type defined what the response refers to before the deadline.
     DependencyTimeout,
   };
 
@@ -110,7 +112,7 @@
   std::string message;
 };
 
-/// One response of the control service, decoded and validated without the other types.
+/// One response of the control service, decoded and validated without regard to other types.
 struct DiscoveryResponse {
   /// Nothing if `type_url` names no known type.
   std::optional<ResourceType> type;
@@ -118,11 +120,11 @@
   std::string version;
   std::string nonce;
   std::uint64_t generation = 0;
-  /// The generation that this one rolls back; 0 if it is no rollback.
+  /// The generation that the response rolls back; 0 if the response is no rollback.
   std::uint64_t rolls_back = 0;
   std::uint64_t content_hash = 0;
   Body body;
-  /// Why the response cannot be used; nothing if it is valid.
+  /// The reason why the response is rejected; nothing if it is valid by itself.
   std::optional<RejectionError> error;
 };
 
@@ -133,7 +135,7 @@
   std::string type_url;
   /// The version that the gateway runs.
   std::string version;
-  /// The nonce of the response that is answered.
+  /// The nonce of the response that the request acknowledges or rejects.
   std::string nonce;
   std::optional<RejectionError> error;
 };
--- a/src/config_versions/generation_order.h
+++ b/src/config_versions/generation_order.h
@@ -1,4 +1,4 @@
-/// Decides whether a response may replace the accepted version of its type.
+/// Decides by its generation whether a response may replace the accepted version of its type.
 #pragma once
 
 #include "configuration.h"
@@ -7,8 +7,8 @@
 
 namespace gorsebeam::config_versions {
 
-/// Returns why `response` may not replace what runs, or nothing if it may. Generations have an
-/// order; the version names of a control service have none.
+/// Returns why `response` may not replace the running version, or nothing if it may. Only
+/// generations are compared, as the version names of a control service have no order.
 [[nodiscard]] std::optional<RejectionError>
 check_generation_order(const AcceptedVersion& accepted, const DiscoveryResponse& response);
 
--- a/src/config_versions/pending_responses.cpp
+++ b/src/config_versions/pending_responses.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::array<unsigned, 7> kTypeSetsLargestFirst = {0b111, 0b011, 0b101, 0b110,
                                                            0b001, 0b010, 0b100};
-static_assert(kResourceTypeCount == 3, "the sets above are those of three types");
+static_assert(kResourceTypeCount == 3, "kTypeSetsLargestFirst lists the subsets of three types");
 
 }  // namespace
 
--- a/src/config_versions/stream_backoff.cpp
+++ b/src/config_versions/stream_backoff.cpp
@@ -5,12 +5,13 @@
 namespace gorsebeam::config_versions {
 namespace {
 
-// Larger shifts are not needed, and would overflow.
+// More doublings are not needed, as the bound has reached its maximum before, and could overflow.
 constexpr int kMaxDoublings = 30;
 
 }  // namespace
 
-// xorshift64* (S. Vigna, "An experimental exploration of Marsaglia's xorshift generators").
+// The generator is xorshift64* (S. Vigna, "An experimental exploration of Marsaglia's xorshift
+// generators").
 std::uint64_t StreamBackoff::draw() {
   random_state_ ^= random_state_ >> 12;
   random_state_ ^= random_state_ << 25;
--- a/src/config_versions/stream_lifecycle.cpp
+++ b/src/config_versions/stream_lifecycle.cpp
@@ -105,7 +105,11 @@
   if (now < deadline_)
     return;
   actions.emplace_back(CloseStream{});
-  on_lost(now, {StreamError::Code::ConnectTimeout, "it did not come up in time"}, actions);
+  on_lost(now,
+          {StreamError::Code::ConnectTimeout, "the connection was not established within " +
+                                                  std::to_string(settings_.connect_timeout / 1ms) +
+                                                  " ms"},
+          actions);
 }
 
 void StreamLifecycle::check_keepalive(TimePoint now, Actions& actions) {
@@ -118,7 +122,11 @@
   if (!ping_sent_ || time_since_receipt < 2 * settings_.keepalive_interval)
     return;
   actions.emplace_back(CloseStream{});
-  on_lost(now, {StreamError::Code::KeepaliveTimeout, "it is silent, also when asked"}, actions);
+  on_lost(now,
+          {StreamError::Code::KeepaliveTimeout,
+           "the control service is silent: nothing received for " +
+               std::to_string(time_since_receipt / 1ms) + " ms, and no answer to a ping"},
+          actions);
 }
 
 }  // namespace gorsebeam::config_versions
--- a/src/config_versions/version_tracker.cpp
+++ b/src/config_versions/version_tracker.cpp
@@ -30,7 +30,7 @@
   return bodies;
 }
 
-// ---- Versions of the file and of a snapshot
+// ---- Versions of the operators' file and of a snapshot
 
 void VersionTracker::set_file_versions(FileVersions versions) {
   for (std::size_t i = 0; i < kResourceTypeCount; ++i) {
@@ -60,7 +60,7 @@
 }
 
 void VersionTracker::start(TimePoint now, Actions& actions) {
-  // The snapshot on disk already holds what is applied here, so it is not written again.
+  // No WriteSnapshot: the snapshot on disk already holds the versions that are applied here.
   actions.emplace_back(apply_scheduler_.apply(now, accepted_));
   stream_.start(now, actions);
 }
@@ -77,10 +77,11 @@
   }
   if (auto error = validator_(bodies))
     return error;
-  // Not delayed by apply_interval: an operator waits for the result.
+  // The versions are applied at once, without regard to apply_interval, as an operator waits for
+  // the result.
   if (replace_with_file_versions(now, std::move(versions), replaced))
     apply(now, actions);
-  // Pending responses may be valid with the new versions.
+  // Pending responses may have become valid with the new versions.
   accept_pending(now, actions);
   return std::nullopt;
 }
@@ -161,8 +162,9 @@
   add_pending(now, response, actions);
 }
 
-// Accepts the response at once if it is valid with what runs and what is pending; otherwise keeps
-// it pending if another type may still bring what it refers to, or rejects it.
+// Accepts the response at once if it is valid with the running versions and the pending responses.
+// Otherwise it stays pending if a later version of another type may make it valid; if not, it is
+// rejected.
 void VersionTracker::add_pending(TimePoint now, const DiscoveryResponse& response,
                                  Actions& actions) {
   const ResourceType type = *response.type;
@@ -184,8 +186,8 @@
 
 // ---- Acceptance
 
-// Accepts the largest set of pending responses that is valid with what runs, as a whole: it is
-// applied only once all its types are in place.
+// Accepts the largest set of pending responses that is valid with the running versions. All types
+// of the set are replaced before any is applied, so that no invalid combination is applied.
 void VersionTracker::accept_pending(TimePoint now, Actions& actions) {
   const TypeSet types = pending_.find_largest_valid_set(running_bodies(), validator_);
   bool content_changed = false;
@@ -193,7 +195,7 @@
     if (!types[index_of(type)])
       continue;
     const DiscoveryResponse response = pending_.remove(type)->response;
-    // The file may have brought the same content since the response arrived.
+    // A reload of the operators' file may have set the same content since the response arrived.
     if (matches_running(response, accepted_of(type).running)) {
       accept_running_content(type, response, actions);
       continue;
@@ -212,10 +214,11 @@
                                             Actions& actions) {
   const bool was_from_file = accepted_of(type).running.is_from_file();
   record_accepted_version(type, response);
-  // A snapshot holds the versions of a control service, of which this is one only now.
+  // A snapshot holds only versions of a control service. The running version has just become one,
+  // so the snapshot must be written although the content is unchanged.
   if (was_from_file)
     actions.emplace_back(WriteSnapshot{});
-  acknowledge(type, response, "the same as runs", actions);
+  acknowledge(type, response, "content unchanged", actions);
 }
 
 void VersionTracker::accept_new_content(TimePoint now, ResourceType type,
@@ -228,7 +231,7 @@
   acknowledge(type, response, "generation " + std::to_string(response.generation), actions);
 }
 
-// Records the generation, version and source of an accepted response as those of what runs.
+// Sets the generation, version and source of the running version to those of an accepted response.
 void VersionTracker::record_accepted_version(ResourceType type, const DiscoveryResponse& response) {
   AcceptedVersion& accepted = accepted_of(type);
   accepted.newest_generation = std::max(accepted.newest_generation, response.generation);
--- a/src/config_versions/version_tracker.h
+++ b/src/config_versions/version_tracker.h
@@ -1,16 +1,17 @@
-/// Decides which version of each resource type runs. It is the client of the xDS transport protocol
-/// (state of the world) for types that refer to each other.
+/// Decides which version of each resource type runs. It implements the client of the xDS transport
+/// protocol ("state of the world" variant) for types that refer to each other.
 /// Source: "xDS REST and gRPC protocol", Envoy documentation.
 ///
-/// Pure: it takes events with their time and returns actions; it uses no I/O, clock or thread.
-/// Memory is bounded: for each type, one version that runs and one that waits for another type.
+/// The tracker takes events with their time and returns actions; it uses no I/O, clock or thread.
+/// Its memory is bounded: for each type it holds one running version and at most one pending
+/// response.
 ///
-/// Invariants, checked by tests/version_tracker_test.cpp and model/versions.pml:
+/// Invariants, checked by tests/version_tracker_history_test.cpp and model/versions.pml:
 ///  - each running version was accepted as a whole, and the types are valid together;
-///  - no older generation replaces a newer one without a rollback that names the newest;
+///  - no older generation replaces a newer one, except a rollback that names the newest one;
 ///  - after the loss of the stream, an attempt to connect follows within `max_reconnect_backoff`;
 ///  - each response of a stream is acknowledged or rejected at most once, and exactly once if the
-///    stream lasts for `dependency_timeout`.
+///    stream lasts for another `dependency_timeout`.
 #pragma once
 
 #include "actions.h"
@@ -28,35 +29,37 @@
 
 struct TrackerSettings {
   StreamSettings stream;
-  /// Time for which a response waits for another type that it refers to.
+  /// Longest time for which a response waits for a response of another type.
   Duration dependency_timeout = 3s;
   /// Shortest time between two ApplyConfiguration actions that responses cause.
   Duration apply_interval = 50ms;
   std::uint64_t seed = 1;
 };
 
-/// The caller passes times that never decrease, and performs the appended actions in their order.
+/// The caller passes times that never decrease, and executes the actions that the functions append
+/// to `actions` in their order.
 class VersionTracker {
 public:
   VersionTracker(TrackerSettings settings, Validator validator);
 
-  /// Sets the versions that run first. Call it before `start`.
+  /// Sets the initial versions, those of the operators' file. Call it before `start`.
   void set_file_versions(FileVersions versions);
 
-  /// Replaces the file's versions by those of a snapshot that are at least as new: all of them, or
-  /// none if the result is not valid. Call it after `set_file_versions` and before `start`.
+  /// Replaces the versions of the operators' file by those of the snapshot that are at least as
+  /// new. Changes nothing and returns the error if the result is not valid. Call it after
+  /// `set_file_versions` and before `start`.
   [[nodiscard]] std::optional<ValidationError> restore_snapshot(SnapshotVersions snapshot);
 
   /// Applies the current versions and connects.
   void start(TimePoint now, Actions& actions);
 
-  /// Replaces the versions by those of the operators' file, which was read again: each one of the
-  /// file, and one of a control service only if the file's generation is newer. Changes nothing on
-  /// an error.
+  /// Applies the versions of the operators' file after it was read again. A running version of the
+  /// file is always replaced, a version of a control service only if the file's generation is newer
+  /// than every accepted one. Changes nothing and returns the error if the result is not valid.
   [[nodiscard]] std::optional<ValidationError>
   replace_file_versions(TimePoint now, FileVersions versions, Actions& actions);
 
-  /// Replaces the settings. A change of addresses ends the stream.
+  /// Replaces the settings. If the addresses change, the stream is closed.
   void update_settings(TimePoint now, TrackerSettings settings, Actions& actions);
 
   void on_stream_opened(TimePoint now, Actions& actions);
@@ -70,7 +73,7 @@
   /// Call it at `next_deadline`, or at any other time.
   void on_timer(TimePoint now, Actions& actions);
 
-  /// The next time at which `on_timer` has an effect, or `kNever`.
+  /// Returns the next time at which `on_timer` has an effect, or `kNever`.
   [[nodiscard]] TimePoint next_deadline() const;
 
   [[nodiscard]] const AcceptedVersion& accepted(ResourceType type) const {
@@ -93,8 +96,8 @@
 
   [[nodiscard]] Bodies running_bodies() const;
 
-  /// Replaces the versions of the given types by those of the file; returns whether the content of
-  /// one of them differs.
+  /// Replaces the running versions of `types` by those of the file. Returns whether the content of
+  /// any of these types changed.
   [[nodiscard]] bool replace_with_file_versions(TimePoint now, FileVersions versions,
                                                 TypeSet types);
 
--- a/src/control_plane/configuration_update.h
+++ b/src/control_plane/configuration_update.h
@@ -1,4 +1,4 @@
-/// What the gateway puts in force when configuration versions change.
+/// Translates an action of the version tracker into the configuration that the gateway applies.
 #pragma once
 
 #include "config_versions/actions.h"
@@ -10,8 +10,8 @@
 
 namespace gorsebeam::control_plane {
 
-/// The new content of each type that has changed; nothing for a type that has not. The messages are
-/// borrowed: they live as long as the ApplyConfiguration action.
+/// The new content of each resource type that has changed; nothing for a type that has not. The
+/// update does not own the messages: they live as long as the ApplyConfiguration action.
 struct ConfigurationUpdate {
   template <typename Message>
   using Change = std::optional<std::reference_wrapper<const Message>>;
@@ -21,8 +21,8 @@
   Change<config::v1::Limits> limits;
 };
 
-/// Names the bodies of an action, which must be those of `xds::contracts_of`, `members_of` and
-/// `limits_of`.
+/// Returns references to the changed bodies of `action`, which must hold the message types that
+/// `xds::contracts_of`, `xds::members_of` and `xds::limits_of` return.
 [[nodiscard]] ConfigurationUpdate
 to_configuration_update(const config_versions::ApplyConfiguration& action);
 
--- a/src/control_plane/control_plane_client.cpp
+++ b/src/control_plane/control_plane_client.cpp
@@ -86,9 +86,11 @@
     tracker_.on_response(net::now(), response.value(), actions_);
   } else {
     channel_.close();
-    tracker_.on_stream_lost(
-        net::now(), {StreamError::Code::UnreadableMessage, "it sent a message that cannot be read"},
-        actions_);
+    tracker_.on_stream_lost(net::now(),
+                            {StreamError::Code::UnreadableMessage,
+                             "received a message of " + std::to_string(bytes.size()) +
+                                 " bytes that cannot be read as a DiscoveryResponse"},
+                            actions_);
   }
   execute_actions();
 }
@@ -105,8 +107,8 @@
 
 // ---- Actions
 
-// An action may cause events at once; the actions that they request are executed after those that
-// were requested before. The outermost call executes all.
+// An action may cause events while it is executed. The actions that these events request are
+// executed by the outermost call, after all actions that were requested earlier.
 void ControlPlaneClient::execute_actions() {
   if (is_executing_)
     return;
--- a/src/control_plane/control_plane_client.h
+++ b/src/control_plane/control_plane_client.h
@@ -1,7 +1,7 @@
-/// Connects the version tracker with its environment: it passes the operators' file, the messages
-/// of the control service and the time to the tracker, and performs the tracker's actions on the
-/// gRPC channel, the snapshot, the log and the gateway. Without a control service it neither
-/// connects nor writes anything.
+/// Connects the version tracker to its environment: passes the operators' file, the messages of the
+/// control service and the time to the tracker, and executes the tracker's actions on the gRPC
+/// channel, the snapshot, the log and the gateway. Without a configured control service it opens no
+/// connection and writes no snapshot.
 #pragma once
 
 #include "configuration_update.h"
@@ -19,22 +19,23 @@
 
 namespace gorsebeam::control_plane {
 
-/// All runs on the main loop's thread.
+/// All functions and callbacks run on the main loop's thread.
 class ControlPlaneClient : grpc::Channel::Events {
 public:
-  /// Puts the changed content in force, which has been checked.
+  /// Applies changed content, which is already validated.
   using ApplyCallback = std::function<void(const ConfigurationUpdate&)>;
 
-  /// `seed` spreads the reconnections of many gateways.
+  /// `seed` determines the random reconnection delays; it should differ between gateways, so that
+  /// they do not reconnect at the same time.
   ControlPlaneClient(const config::OperatorFile& file, std::uint64_t seed, ApplyCallback apply);
 
-  /// Restores the snapshot, applies the resulting versions and connects.
+  /// Restores the snapshot, applies the resulting versions and connects to the control service.
   void start();
 
-  /// Disconnects; no version is applied from now on.
+  /// Disconnects from the control service. No version is applied afterwards.
   void stop();
 
-  /// Takes over the operators' file, read again. Changes nothing on an error.
+  /// Applies the operators' file after it was read again. Changes nothing on an error.
   [[nodiscard]] std::optional<config_versions::ValidationError>
   reload_file(const config::OperatorFile& file);
 
@@ -72,9 +73,9 @@
   ApplyCallback apply_callback_;
   State state_ = State::Active;
   config_versions::VersionTracker tracker_;
-  /// Actions that the tracker has requested and that are not executed yet.
+  /// Actions that the tracker has requested and that have not been executed yet.
   config_versions::Actions actions_;
-  /// Set while actions are executed, as an action may cause events.
+  /// Set while `execute_actions` runs, because an action may cause events that call it again.
   bool is_executing_ = false;
   grpc::Channel channel_;
   SnapshotManager snapshots_;
--- a/src/control_plane/snapshot_manager.cpp
+++ b/src/control_plane/snapshot_manager.cpp
@@ -21,7 +21,8 @@
   net::log({"snapshot_rejected", {{"error", error}}});
 }
 
-/// "contracts version c3, limits version l1"
+/// Returns the versions that a control service sent, such as "contracts version c3, limits version
+/// l1".
 std::string describe_pushed_versions(const config_versions::VersionTracker& tracker) {
   std::string text;
   for (const config_versions::ResourceType type : config_versions::kResourceTypes) {
--- a/src/control_plane/snapshot_manager.h
+++ b/src/control_plane/snapshot_manager.h
@@ -1,5 +1,5 @@
-/// Restores the version tracker from the snapshot of the operators' state folder, and writes what
-/// the tracker accepts to it.
+/// Restores the version tracker from the snapshot in the operators' state folder, and writes the
+/// versions that the tracker has accepted to that snapshot.
 #pragma once
 
 #include "config/validation.h"
@@ -10,18 +10,20 @@
 
 namespace gorsebeam::control_plane {
 
-/// All runs on the main loop's thread; `restore` blocks on the disk, `write` does not. Results go
-/// to the log.
+/// All functions run on the main loop's thread; `restore` blocks on the disk, `write` does not.
+/// Both report their results in the log.
 class SnapshotManager {
 public:
   SnapshotManager();
 
-  /// Makes a gateway that reaches no control service serve from the last good versions. Leaves the
-  /// tracker as it is if there is no snapshot, or none that is valid at `context`.
+  /// Restores the last good versions, so that a gateway that cannot reach a control service serves
+  /// with them. Leaves the tracker unchanged if `folder` holds no snapshot, or one that is not
+  /// valid in `context`.
   static void restore(const std::string& folder, const config::ValidationContext& context,
                       config_versions::VersionTracker& tracker);
 
-  /// Writes in the background. Does nothing if all versions are those of the operators' file.
+  /// Writes the tracker's accepted versions in the background. Does nothing if all of them come
+  /// from the operators' file.
   void write(const std::string& folder, const config_versions::VersionTracker& tracker);
 
 private:
--- a/src/control_plane/tracker_settings.h
+++ b/src/control_plane/tracker_settings.h
@@ -1,4 +1,5 @@
-/// Translates the operators' file into what the version tracker works with. Pure.
+/// Translates the operators' file into the settings and versions of the version tracker. The
+/// functions are pure.
 #pragma once
 
 #include "config/operator_file.h"
@@ -8,12 +9,12 @@
 
 namespace gorsebeam::control_plane {
 
-/// The settings of the file's control service; each that is 0 or missing has its default. `seed`
-/// spreads the reconnections of many gateways.
+/// Returns the settings of the file's control service; a setting that is 0 or missing gets its
+/// default. `seed` determines the random reconnection delays.
 [[nodiscard]] config_versions::TrackerSettings
 make_tracker_settings(const config::OperatorFile& file, std::uint64_t seed);
 
-/// The contracts, members and limits of the file.
+/// Returns the contracts, members and limits of the file.
 [[nodiscard]] config_versions::FileVersions make_file_versions(const config::OperatorFile& file);
 
 }  // namespace gorsebeam::control_plane
--- a/src/grpc/channel.cpp
+++ b/src/grpc/channel.cpp
@@ -10,7 +10,8 @@
   path_ = path;
   stream_ = net::Stream::connect(address, *this);
   if (!stream_)
-    return ChannelError{ChannelError::Code::InvalidAddress, "no connection can be opened"};
+    return ChannelError{ChannelError::Code::InvalidAddress,
+                        "cannot open a connection to " + address};
   return std::nullopt;
 }
 
@@ -52,7 +53,8 @@
   write_output();
 }
 
-// Output that the kernel does not accept stays in the session until the connection is flushed.
+// Writes the session's output until the kernel accepts no more; the rest stays in the session until
+// `flushed` is called.
 void Channel::write_output() {
   while (session_ && stream_ && stream_->all_written()) {
     const std::string_view bytes = session_->next_output();
@@ -63,7 +65,7 @@
 }
 
 void Channel::received() {
-  const auto session = session_;  // an event handler may close the channel, or open it anew
+  const auto session = session_;  // an event handler may close or reopen the channel
   session->receive(stream_->input().view(), net::now());
   stream_->input().consume(stream_->input().size());
   events_.on_bytes_received();
--- a/src/grpc/channel.h
+++ b/src/grpc/channel.h
@@ -1,4 +1,4 @@
-/// A gRPC session on a TCP connection of the main loop, without TLS.
+/// Runs a gRPC session over a TCP connection without TLS, on the main loop.
 #pragma once
 
 #include "net/stream.h"
@@ -11,7 +11,7 @@
 
 namespace gorsebeam::grpc {
 
-/// States why a channel is not connected; `message` is one clause for the log.
+/// States why a channel is not connected. `message` is a clause for the log.
 struct ChannelError {
   enum class Code { InvalidAddress, ConnectionLost, SessionEnded };
 
@@ -19,11 +19,12 @@
   std::string message;
 };
 
-/// Carries bytes between one connection and one session. All runs on the main loop's thread.
+/// Passes bytes between one connection and one session. All functions and callbacks run on the main
+/// loop's thread.
 class Channel : net::Stream::Events {
 public:
-  /// Receives what happens on the channel, from the main loop. Each function may close the channel
-  /// or open it anew.
+  /// The callbacks of a channel, which the main loop calls. Each of them may close the channel or
+  /// open it again.
   class Events {
   public:
     Events() = default;
@@ -31,15 +32,16 @@
     Events& operator=(const Events&) = delete;
     virtual ~Events() = default;
 
-    /// The connection is established, and the call is submitted.
+    /// The connection is established, and the gRPC call is submitted.
     virtual void on_connected() = 0;
 
-    /// Bytes arrived, whether or not they complete a message.
+    /// Bytes arrived from the peer, whether or not they complete a message.
     virtual void on_bytes_received() = 0;
 
     virtual void on_message(std::string_view message) = 0;
 
-    /// The connection or the session has ended; called once, and never after `close`.
+    /// The connection or the session has ended. Called at most once for each `open`, and never
+    /// after `close`.
     virtual void on_disconnected(const ChannelError& error) = 0;
   };
 
@@ -51,15 +53,15 @@
   Channel(const Channel&) = delete;
   Channel& operator=(const Channel&) = delete;
 
-  /// Closes the channel and connects to a numeric address and port, to call the method `path`.
-  /// Error: InvalidAddress.
+  /// Closes the channel, then connects to `address`, a numeric address and port, and calls the gRPC
+  /// method `path`. Error: InvalidAddress, also if no socket can be opened.
   [[nodiscard]] std::optional<ChannelError> open(const std::string& address,
                                                  const std::string& path);
 
-  /// Does nothing unless the channel is connected.
+  /// Sends a message. Does nothing unless the channel is connected.
   void send_message(std::string_view message);
 
-  /// Does nothing unless the channel is connected.
+  /// Sends an HTTP/2 PING. Does nothing unless the channel is connected.
   void send_ping();
 
   void close();
--- a/src/grpc/message_framing.cpp
+++ b/src/grpc/message_framing.cpp
@@ -28,9 +28,9 @@
 const char* framing_error_message(FramingError error) {
   switch (error) {
   case FramingError::CompressedMessage:
-    return "a message is said to be compressed, which was not agreed";
+    return "received a compressed message, but no compression was negotiated";
   case FramingError::MessageTooLong:
-    return "a message is said to be longer than 4 MiB";
+    return "received the length prefix of a message longer than 4 MiB";
   }
   return "";
 }
@@ -53,7 +53,7 @@
   std::optional<std::string> message(bytes_.substr(kPrefixSize, size));
   bytes_.erase(0, kPrefixSize + size);
   if (bytes_.empty())
-    std::string().swap(bytes_);  // an idle stream allocates no memory
+    std::string().swap(bytes_);  // frees the memory while the stream is idle
   return {std::move(message)};
 }
 
--- a/src/grpc/message_framing.h
+++ b/src/grpc/message_framing.h
@@ -1,5 +1,6 @@
-/// Frames messages in a stream of bytes: a flag for compression, a length of four bytes in network
-/// order, and the message. Pure. Source: "gRPC over HTTP2", "Length-Prefixed-Message".
+/// Frames messages in a stream of bytes. A frame is a compression flag of one byte, the length of
+/// the message in four bytes in network byte order, and the message. The code does no I/O. Source:
+/// "gRPC over HTTP2", "Length-Prefixed-Message".
 #pragma once
 
 #include "common/result.h"
@@ -11,34 +12,34 @@
 
 namespace gorsebeam::grpc {
 
-/// Size of the largest message that is accepted.
+/// Size of the largest message that the reader accepts.
 constexpr std::size_t kMaxMessageBytes = 4 << 20;
 
-/// Returns `message` with its prefix, uncompressed.
+/// Returns the frame of `message`, uncompressed.
 [[nodiscard]] std::string frame_message(std::string_view message);
 
-/// Why a stream of frames cannot be parsed any further.
+/// The reason why a stream of frames cannot be parsed any further.
 enum class FramingError { CompressedMessage, MessageTooLong };
 
-/// One clause for the log.
+/// Returns a clause for the log that describes the error.
 [[nodiscard]] const char* framing_error_message(FramingError error);
 
-/// Extracts messages from bytes that arrive in pieces of any size. The length in a prefix allocates
-/// nothing: the reader buffers only bytes that have arrived, at most one message of
-/// `kMaxMessageBytes` and one read beyond it.
+/// Extracts messages from bytes that arrive in pieces of any size. The reader allocates no memory
+/// for the length that a prefix announces: it buffers only bytes that have arrived, at most one
+/// message of `kMaxMessageBytes` and the bytes of one read beyond it.
 class MessageReader {
 public:
-  /// Appends bytes of the stream.
+  /// Appends the next bytes of the stream.
   void feed(std::string_view bytes) { bytes_.append(bytes); }
 
-  /// Extracts the next message; nothing if it has not arrived completely. An error is final: each
-  /// later call returns it again.
+  /// Extracts and returns the next message, or nothing if it has not arrived completely. An error
+  /// is final: each later call returns it again.
   [[nodiscard]] common::Result<std::optional<std::string>, FramingError> next();
 
-  /// The error that `next` has returned, or nothing.
+  /// Returns the error that `next` has returned, or nothing if it has returned none.
   [[nodiscard]] const std::optional<FramingError>& error() const { return error_; }
 
-  /// Returns whether no byte of the next message is buffered.
+  /// Returns whether no byte of a further message is buffered.
   [[nodiscard]] bool is_between_messages() const { return bytes_.empty(); }
 
 private:
--- a/src/grpc/session.cpp
+++ b/src/grpc/session.cpp
@@ -37,8 +37,8 @@
 
 }  // namespace
 
-// The callbacks that nghttp2 calls while it processes bytes. They only record what arrives; the
-// owner of the session reads the messages and the error when nghttp2 has returned.
+// The callbacks that nghttp2 calls while it processes bytes. They only record data and errors; the
+// owner of the session reads the messages and the error after nghttp2 has returned.
 struct SessionCallbacks {
   static Session& session_of(void* user_data) { return *static_cast<Session*>(user_data); }
 
@@ -48,7 +48,7 @@
     Session& session = session_of(user_data);
     session.header_bytes_ += name_size + value_size + kHeaderOverheadBytes;
     if (session.header_bytes_ > kMaxHeaderBytes) {
-      session.fail({Code::HeadersTooLarge, "its headers are over 16 KiB"});
+      session.fail({Code::HeadersTooLarge, "the response headers are over 16 KiB"});
       return NGHTTP2_ERR_CALLBACK_FAILURE;
     }
     if (frame->hd.stream_id == session.call_stream_id_)
@@ -65,14 +65,16 @@
     const auto limit_status = session.frame_rate_limiter_.count_control_frame(session.now_);
     if (limit_status == FrameRateLimiter::LimitStatus::WithinLimit)
       return 0;
-    session.fail({Code::TooManyControlFrames, "it floods with frames that carry nothing"});
+    session.fail({Code::TooManyControlFrames,
+                  "the peer floods the connection with frames that carry no data"});
     return NGHTTP2_ERR_CALLBACK_FAILURE;
   }
 
   static int on_frame(nghttp2_session*, const nghttp2_frame* frame, void* user_data) {
     Session& session = session_of(user_data);
     if (frame->hd.type == NGHTTP2_GOAWAY)
-      session.fail({Code::GoAway, "it goes away"});
+      session.fail({Code::GoAway, std::string("the peer sent GOAWAY with HTTP/2 error code ") +
+                                      nghttp2_http2_strerror(frame->goaway.error_code)});
     if (frame->hd.type != NGHTTP2_HEADERS || frame->hd.stream_id != session.call_stream_id_)
       return 0;
     session.header_bytes_ = 0;
@@ -126,7 +128,7 @@
 Session::Session(const std::string& authority, const std::string& path) {
   const CallbacksHandle callbacks = SessionCallbacks::make();
   nghttp2_session* session = nullptr;
-  // nghttp2's bound on unsent acknowledgements, 1000, is above the bound on control frames.
+  // nghttp2's default limit on unsent acknowledgements, 1000, is above the limit on control frames.
   nghttp2_session_client_new(&session, callbacks.get(), this);
   session_.reset(session);
   submit_settings();
@@ -196,7 +198,9 @@
   send_buffer_.append(message);
   frame_rate_limiter_.count_data_frame();
   if (send_buffer_.size() > kMaxUnsentBytes)
-    fail({Code::SendBufferFull, "it does not take what it is told"});
+    fail({Code::SendBufferFull, "the peer does not read: " + std::to_string(send_buffer_.size()) +
+                                    " bytes wait to be sent, and the limit is " +
+                                    std::to_string(kMaxUnsentBytes)});
   nghttp2_session_resume_data(session_.get(), call_stream_id_);
 }
 
@@ -208,13 +212,13 @@
   if (message_reader_.error())
     return SessionError{Code::MalformedMessage, framing_error_message(*message_reader_.error())};
   if (error_ && !message_reader_.is_between_messages())
-    return SessionError{error_->code, error_->message + ", in the midst of a message"};
+    return SessionError{error_->code, error_->message + ", in the middle of a message"};
   if (error_)
     return error_;
-  // nghttp2 responds to a violation of HTTP/2 by a GOAWAY frame, and then wants neither to read nor
-  // to write.
+  // After a violation of HTTP/2 by the peer, nghttp2 sends a GOAWAY frame, and then wants neither
+  // to read nor to write.
   if (!nghttp2_session_want_read(session_.get()) && !nghttp2_session_want_write(session_.get()))
-    return SessionError{Code::ProtocolViolation, "it broke the rules of HTTP/2"};
+    return SessionError{Code::ProtocolViolation, "the peer violated the HTTP/2 protocol"};
   return std::nullopt;
 }
 
--- a/src/grpc/session_error.h
+++ b/src/grpc/session_error.h
@@ -1,4 +1,4 @@
-/// Why a gRPC session ends.
+/// The reasons why a gRPC session ends.
 #pragma once
 
 #include <string>
@@ -22,7 +22,7 @@
   };
 
   Code code = Code::ProtocolViolation;
-  /// One clause for the log.
+  /// A clause for the log that describes the error.
   std::string message;
 };
 
--- a/src/snapshot_store/async_snapshot_writer.cpp
+++ b/src/snapshot_store/async_snapshot_writer.cpp
@@ -11,8 +11,8 @@
 
 namespace gorsebeam::snapshot_store {
 
-/// The data of a GTask. The thread reads `snapshot` and writes `error`; `writer` belongs to the
-/// main loop's thread.
+/// The data of a GTask. The task's thread reads `snapshot` and writes `error`; only the main loop's
+/// thread uses `writer`.
 struct AsyncSnapshotWriter::WriteJob {
   /// Null once the writer is destroyed.
   AsyncSnapshotWriter* writer;
--- a/src/snapshot_store/async_snapshot_writer.h
+++ b/src/snapshot_store/async_snapshot_writer.h
@@ -1,4 +1,4 @@
-/// Writes snapshots in another thread, so that a slow disk does not stall the main loop.
+/// Writes snapshots on another thread, so that a slow disk does not stall the main loop.
 #pragma once
 
 #include "snapshot_error.h"
@@ -9,12 +9,13 @@
 
 namespace gorsebeam::snapshot_store {
 
-/// Writes in GLib's thread pool, one snapshot at a time. Of the snapshots that are requested during
-/// a write, only the newest is written next. All functions and the callback run on the main loop's
-/// thread. A write that is in progress when the writer is destroyed continues, without a callback.
+/// Writes snapshots in GLib's thread pool, one at a time. Of the snapshots that are requested
+/// during a write, only the newest is written afterwards. All functions and the callback run on the
+/// main loop's thread. A write that is in progress when the writer is destroyed continues, but its
+/// callback is not called.
 class AsyncSnapshotWriter {
 public:
-  /// Receives the error of each write, or nothing on success.
+  /// Called after each write, with its error, or with nothing on success.
   using WriteCallback = std::function<void(const std::optional<SnapshotError>& error)>;
 
   explicit AsyncSnapshotWriter(WriteCallback on_written) : on_written_(std::move(on_written)) {}
@@ -23,7 +24,7 @@
   AsyncSnapshotWriter(const AsyncSnapshotWriter&) = delete;
   AsyncSnapshotWriter& operator=(const AsyncSnapshotWriter&) = delete;
 
-  /// Writes `bytes` as the snapshot of `folder`, after the write that is in progress.
+  /// Writes `bytes` as the snapshot of `folder`, after the write that is in progress, if any.
   void write(const std::string& folder, std::string bytes);
 
 private:
@@ -37,8 +38,10 @@
   void finish(const WriteJob& job);
 
   WriteCallback on_written_;
-  /// Owned by its GTask, which outlives this pointer: `finish` clears it.
+  /// The write in progress, or null. Its GTask owns it, and `finish` clears this pointer before the
+  /// task is freed.
   WriteJob* current_job_ = nullptr;
+  /// The snapshot to write after the write in progress.
   std::optional<Snapshot> next_snapshot_;
 };
 
--- a/src/snapshot_store/snapshot_codec.cpp
+++ b/src/snapshot_store/snapshot_codec.cpp
@@ -27,8 +27,8 @@
   return {reinterpret_cast<const char*>(canonical.digest), sizeof canonical.digest};
 }
 
-// Returns the accepted version of one type, nothing if the snapshot does not hold it, or why it is
-// not valid.
+// Returns the accepted version of one type, nothing if the snapshot does not hold the type, or the
+// error if the version is not valid.
 template <typename Message>
 common::Result<std::optional<AcceptedVersion>, SnapshotError>
 validate_part(const state::v1::Part& part, const Message& value,
@@ -40,7 +40,8 @@
     error = config::validate_resource(value, context);
   if (error)
     return SnapshotError{Code::InvalidContent,
-                         "it does not fit here any more: " + error->to_string()};
+                         "the snapshot is not valid with the current configuration: " +
+                             error->to_string()};
   AcceptedVersion accepted;
   accepted.running = xds::make_file_version(value);
   accepted.running.version = part.version();
@@ -51,7 +52,7 @@
   return std::optional<AcceptedVersion>(std::move(accepted));
 }
 
-// Converts an accepted version without its content.
+// Converts an accepted version, without its content, to a part of a snapshot.
 state::v1::Part make_part(const AcceptedVersion& accepted) {
   state::v1::Part part;
   part.set_held(true);
@@ -73,18 +74,22 @@
 common::Result<state::v1::LastGood, SnapshotError> decode_snapshot(const std::string& bytes) {
   if (bytes.size() < kHeaderSize || bytes.compare(0, kMagic.size(), kMagic) != 0)
     return SnapshotError{Code::InvalidHeader,
-                         "it is no state of this program, or its head is damaged"};
+                         "the file is not a gorsebeam snapshot, or its header is damaged"};
   const char* content = bytes.data() + kHeaderSize;
   const std::size_t content_size = bytes.size() - kHeaderSize;
   if (bytes.compare(kMagic.size(), kChecksumSize, checksum(content, content_size)) != 0)
-    return SnapshotError{Code::ChecksumMismatch, "it is damaged: its checksum does not fit"};
+    return SnapshotError{Code::ChecksumMismatch,
+                         "the snapshot is damaged: its checksum does not match its content"};
   state::v1::LastGood snapshot;
   if (!snapshot.ParseFromArray(content, static_cast<int>(content_size)))
-    return SnapshotError{Code::Unparsable, "it is damaged: it cannot be read"};
+    return SnapshotError{
+        Code::Unparsable,
+        "the snapshot is damaged: its content cannot be parsed, although its checksum matches"};
   if (snapshot.schema() > kSnapshotSchema)
     return SnapshotError{Code::UnsupportedSchema,
-                         "it is of schema " + std::to_string(snapshot.schema()) +
-                             ", newer than this program's " + std::to_string(kSnapshotSchema)};
+                         "the snapshot has schema " + std::to_string(snapshot.schema()) +
+                             ", but the newest schema that this program reads is " +
+                             std::to_string(kSnapshotSchema)};
   return snapshot;
 }
 
@@ -94,7 +99,7 @@
   const AcceptedVersion& limits = tracker.accepted(ResourceType::Limits);
   state::v1::LastGood snapshot;
   snapshot.set_schema(kSnapshotSchema);
-  // The parts are written even if they are empty.
+  // `mutable_` marks the parts as present, so that they are written even if they are empty.
   state::v1::Part& contracts_part = *snapshot.mutable_contracts();
   state::v1::Part& members_part = *snapshot.mutable_members();
   state::v1::Part& limits_part = *snapshot.mutable_limits();
--- a/src/snapshot_store/snapshot_error.h
+++ b/src/snapshot_store/snapshot_error.h
@@ -1,4 +1,4 @@
-/// The errors of reading, checking and writing a snapshot.
+/// The errors of reading, validating and writing a snapshot.
 #pragma once
 
 #include <string>
@@ -10,23 +10,24 @@
   enum class Code {
     /// There is no snapshot file.
     NotFound,
-    /// The path is no regular file, or larger than `kMaxSnapshotBytes`.
+    /// The path is not a regular file, or the file is larger than `kMaxSnapshotBytes`.
     NotASnapshotFile,
     /// The file does not begin with the header of a snapshot.
     InvalidHeader,
     ChecksumMismatch,
-    /// The checksum is correct and the message cannot be parsed.
+    /// The checksum is correct, but the message cannot be parsed.
     Unparsable,
-    /// The snapshot was written by a newer program.
+    /// A newer version of the program wrote the snapshot, with a schema that this one does not
+    /// know.
     UnsupportedSchema,
-    /// The content is not valid with the current configuration of the platform.
+    /// The content is not valid with the current platform configuration.
     InvalidContent,
     /// A system call failed.
     SystemError,
   };
 
   Code code = Code::SystemError;
-  /// One clause for the log, with the path where one is known.
+  /// A clause for the log that describes the error, with the path where it is known.
   std::string message;
 };
 
--- a/src/snapshot_store/snapshot_file.cpp
+++ b/src/snapshot_store/snapshot_file.cpp
@@ -18,7 +18,7 @@
 
 constexpr mode_t kSnapshotMode = 0640;
 
-/// Owns a file descriptor, which is negative if the file could not be opened.
+/// Opens a file and owns its descriptor, which is negative if the file could not be opened.
 class FileDescriptor {
 public:
   FileDescriptor(const std::string& path, int flags)
@@ -40,7 +40,7 @@
   int descriptor_;
 };
 
-// Describes the error of the last system call.
+// Returns the error of the last system call, which concerned `path`.
 SnapshotError system_error(const std::string& path) {
   return {Code::SystemError, path + ": " + std::strerror(errno)};
 }
@@ -91,7 +91,9 @@
   if (::stat(path.c_str(), &info) != 0)
     return errno == ENOENT ? SnapshotError{Code::NotFound, ""} : system_error(path);
   if (!S_ISREG(info.st_mode) || static_cast<std::size_t>(info.st_size) > kMaxSnapshotBytes)
-    return SnapshotError{Code::NotASnapshotFile, path + ": it is no file, or larger than 64 MiB"};
+    return SnapshotError{Code::NotASnapshotFile,
+                         path + ": not a regular file of at most 64 MiB; its size is " +
+                             std::to_string(info.st_size) + " bytes"};
   std::ifstream file(path, std::ios::binary);
   if (!file)
     return system_error(path);
--- a/src/snapshot_store/snapshot_file.h
+++ b/src/snapshot_store/snapshot_file.h
@@ -1,5 +1,5 @@
-/// Reads and writes the snapshot file of the operators' state folder. The functions block on the
-/// disk.
+/// Reads and writes the snapshot file in the operators' state folder. The functions block on disk
+/// I/O.
 #pragma once
 
 #include "snapshot_error.h"
@@ -14,20 +14,20 @@
 
 namespace gorsebeam::snapshot_store {
 
-/// The name of the file in the state folder.
+/// The name of the snapshot file in the state folder.
 constexpr const char* kSnapshotFileName = "last-good";
 
-/// Size of the largest file that is read.
+/// Size of the largest snapshot file that is read.
 constexpr std::size_t kMaxSnapshotBytes = 64 << 20;
 
-/// Reads and decodes the snapshot of `folder`. Errors: NotFound, with no message; NotASnapshotFile,
-/// SystemError and those of `decode_snapshot`, each with the path.
+/// Reads and decodes the snapshot in `folder`. Errors: NotFound, without a message;
+/// NotASnapshotFile, SystemError and the errors of `decode_snapshot`, each with the path in its
+/// message.
 [[nodiscard]] common::Result<state::v1::LastGood, SnapshotError>
 load_snapshot(const std::string& folder);
 
-/// Replaces the snapshot of `folder` by `bytes` atomically: it writes a temporary file in the
-/// folder, syncs it, renames it, and syncs the folder. Returns a SystemError, or nothing on
-/// success.
+/// Atomically replaces the snapshot in `folder` by `bytes`: writes a temporary file in the folder,
+/// syncs it, renames it, and syncs the folder. Returns a SystemError, or nothing on success.
 [[nodiscard]] std::optional<SnapshotError> save_snapshot(const std::string& folder,
                                                          const std::string& bytes);
 
--- a/src/xds/discovery_codec.cpp
+++ b/src/xds/discovery_codec.cpp
@@ -21,7 +21,7 @@
   return {RejectionError::Code::InvalidResponse, std::move(message)};
 }
 
-// Parses one resource and checks it without the others.
+// Parses one resource and checks its type and fields, without regard to the other resources.
 template <typename Message>
 common::Result<Message, RejectionError> parse_resource(const google::protobuf::Any& any,
                                                        const std::string& type_url,
@@ -37,8 +37,8 @@
   return common::Result<Message, RejectionError>(std::move(resource));
 }
 
-// Merges all resources of a response into one message, which has one generation. There is at least
-// one resource; if there is one alone, it is moved and not copied.
+// Merges all resources of a response, which must have the same generation, into one message. The
+// response must hold at least one resource; the first one is moved, not copied.
 template <typename Message>
 common::Result<Message, RejectionError> merge_resources(const v3::DiscoveryResponse& response,
                                                         const std::string& type_url) {
@@ -62,7 +62,7 @@
   return std::move(*merged);
 }
 
-// Fills the content of `decoded`, or its error.
+// Sets the content of `decoded`, or its error if the content is invalid.
 template <typename Message>
 void decode_resources(const v3::DiscoveryResponse& response,
                       const config::ValidationContext& context, DiscoveryResponse& decoded) {
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -18,7 +18,7 @@
 std::string serialize_deterministically(const google::protobuf::Message& message) {
   std::string bytes;
   {
-    // The streams cut `bytes` to its final size when they are destroyed.
+    // The destructors of the streams trim `bytes` to its final size.
     google::protobuf::io::StringOutputStream stream(&bytes);
     google::protobuf::io::CodedOutputStream coded(&stream);
     coded.SetSerializationDeterministic(true);
--- a/src/xds/resources.h
+++ b/src/xds/resources.h
@@ -1,5 +1,5 @@
-/// Converts between typed messages and what the version tracker stores of them: type URLs, content
-/// hashes and bodies. Pure.
+/// Converts between typed protobuf messages and the values that the version tracker stores for
+/// them: type URLs, content hashes and bodies. The functions are pure.
 #pragma once
 
 #include "config_versions/configuration.h"
@@ -15,19 +15,20 @@
 
 namespace pb = gorsebeam::config::v1;
 
-/// "type.googleapis.com/" and the message's full name.
+/// Returns "type.googleapis.com/" and the full name of the type's message.
 [[nodiscard]] std::string type_url(config_versions::ResourceType type);
 
 /// Returns the hash (XXH3, 64 bits) of the deterministic serialization of a message without its
-/// fields `generation` and `rolls_back`, which it must have.
+/// fields `generation` and `rolls_back`, which its type must define.
 [[nodiscard]] std::uint64_t content_hash(const google::protobuf::Message& message);
 
-/// Return the message that `body` holds, which must be of that type. The body owns it.
+/// Return the message in `body`, which must hold a message of the returned type. The body keeps the
+/// ownership of the message.
 [[nodiscard]] const pb::Contracts& contracts_of(const config_versions::Body& body);
 [[nodiscard]] const pb::Members& members_of(const config_versions::Body& body);
 [[nodiscard]] const pb::Limits& limits_of(const config_versions::Body& body);
 
-/// Returns the version of the operators' file that holds `message`.
+/// Returns a version whose content is `message` and whose source is the operators' file.
 template <typename Message>
 [[nodiscard]] config_versions::Version make_file_version(Message message) {
   config_versions::Version version;
--- a/tests/apply_scheduler_test.cpp
+++ b/tests/apply_scheduler_test.cpp
@@ -12,7 +12,7 @@
 constexpr Duration kInterval = 50ms;
 constexpr TimePoint kStart{1000ms};
 
-/// What runs, with the given values as content.
+/// Makes running versions whose contents are the given values.
 AcceptedVersions make_accepted(int contracts, int members) {
   const FileVersions versions = make_file_versions(contracts, members);
   AcceptedVersions accepted;
--- a/tests/control_plane_translation_test.cpp
+++ b/tests/control_plane_translation_test.cpp
@@ -1,4 +1,5 @@
-// The pure translations of the control plane client: settings, log records and updates.
+// Tests the pure functions of the control plane client, which translate settings, log records and
+// configuration updates.
 
 #include "control_plane/configuration_update.h"
 #include "control_plane/log_records.h"
--- a/tests/fake_control_plane/control_service.cpp
+++ b/tests/fake_control_plane/control_service.cpp
@@ -16,7 +16,7 @@
 namespace xds = gorsebeam::xds::v3;
 namespace ads = envoy::service::discovery::v3;
 
-/// The gRPC service and its server. `mutex` guards all but `port` and `grpc_server`.
+/// The gRPC service and its server. `mutex` guards all members except `port` and `grpc_server`.
 struct ControlService::Server : ads::AggregatedDiscoveryService::Service {
   using Call = grpc::ServerReaderWriter<xds::DiscoveryResponse, xds::DiscoveryRequest>;
 
@@ -64,7 +64,7 @@
   builder.SetMaxSendMessageSize(kMaxSendMessageBytes);
   server_->grpc_server = builder.BuildAndStart();
   test_harness::require(server_->grpc_server && server_->port > 0,
-                        "the control service cannot listen");
+                        "the fake control service cannot listen on 127.0.0.1");
 }
 
 ControlService::~ControlService() {
@@ -127,15 +127,18 @@
       [&] {
         return !requests_with_nonce(nonce).empty();
       },
-      "the ACK or NACK of " + nonce);
+      "the ACK or NACK of nonce " + nonce);
   const std::vector<ReceivedRequest> found = requests_with_nonce(nonce);
-  test_harness::require(found.size() == 1, "the gateway responded twice to " + nonce);
+  test_harness::require(found.size() == 1, "the gateway answered nonce " + nonce + " " +
+                                               std::to_string(found.size()) +
+                                               " times instead of once");
   return found.front().error;
 }
 
 void ControlService::end_stream(int status_code, const std::string& status_message) {
   const std::lock_guard<std::mutex> lock(server_->mutex);
-  test_harness::require(server_->current_context != nullptr, "no stream is open");
+  test_harness::require(server_->current_context != nullptr,
+                        "the fake control service has no open stream to end");
   server_->stream_status = grpc::Status(static_cast<grpc::StatusCode>(status_code), status_message);
   server_->current_context->TryCancel();
 }
--- a/tests/fake_control_plane/control_service.h
+++ b/tests/fake_control_plane/control_service.h
@@ -1,5 +1,5 @@
-/// An aggregated discovery service for tests, on loopback. It is built on libgrpc++, and the
-/// gateway on nghttp2, so that the two ends do not share one reading of the protocol.
+/// An aggregated discovery service for tests, on the loopback interface. It uses libgrpc++, while
+/// the gateway uses nghttp2, so that the two ends do not share the same misreading of the protocol.
 #pragma once
 
 #include "gorsebeam/config/v1/config.pb.h"
@@ -21,8 +21,7 @@
   std::string node;
 };
 
-/// The server runs on threads of libgrpc++; the functions may be called from the test's thread
-/// alone.
+/// The server runs on threads of libgrpc++. Call the functions only from the test's thread.
 class ControlService {
 public:
   ControlService();
@@ -32,16 +31,16 @@
 
   [[nodiscard]] std::string address() const;
 
-  /// The number of streams that were opened so far.
+  /// Returns the number of streams that were opened so far.
   [[nodiscard]] int stream_count() const;
 
   [[nodiscard]] bool has_open_stream() const;
 
-  /// All requests so far, on all streams.
+  /// Returns all requests that were received so far, on all streams.
   [[nodiscard]] std::vector<ReceivedRequest> received_requests() const;
 
-  /// Sends one response of the first resource's type, or of `type_url`, on the open stream, if
-  /// there is one. Returns its nonce.
+  /// Sends one response on the open stream, if there is one. The response's type is `type_url`, or
+  /// that of the first resource if `type_url` is empty. Returns the response's nonce.
   std::string push(const std::vector<const google::protobuf::Message*>& resources,
                    const std::string& version, const std::string& type_url = "");
 
@@ -50,7 +49,7 @@
   }
 
   /// Waits for the ACK or NACK of `nonce` and returns its error, which is empty for an ACK. Fails
-  /// the test if the gateway sent more than one.
+  /// the test if the gateway sent more than one ACK or NACK.
   [[nodiscard]] std::string await_ack(const std::string& nonce) const;
 
   std::string push_and_await_ack(const google::protobuf::Message& resource,
@@ -61,7 +60,7 @@
   /// Ends the open stream with a gRPC status.
   void end_stream(int status_code, const std::string& status_message);
 
-  /// Ends the server; it does not listen any more.
+  /// Shuts the server down. It closes its streams and stops listening.
   void shut_down();
 
 private:
--- a/tests/fake_control_plane/faulty_proxy.cpp
+++ b/tests/fake_control_plane/faulty_proxy.cpp
@@ -15,7 +15,8 @@
 using gorsebeam::net::SocketHandle;
 using gorsebeam::net::Stream;
 
-/// One connection of the gateway, and the one that the proxy opened to the service for it.
+/// A connection of the gateway to the proxy, and the connection to the service that the proxy
+/// opened for it.
 struct FaultyProxy::Tunnel {
   enum class Peer { Gateway, Service };
 
--- a/tests/fake_control_plane/faulty_proxy.h
+++ b/tests/fake_control_plane/faulty_proxy.h
@@ -1,5 +1,5 @@
-/// A TCP proxy between a gateway and a control service that can drop the connection within a
-/// message, or lose all traffic.
+/// A TCP proxy between a gateway and a control service. It can close the connection in the middle
+/// of a message, or discard all traffic.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 
 namespace fake_control_plane {
 
-/// Forwards bytes on the main loop of the test.
+/// Forwards bytes in both directions, on the test's main loop.
 class FaultyProxy {
 public:
   explicit FaultyProxy(const std::string& service_address);
@@ -16,10 +16,11 @@
   FaultyProxy& operator=(const FaultyProxy&) = delete;
   ~FaultyProxy();
 
-  /// Where the gateway connects.
+  /// Returns the address to which the gateway connects.
   [[nodiscard]] std::string address() const;
 
-  /// Closes the connection once the service has sent `byte_count` further bytes. It applies once.
+  /// Closes the connection after the service has sent `byte_count` more bytes. Later connections
+  /// are not affected.
   void disconnect_after(std::size_t byte_count);
 
   /// Discards all bytes, in both directions, until resume_forwarding().
--- a/tests/fake_control_plane/http2_frames.cpp
+++ b/tests/fake_control_plane/http2_frames.cpp
@@ -25,8 +25,8 @@
 }
 
 std::string http2_grpc_headers_frame() {
-  // HPACK: ":status 200" is entry 8 of the static table; "content-type" is 31, its value a literal
-  // without indexing.
+  // The headers are encoded with HPACK: ":status 200" is entry 8 of the static table, and the name
+  // "content-type" is entry 31, followed by a literal value without indexing.
   const std::string content_type = "application/grpc";
   const std::string headers =
       std::string("\x88\x0f\x10", 3) + static_cast<char>(content_type.size()) + content_type;
--- a/tests/fake_control_plane/http2_frames.h
+++ b/tests/fake_control_plane/http2_frames.h
@@ -1,4 +1,4 @@
-/// Builds HTTP/2 frames byte by byte, valid or not.
+/// Builds valid and invalid HTTP/2 frames byte by byte.
 #pragma once
 
 #include <string>
@@ -12,12 +12,12 @@
 constexpr int kEndStream = 1;
 constexpr int kEndHeaders = 4;
 
-/// The stream of all frames that concern the connection.
+/// The stream number of frames that concern the whole connection.
 constexpr int kConnectionStream = 0;
-/// The gateway's first stream.
+/// The number of the first stream that the gateway opens.
 constexpr int kFirstStream = 1;
 
-/// Returns a frame as RFC 9113, section 4.1, lays it out.
+/// Returns a frame in the layout of RFC 9113, section 4.1.
 std::string http2_frame(Http2FrameType type, int flags, int stream, const std::string& payload);
 
 /// Returns an empty SETTINGS frame.
--- a/tests/fake_control_plane/scripted_peer.h
+++ b/tests/fake_control_plane/scripted_peer.h
@@ -1,5 +1,5 @@
-/// A peer that breaks the protocol: it sends the same bytes on every connection and discards what
-/// it receives.
+/// A server that sends the same bytes on every connection, which may violate the protocol, and
+/// discards the bytes that it receives.
 #pragma once
 
 #include <memory>
@@ -16,7 +16,7 @@
 
   [[nodiscard]] std::string address() const;
 
-  /// The number of connections that were accepted so far.
+  /// Returns the number of connections that were accepted so far.
   [[nodiscard]] int connection_count() const;
 
 private:
--- a/tests/grpc_session_parts_test.cpp
+++ b/tests/grpc_session_parts_test.cpp
@@ -1,5 +1,5 @@
-// The pure parts of a gRPC session: response headers, the bound on control frames and the send
-// buffer.
+// Tests the parts of a gRPC session that do no I/O: the response headers, the limit on control
+// frames and the send buffer.
 
 #include "grpc/frame_rate_limiter.h"
 #include "grpc/message_framing.h"
@@ -17,7 +17,8 @@
 
 using LimitStatus = FrameRateLimiter::LimitStatus;
 
-/// Counts control frames until one is over the limit; returns the number within it.
+/// Counts control frames until one exceeds the limit. Returns the number of frames within the
+/// limit.
 int count_accepted_control_frames(FrameRateLimiter& limiter, TimePoint now) {
   int accepted = 0;
   while (limiter.count_control_frame(now) == LimitStatus::WithinLimit)
@@ -30,7 +31,7 @@
   limiter.count_data_frame();
   limiter.count_data_frame();
 
-  // The first control frame begins a second; the data frames then count as those of the one before.
+  // The first control frame begins a new second; the data frames then belong to the previous one.
   const int accepted = count_accepted_control_frames(limiter, TimePoint(1s));
 
   EXPECT_EQ(accepted, kBaseControlFramesPerSecond + 2 * kControlFramesPerDataFrame);
@@ -77,19 +78,22 @@
 
   headers.add(":status", "503");
   EXPECT_EQ(headers.validate()->code, SessionError::Code::HttpStatus);
-  EXPECT_EQ(headers.validate()->message, "it answers with HTTP status 503");
+  EXPECT_EQ(headers.validate()->message, "the response has HTTP status 503 instead of 200");
 }
 
 TEST(ResponseHeaders, ReportWhyTheCallEnded) {
   ResponseHeaders headers;
-  EXPECT_EQ(headers.call_ended_error("NO_ERROR").message, "it ended the call, NO_ERROR");
+  EXPECT_EQ(headers.call_ended_error("NO_ERROR").message,
+            "the peer ended the call without a gRPC status; HTTP/2 error code NO_ERROR");
 
   headers.add("grpc-status", "14");
-  EXPECT_EQ(headers.call_ended_error("NO_ERROR").message, "it ended the call with status 14");
+  EXPECT_EQ(headers.call_ended_error("NO_ERROR").message,
+            "the peer ended the call with gRPC status 14");
 
   headers.add("grpc-message", std::string(2 * kMaxHeaderValueBytes, 'x'));
   EXPECT_EQ(headers.call_ended_error("NO_ERROR").message,
-            "it ended the call with status 14: " + std::string(kMaxHeaderValueBytes, 'x'));
+            "the peer ended the call with gRPC status 14: " +
+                std::string(kMaxHeaderValueBytes, 'x'));
 }
 
 }  // namespace
--- a/tests/integration/control_snapshot_test.cpp
+++ b/tests/integration/control_snapshot_test.cpp
@@ -97,15 +97,19 @@
   std::string flipped = bytes;
   flipped[flipped.size() / 2] ^= 1;
   overwrite_snapshot(flipped);
-  expect_start_from_snapshot(ClientResult::Served, "it is damaged: its checksum does not fit");
+  expect_start_from_snapshot(ClientResult::Served,
+                             "the snapshot is damaged: its checksum does not match its content");
   auto newer = good;
   newer.set_schema(99);
   overwrite_snapshot(gorsebeam::snapshot_store::encode_snapshot(newer));
-  expect_start_from_snapshot(ClientResult::Served, "newer than this program's");
+  expect_start_from_snapshot(
+      ClientResult::Served,
+      "the snapshot has schema 99, but the newest schema that this program reads is 1");
   auto unfit = good;
   unfit.mutable_contracts_value()->mutable_team(0)->mutable_class_(0)->set_name("gone");
   overwrite_snapshot(gorsebeam::snapshot_store::encode_snapshot(unfit));
-  expect_start_from_snapshot(ClientResult::Served, "it does not fit here any more");
+  expect_start_from_snapshot(ClientResult::Served,
+                             "the snapshot is not valid with the current configuration");
 
   expect_serves_without_folder();
 }
--- a/tests/integration/control_stream_test.cpp
+++ b/tests/integration/control_stream_test.cpp
@@ -71,7 +71,7 @@
   proxy_.start_discarding();
   load_->wait_until(
       [&] {
-        return gateway_.has_logged("it is silent, also when asked");
+        return gateway_.has_logged("the control service is silent");
       },
       "the gateway to notice the silence");
   proxy_.resume_forwarding();
@@ -84,7 +84,7 @@
   const int stream_count = service_.stream_count();
   service_.end_stream(kGrpcUnavailable, "maintenance");
   load_->await_new_stream(service_, stream_count);
-  ASSERT_TRUE(gateway_.has_logged("it ended the call with status"));
+  ASSERT_TRUE(gateway_.has_logged("the peer ended the call with gRPC status"));
 }
 
 void ControlStreamRecovery::expect_requests_served_without_service() {
@@ -92,7 +92,8 @@
   load_->wait_until(
       [&] {
         return gateway_.has_logged("Connection reset") ||
-               gateway_.has_logged("closed by the peer") || gateway_.has_logged("goes away");
+               gateway_.has_logged("closed by the peer") ||
+               gateway_.has_logged("the peer sent GOAWAY");
       },
       "the gateway to notice the service's end");
   load_->await_responses(50);
@@ -177,11 +178,11 @@
        "HTTP status 404"},
       {start +
            http2_frame(Http2FrameType::GoAway, kNoFlags, kConnectionStream, std::string(8, '\0')),
-       "goes away"},
+       "the peer sent GOAWAY"},
       {"HTTP/1.1 400 Bad Request\r\n\r\n", "control_stream_lost"},
       {std::string(20000, '\xff'), "control_stream_lost"},
       {http2_settings_frame() + http2_frame(Http2FrameType::Data, kNoFlags, 3, "nobody's"),
-       "broke the rules"},
+       "violated the HTTP/2 protocol"},
   };
 }
 
--- a/tests/message_framing_test.cpp
+++ b/tests/message_framing_test.cpp
@@ -12,7 +12,7 @@
 
 using Message = std::optional<std::string>;
 
-/// Expects that the reader returns `expected` now and at each later call.
+/// Expects that the reader returns the error `expected` now and at each later call.
 void expect_final_error(MessageReader& reader, FramingError expected) {
   for (int call = 0; call < 2; ++call) {
     const auto message = reader.next();
@@ -41,7 +41,7 @@
 TEST(MessageReader, WaitsForMessageOfMaximumSize) {
   MessageReader reader;
 
-  reader.feed({"\0\0\x40\0\0", 5});  // 4 MiB
+  reader.feed({"\0\0\x40\0\0", 5});  // The length is 4 MiB.
   const auto message = reader.next();
 
   ASSERT_TRUE(message);
@@ -49,7 +49,7 @@
   EXPECT_FALSE(reader.is_between_messages());
 }
 
-// The reader allocates nothing for such a message.
+// The reader must fail on the prefix alone, and not allocate memory for the announced message.
 TEST(MessageReader, RejectsLengthAboveMaximum) {
   MessageReader reader;
 
--- a/tests/pending_responses_test.cpp
+++ b/tests/pending_responses_test.cpp
@@ -16,7 +16,7 @@
   return {make_response(type, 1, content), deadline, ""};
 }
 
-/// What runs: every type has content 0.
+/// Returns running bodies, all with content 0.
 Bodies running_bodies() {
   return {make_body(0), make_body(0), make_body(0)};
 }
--- a/tests/snapshot_codec_test.cpp
+++ b/tests/snapshot_codec_test.cpp
@@ -28,7 +28,8 @@
   team->mutable_budget()->set_per_second(3);
   team->mutable_budget()->set_burst(2);
   team->add_class_()->set_name("any");
-  snapshot.mutable_members();  // a part is written even if it is empty
+  snapshot
+      .mutable_members();  // marks the part as present, so that it is written although it is empty
   state::v1::Part* limits = snapshot.mutable_limits();
   limits->set_held(true);
   limits->set_version("l1");
@@ -40,7 +41,8 @@
   return snapshot;
 }
 
-// A snapshot file that the program wrote at commit d929b66 from make_sample().
+// A snapshot file that the program wrote from make_sample() at commit d929b66. A later version of
+// the program must write and read the same bytes.
 constexpr std::array<unsigned char, 140> kRecordedFile = {
     0x67, 0x6f, 0x72, 0x73, 0x65, 0x62, 0x65, 0x61, 0x6d, 0x20, 0x73, 0x74, 0x61, 0x74, 0x65, 0x0a,
     0xf0, 0xbf, 0x16, 0x5e, 0xf1, 0x12, 0x6e, 0xe8, 0x08, 0x01, 0x12, 0x22, 0x08, 0x01, 0x12, 0x02,
@@ -101,30 +103,31 @@
 
 TEST(SnapshotCodec, RejectsAForeignFile) {
   expect_decode_error("gorsebeam", SnapshotError::Code::InvalidHeader,
-                      "it is no state of this program, or its head is damaged");
+                      "the file is not a gorsebeam snapshot, or its header is damaged");
 }
 
 TEST(SnapshotCodec, RejectsADamagedFile) {
   std::string damaged = recorded_file();
   damaged[damaged.size() / 2] = static_cast<char>(damaged[damaged.size() / 2] ^ 1);
   expect_decode_error(damaged, SnapshotError::Code::ChecksumMismatch,
-                      "it is damaged: its checksum does not fit");
+                      "the snapshot is damaged: its checksum does not match its content");
 }
 
 TEST(SnapshotCodec, RejectsANewerSchema) {
   state::v1::LastGood newer = make_sample();
   newer.set_schema(2);
-  expect_decode_error(encode_snapshot(newer), SnapshotError::Code::UnsupportedSchema,
-                      "it is of schema 2, newer than this program's 1");
+  expect_decode_error(
+      encode_snapshot(newer), SnapshotError::Code::UnsupportedSchema,
+      "the snapshot has schema 2, but the newest schema that this program reads is 1");
 }
 
 TEST(SnapshotCodec, RejectsASnapshotThatNamesAnUnknownClass) {
   const auto versions = validate_snapshot(make_sample(), config::ValidationContext{});
   ASSERT_FALSE(versions);
   EXPECT_EQ(versions.error().code, SnapshotError::Code::InvalidContent);
-  EXPECT_EQ(versions.error().message,
-            "it does not fit here any more: team[0].class[0].name: 'any' is no class of the "
-            "settings; use one that is");
+  EXPECT_EQ(versions.error().message, "the snapshot is not valid with the current configuration: "
+                                      "team[0].class[0].name: 'any' is no class of the "
+                                      "settings; use one that is");
 }
 
 }  // namespace
--- a/tests/version_tracker_digest_test.cpp
+++ b/tests/version_tracker_digest_test.cpp
@@ -1,4 +1,5 @@
-// Long random histories of events for the version tracker, whose actions are recorded as a hash.
+// Runs long random sequences of events on the version tracker, and compares a hash of its actions
+// with a recorded value.
 
 #include "config_versions/version_tracker.h"
 
@@ -16,8 +17,8 @@
 namespace gorsebeam::config_versions {
 namespace {
 
-/// Hashes actions and states, field by field. It pins the decisions of the tracker: a change of
-/// names or structure leaves the value as it is.
+/// Hashes actions and states, field by field. The value changes if the tracker decides differently
+/// or words a text differently; a change of names or structure in the code does not change it.
 class ActionDigest {
 public:
   [[nodiscard]] std::uint64_t value() const { return value_; }
@@ -67,11 +68,11 @@
   }
 
 private:
-  /// The index of the first log event among the actions; all log events are one kind of action in
-  /// the recorded value, with a number of their own.
+  /// The index of the first log event in `Action`. The hash treats all log events as one kind of
+  /// action, followed by the number of the event.
   static constexpr std::size_t kLogEventIndex = 6;
 
-  void add_byte(unsigned char byte) {  // FNV-1a
+  void add_byte(unsigned char byte) {  // hash function FNV-1a
     value_ ^= byte;
     value_ *= 0x100000001b3ULL;
   }
@@ -121,7 +122,7 @@
   std::uint64_t value_ = 0xcbf29ce484222325ULL;
 };
 
-/// Plays random events on one tracker, and adds each action and the state after each event to the
+/// Runs random events on one tracker, and adds each action and the state after each event to the
 /// digest.
 class RandomHistory {
 public:
@@ -146,7 +147,7 @@
   }
 
 private:
-  // Like validate_reference; in addition, limits above 6 are never valid.
+  // Validates like validate_reference, and in addition rejects limits above 6.
   static std::optional<ValidationError> validate(const Bodies& bodies) {
     if (value_of(bodies[2]) > 6)
       return ValidationError{ValidationError::Code::InvalidContent,
@@ -154,7 +155,7 @@
     return validate_reference(bodies);
   }
 
-  std::uint64_t draw(std::uint64_t bound) {  // splitmix64
+  std::uint64_t draw(std::uint64_t bound) {  // random number generator splitmix64
     random_state_ += 0x9e3779b97f4a7c15ULL;
     std::uint64_t mixed = random_state_;
     mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -278,8 +279,8 @@
   ActionDigest digest;
   for (std::uint64_t seed = 0; seed < kSeeds; ++seed)
     RandomHistory(seed, digest).run(kEventsPerSeed);
-  // Recorded at commit d929b66; only a change of behaviour may change it.
-  EXPECT_EQ(digest.value(), 12568706761982383764U);
+  // The recorded value. Only a change of the tracker's behaviour or texts may change it.
+  EXPECT_EQ(digest.value(), 3559004318243852878U);
 }
 
 }  // namespace
--- a/tests/version_tracker_fixture.h
+++ b/tests/version_tracker_fixture.h
@@ -1,5 +1,5 @@
-/// Builders for the tests of the version tracker. Bodies are numbers, so that a test can compare
-/// what runs.
+/// Builders for the tests of the version tracker. In these tests each body is a number, so that a
+/// test can easily compare running content.
 #pragma once
 
 #include "config_versions/version_tracker.h"
@@ -20,7 +20,8 @@
   return *static_cast<const int*>(body.get());
 }
 
-/// Contracts are valid if the number that they refer to is at most that of the members.
+/// Validates that the number of the contracts is at most that of the members. It stands for a
+/// reference from contracts to members.
 inline std::optional<ValidationError> validate_reference(const Bodies& bodies) {
   const int contracts = value_of(bodies[index_of(ResourceType::Contracts)]);
   if (contracts <= value_of(bodies[index_of(ResourceType::Members)]))
@@ -56,7 +57,7 @@
   return response;
 }
 
-/// Makes a response that is invalid without the other types.
+/// Makes a response that is invalid by itself, whatever the other types are.
 inline DiscoveryResponse make_invalid_response(ResourceType type, std::uint64_t generation,
                                                int content, const std::string& error) {
   DiscoveryResponse response = make_response(type, generation, content);
--- a/tests/version_tracker_history_test.cpp
+++ b/tests/version_tracker_history_test.cpp
@@ -1,5 +1,5 @@
-// Every short history of events for the version tracker, with the invariants of version_tracker.h
-// checked after each event.
+// Runs every short sequence of events on the version tracker, and checks the invariants that are
+// listed in version_tracker.h after each event.
 
 #include "config_versions/version_tracker.h"
 
@@ -36,7 +36,7 @@
 constexpr int kEventCount = 9;
 using History = std::vector<Event>;
 
-/// Plays one history and checks the invariants after each event.
+/// Runs one history on a tracker and checks the invariants after each event.
 class CheckedHistory {
 public:
   CheckedHistory() {
@@ -99,7 +99,8 @@
       if (const auto* request = std::get_if<DiscoveryRequest>(&action))
         check_answer(*request);
       if (const auto* applied = std::get_if<ApplyConfiguration>(&action)) {
-        ASSERT_FALSE(validate_reference(applied->bodies)) << "applied what is not valid together";
+        ASSERT_FALSE(validate_reference(applied->bodies))
+            << "applied bodies that are not valid together";
       }
     }
     actions_.clear();
@@ -110,13 +111,14 @@
       return;
     unanswered_.clear();
     ASSERT_LE(tracker_->next_deadline(), now_ + settings_.stream.max_reconnect_backoff)
-        << "does not reconnect";
+        << "does not try to reconnect within max_reconnect_backoff";
   }
 
   void check_answer(const DiscoveryRequest& request) {
     if (request.nonce.empty())
       return;
-    ASSERT_TRUE(unanswered_.count(request.nonce)) << "answered twice, or on another stream";
+    ASSERT_TRUE(unanswered_.count(request.nonce))
+        << "nonce " << request.nonce << " was answered twice, or on another stream";
     unanswered_.erase(request.nonce);
     if (request.error)
       return;
@@ -129,7 +131,7 @@
     running_[type] = response.generation;
   }
 
-  // Each response is answered if its stream lasts.
+  // Checks that each response has been answered if its stream lasts long enough.
   void check_all_answered() {
     for (int i = 0; i < 4 && tracker_->is_streaming(); ++i) {
       tracker_->on_bytes_received(now_);
@@ -145,7 +147,7 @@
   std::unique_ptr<VersionTracker> tracker_;
   Actions actions_;
   TimePoint now_{1000ms};
-  /// Nonces of the current stream.
+  /// The nonces of the current stream's responses that have no answer yet.
   std::set<std::string> unanswered_;
   std::map<std::string, DiscoveryResponse> responses_;
   std::array<std::uint64_t, kResourceTypeCount> newest_{};
@@ -159,7 +161,8 @@
   return text;
 }
 
-/// Plays every history that begins with `prefix`, up to `depth` events, and returns their number.
+/// Runs every history that begins with `prefix` and has at most `depth` events. Returns the number
+/// of histories.
 std::size_t run_all_histories(const History& prefix, std::size_t depth) {
   {
     SCOPED_TRACE("events " + describe(prefix));
@@ -177,7 +180,7 @@
 }
 
 TEST(VersionTrackerHistories, KeepTheInvariantsInEverySequenceOfEvents) {
-  // The first history begins with an open stream: most events do nothing without one.
+  // The long histories begin with an open stream, as most events do nothing without one.
   EXPECT_EQ(run_all_histories({Event::Open}, 6), 66430U);
   run_all_histories({}, 3);
 }
--- a/tests/version_tracker_test.cpp
+++ b/tests/version_tracker_test.cpp
@@ -17,11 +17,11 @@
 namespace gorsebeam::config_versions {
 namespace {
 
-/// What `answer` returns for an ACK, and for a response without an answer.
+/// What `deliver` and `answer_to` return for an ACK, and for a response without an answer.
 constexpr const char* kAcknowledged = "";
 constexpr const char* kUnanswered = "?";
 
-/// Runs a tracker that validates references, and collects its actions.
+/// Runs a tracker that validates with `validate_reference`, and collects its actions.
 class VersionTrackerTest : public ::testing::Test {
 protected:
   /// Makes a tracker with the given number of addresses, "a0", "a1" and so on.
@@ -67,14 +67,15 @@
     return answer_to(response);
   }
 
-  /// Returns the error of the only answer to a response, `kAcknowledged` or `kUnanswered`.
+  /// Returns the error in the answer to a response if it is a NACK, otherwise `kAcknowledged` or
+  /// `kUnanswered`. Expects at most one answer.
   std::string answer_to(const DiscoveryResponse& response) {
     std::string answer = kUnanswered;
     for (const Action& action : actions_) {
       const auto* request = std::get_if<DiscoveryRequest>(&action);
       if (!request || request->nonce != response.nonce)
         continue;
-      EXPECT_EQ(answer, kUnanswered) << "answered twice";
+      EXPECT_EQ(answer, kUnanswered) << "response " << response.nonce << " was answered twice";
       answer = request->error ? request->error->message : kAcknowledged;
     }
     return answer;
@@ -96,7 +97,7 @@
   EXPECT_EQ(deliver(make_response(kLimits, 0, 1)), "it has no generation; number changes from 1");
   EXPECT_EQ(deliver(make_response(kLimits, 5, 1)), kAcknowledged);
   EXPECT_EQ(deliver(make_response(kLimits, 7, 2)), kAcknowledged);
-  // The same response again, as after a reconnection.
+  // A server sends the same response again, for example after a reconnection.
   EXPECT_EQ(deliver(make_response(kLimits, 7, 2)), kAcknowledged);
   EXPECT_EQ(deliver(make_response(kLimits, 7, 3)), "generation 7 came before with other content");
   EXPECT_EQ(deliver(make_response(kLimits, 5, 1)),
@@ -107,7 +108,7 @@
 
   EXPECT_EQ(deliver(make_response(kLimits, 5, 1, 7)), kAcknowledged);
   EXPECT_EQ(tracker_->accepted(kLimits).newest_generation, 7U);
-  // A server with outdated state continues to send what was rolled back.
+  // A server with outdated state may still send the generation that was rolled back.
   EXPECT_EQ(deliver(make_response(kLimits, 7, 2)), "generation 7 was rolled back");
   EXPECT_EQ(deliver(make_response(kLimits, 6, 4)),
             "generation 6 is older than 7, the newest accepted");
@@ -121,7 +122,7 @@
   create_streaming_tracker();
   const DiscoveryResponse contracts = make_response(ResourceType::Contracts, 1, 3);
   const DiscoveryResponse members = make_response(ResourceType::Members, 1, 3);
-  EXPECT_EQ(deliver(contracts), kUnanswered);  // waits for the members that it names
+  EXPECT_EQ(deliver(contracts), kUnanswered);  // the contracts wait for members
   EXPECT_TRUE(drain<ApplyConfiguration>().empty());
 
   tracker_->on_response(now_, members, actions_);
@@ -183,7 +184,7 @@
   }
   advance(50ms);
   const std::vector<ApplyConfiguration> applied = drain<ApplyConfiguration>();
-  EXPECT_LE(applied.size(), 22U);  // one second, at 50 ms each
+  EXPECT_LE(applied.size(), 22U);  // the events take 1 s, and apply_interval is 50 ms
   EXPECT_EQ(value_of(applied.back().bodies[2]), 200);
 }
 
@@ -233,7 +234,8 @@
   EXPECT_LE(tracker_->next_deadline() - now_, settings_.stream.initial_reconnect_backoff);
 }
 
-/// A snapshot that holds contracts of generation 9, which refer to 4 members.
+/// Makes a snapshot that holds only contracts, of generation 9. They are valid only with members
+/// whose content is at least 4.
 SnapshotVersions make_snapshot_of_contracts() {
   SnapshotVersions snapshot;
   AcceptedVersion& contracts = snapshot[0].emplace();
@@ -245,7 +247,8 @@
   return snapshot;
 }
 
-/// Like make_snapshot_of_contracts, with the members that the contracts refer to.
+/// Makes a snapshot that holds the contracts of make_snapshot_of_contracts, and members with which
+/// they are valid.
 SnapshotVersions make_complete_snapshot() {
   SnapshotVersions snapshot = make_snapshot_of_contracts();
   AcceptedVersion& members = snapshot[1].emplace();
