--- a/src/mongo/client_connection.cpp
+++ b/src/mongo/client_connection.cpp
@@ -33,18 +33,18 @@
 
   // The message stays in the input until its request is complete.
   proxy::ByteSpans body(Duration left) override {
-    const wire::Framed<Message> message = read_pending_message();
+    const wire::FramingResult<Message> message = read_pending_message();
     const OpMsg op_msg = message ? read_op_msg(message.value().payload).value_or(OpMsg{}) : OpMsg{};
     return rewriter_.rewrite(op_msg, request_kind_, left);
   }
 
-  void respond(const proxy::ByteSpans& value) override {
+  void respond(const proxy::ByteSpans& body) override {
     const std::string flags = encode_u32(0);
-    const std::size_t payload_size = flags.size() + wire::total_size(value);
+    const std::size_t payload_size = flags.size() + wire::total_size(body);
     const std::string header =
         encode_header(payload_size, ++last_sent_id_, message_id_, Opcode::Msg);
     proxy::ByteSpans parts{header, flags};
-    parts.insert(parts.end(), value.begin(), value.end());
+    parts.insert(parts.end(), body.begin(), body.end());
     send(parts);
     complete_request();
   }
@@ -61,14 +61,14 @@
 
 private:
   void parse() override {
-    const wire::Framed<Message> message = read_pending_message();
+    const wire::FramingResult<Message> message = read_pending_message();
     if (message)
       handle_message(message.value());
     else if (message.error() == FramingError::Malformed)
       end_with_error(ProtocolError::MalformedFrame);
   }
 
-  [[nodiscard]] wire::Framed<Message> read_pending_message() const {
+  [[nodiscard]] wire::FramingResult<Message> read_pending_message() const {
     return read_message(input(), max_message_bytes());
   }
 
--- a/src/net/loop_monitor.cpp
+++ b/src/net/loop_monitor.cpp
@@ -16,13 +16,13 @@
 namespace gorsebeam::net {
 namespace {
 
-constexpr std::size_t kWorkKinds = 3;
+constexpr std::size_t kWorkKindCount = 3;
 
 struct LoopState {
   std::optional<LoopArrivalBound> arrival_bound;  ///< Empty while the loop is not observed.
   TimePoint iteration_began_at{};
   std::uint64_t iteration = 0;
-  std::array<std::uint64_t, kWorkKinds> work{};
+  std::array<std::uint64_t, kWorkKindCount> work{};
 };
 
 LoopState state;
@@ -38,7 +38,7 @@
 
 void end_iteration(TimePoint now) {
   const Duration duration = now - state.iteration_began_at;
-  if (duration <= kSlowIteration)
+  if (duration <= kSlowIterationThreshold)
     return;
   log({"event_loop_slow_iteration",
        {{"duration_ms", std::to_string(duration / 1ms)},
@@ -55,7 +55,7 @@
   const gint ready = g_poll(descriptors, count, timeout);
   const int error = errno;
   const TimePoint ended_at = now();
-  // A poll that a signal interrupts has not examined the sockets.
+  // A poll that a signal interrupted has not examined the sockets, so its times prove nothing.
   if (ready >= 0) {
     state.arrival_bound->record({began_at, ended_at, std::chrono::milliseconds(timeout)});
     ++state.iteration;
@@ -79,7 +79,7 @@
   ++state.work[static_cast<std::size_t>(work)];
 }
 
-std::uint64_t iteration() {
+std::uint64_t current_iteration() {
   return state.iteration;
 }
 
--- a/tests/router/router_health_check_test.cpp
+++ b/tests/router/router_health_check_test.cpp
@@ -22,7 +22,7 @@
 // not go to the primaries.
 TEST(RouterHealthCheck, ChecksOnlyRequestedGroupsOfLongList) {
   Settings settings = default_settings();
-  settings.health_check_price = 0.4;
+  settings.health_check_cost = 0.4;
   settings.listed_role = ListedRole::AtStart;
   RouterHarness harness(settings);
   std::vector<Endpoint> endpoints;
@@ -58,9 +58,9 @@
 /// Plays 40 bounded reads that come further apart than a known position holds, with an expensive
 /// health check, beside writes that the primary answers in `primary_latency`. Returns how many of
 /// the reads a replica served.
-int count_sparse_reads_by_replicas(Duration primary_latency) {
+int count_sparse_reads_served_by_replicas(Duration primary_latency) {
   Settings settings = default_settings();
-  settings.health_check_price = 0.4;
+  settings.health_check_cost = 0.4;
   RouterHarness harness(settings);
   harness.list_healthy_group();
   int count = 0;
@@ -83,10 +83,10 @@
 
 // Most such reads go to the primary unchecked. Once primaries answer as slowly as the target load
 // allows, each read checks a replica first, at any price.
-TEST(RouterHealthCheck, SparseBoundedReadsSpareLoadedPrimary) {
+TEST(RouterHealthCheck, SparseBoundedReadsAvoidSaturatedPrimary) {
   // Ten health checks may go at once and a tenth for each request.
-  EXPECT_LE(count_sparse_reads_by_replicas(20ms), 22);
-  EXPECT_GE(count_sparse_reads_by_replicas(600ms), 26);
+  EXPECT_LE(count_sparse_reads_served_by_replicas(20ms), 22);
+  EXPECT_GE(count_sparse_reads_served_by_replicas(600ms), 26);
 }
 
 // A hundred routers have used up their share of health checks when their group's primary drains.
@@ -128,7 +128,7 @@
 // checks one replica, not all, is served by it, and stays within its share of health checks.
 TEST(RouterHealthCheck, SparseBoundedReadChecksOneReplica) {
   Settings settings = default_settings();
-  settings.health_check_price = 0.04;
+  settings.health_check_cost = 0.04;
   std::size_t health_checks = 0;
   std::size_t served = 0;
   for (int router = 0; router < 100; ++router) {
