--- a/src/command_line/command_line.cpp
+++ b/src/command_line/command_line.cpp
@@ -91,15 +91,16 @@
     std::cout << "gorsebeam " << GORSEBEAM_VERSION << '\n';
     return kExitSuccess;
   }
-  std::vector<std::string> words;
+  std::vector<std::string> positional;
   if (arguments.count("words") > 0)
-    words = arguments["words"].as<std::vector<std::string>>();
+    positional = arguments["words"].as<std::vector<std::string>>();
   if (command == "config")
     return run_config_command(
-        {words, find_option(arguments, "config"), find_option(arguments, "state")});
-  if ((command == "serve" || command == "check") && words.empty())
+        {positional, find_option(arguments, "config"), find_option(arguments, "state")});
+  if ((command == "serve" || command == "check") && positional.empty())
     return serve_or_check(command, arguments);
-  std::cerr << "gorsebeam: unknown command '" << command << (words.empty() ? "" : " " + words[0])
+  std::cerr << "gorsebeam: unknown command '" << command
+            << (positional.empty() ? "" : " " + positional[0])
             << "'; the commands are serve, check, config and version\n";
   return kExitTrouble;
 }
