--- a/src/discovery/revision_filter.h
+++ b/src/discovery/revision_filter.h
@@ -49,7 +49,7 @@
     std::int64_t revision = 0;
     EndpointStatus status = EndpointStatus::Up;
     TimePoint started_at{};
-    bool is_unlisted = false;  ///< Whether a complete list that lacked it removed it.
+    bool is_unlisted = false;  ///< Whether a complete list omitted the endpoint.
   };
 
   /// Records an entry of a list with the given revision, and replaces the entry's status where an
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -15,7 +15,7 @@
 namespace gorsebeam::net {
 namespace {
 
-// A larger minimum is not needed: the input buffer doubles while a message is incomplete.
+// The minimum can be small, as the input buffer doubles while a message is incomplete.
 constexpr std::size_t kMinReadSize = 4 * 1024;
 constexpr std::size_t kMaxOutputVectors = 16;
 constexpr int kMaxReadsPerCall = 64;
