--- a/tests/fault_soak/fake_endpoint.cpp
+++ b/tests/fault_soak/fake_endpoint.cpp
@@ -84,7 +84,7 @@
     if (!stream->is_open())
       return;
     const ScriptedResponse response = draw_response(request);
-    if (response == ScriptedResponse::ResetConnection) {
+    if (response == ScriptedResponse::CloseConnection) {
       close();
       return;
     }
@@ -102,7 +102,7 @@
     if (context.traffic_random.draw_bool(0.02))
       return ScriptedResponse::RejectOverloaded;
     if (context.traffic_random.draw_bool(0.03))
-      return ScriptedResponse::ResetConnection;
+      return ScriptedResponse::CloseConnection;
     return ScriptedResponse::Succeed;
   }
 
--- a/tests/fault_soak/gateway_process.cpp
+++ b/tests/fault_soak/gateway_process.cpp
@@ -28,7 +28,7 @@
   PlatformClass platform_class{class_name(service_class), effect, read_level, latency_objective_ms,
                                deadline_ms};
   platform_class.deduplication_window_ms = static_cast<int>(kDeduplicationWindow);
-  platform_class.late_weight = "0.5";
+  platform_class.late_weight_fraction = "0.5";
   return platform_class;
 }
 
--- a/tests/integration/platform_config.cpp
+++ b/tests/integration/platform_config.cpp
@@ -27,7 +27,7 @@
          nanoseconds(platform_class.latency_objective_ms) + R"(,"give_up":)" +
          nanoseconds(platform_class.deadline_ms) + R"(,"effect":")" + platform_class.effect +
          R"(","group":"cell","window":)" + nanoseconds(platform_class.deduplication_window_ms) +
-         R"(,"worth":1,"late_worth":)" + platform_class.late_weight + "}";
+         R"(,"worth":1,"late_worth":)" + platform_class.late_weight_fraction + "}";
 }
 
 std::string encode_read_level(const PlatformClass& platform_class) {
--- a/tests/integration/platform_config.h
+++ b/tests/integration/platform_config.h
@@ -14,7 +14,7 @@
   int latency_objective_ms = 2000;
   int deadline_ms = 3000;
   int deduplication_window_ms = 2000;
-  std::string late_weight = "0";  ///< A JSON number.
+  std::string late_weight_fraction = "0";  ///< A JSON number.
 };
 
 /// The settings in which tests differ; encode_platform_config() adds those that they share.
--- a/tests/integration/protocol.h
+++ b/tests/integration/protocol.h
@@ -13,7 +13,7 @@
   RejectNotPrimary,   ///< Rejects a write, as a replica does.
   Fail,               ///< Reports an internal error; the request may have run.
   RejectOverloaded,   ///< Rejects for lack of capacity; the request did not run.
-  ResetConnection,    ///< Closes the connection instead of responding.
+  CloseConnection,    ///< Closes the connection instead of responding.
   NoResponse,         ///< Never responds.
   Garbage,            ///< Sends bytes that belong to no protocol.
   Truncated,          ///< Announces more bytes than it sends.
--- a/tests/integration/race_conditions_test.cpp
+++ b/tests/integration/race_conditions_test.cpp
@@ -40,7 +40,7 @@
   warm.client->send_request(read_request("again"));
   StubEndpoint& first = warm.harness.await_paused_handshake();
   first.resume_handshakes();
-  warm.harness.script = {ScriptedResponse::ResetConnection};
+  warm.harness.script = {ScriptedResponse::CloseConnection};
   warm.harness.await_first_attempt("again");
   StubEndpoint& second = warm.harness.await_paused_handshake();
   ASSERT_NE(&second, &first);
--- a/tests/integration/request_outcomes_test.cpp
+++ b/tests/integration/request_outcomes_test.cpp
@@ -39,17 +39,17 @@
       {single_shot_write("once-oversized"), {Response::OversizedLength}, kFailed, 1},
       {read_request("duplicate"), {Response::Duplicate}, kServed, 1},
       {read_request("bad-report"), {Response::MalformedReport}, kServed, 1},
-      {read_request("reset"), {Response::ResetConnection, Response::Succeed}, kServed, 2},
+      {read_request("reset"), {Response::CloseConnection, Response::Succeed}, kServed, 2},
       // No second attempt starts while the first is in flight. At its timeout the request is
       // rejected and not failed, because a read has no effect.
       {read_request("no-response", 400), {Response::NoResponse}, kRejected, 1},
       // The primary resets one connection and keeps running: the write returns to it, possibly
       // after attempts at replicas.
       {keyed_write("keyed-reset"),
-       {Response::ResetConnection, Response::Succeed},
+       {Response::CloseConnection, Response::Succeed},
        kServed,
        kAnyAttemptCount},
-      {single_shot_write("once-reset"), {Response::ResetConnection}, kFailed, 1},
+      {single_shot_write("once-reset"), {Response::CloseConnection}, kFailed, 1},
   };
 }
 
--- a/tests/integration/stub_endpoint.cpp
+++ b/tests/integration/stub_endpoint.cpp
@@ -82,7 +82,7 @@
     if (response == ScriptedResponse::NoResponse)
       return "";
     end_attempt();
-    if (response == ScriptedResponse::ResetConnection) {
+    if (response == ScriptedResponse::CloseConnection) {
       stream->close();
       return "";
     }
