--- a/include/gorsebeam/actions.h
+++ b/include/gorsebeam/actions.h
@@ -1,4 +1,4 @@
-/// What a router asks the embedding program to do, in order.
+/// Actions that a router asks the embedding program to perform, in order.
 #pragma once
 
 #include "gorsebeam/log_messages.h"
@@ -10,12 +10,12 @@
 
 namespace gorsebeam {
 
-/// Sends the request to an endpoint. Attempts of a request are numbered from 0 in this order. Each
-/// ends in one AttemptResult.
+/// Sends the request to an endpoint. The attempts of a request are numbered from 0 in the order of
+/// these actions. Each ends in one AttemptResult.
 struct StartAttempt {
   std::string request_id;
   EndpointId endpoint = 0;
-  Duration timeout{};  ///< From now.
+  Duration timeout{};  ///< From now to the request's deadline.
 };
 
 /// Checks an endpoint; ends in one HealthCheckResult.
@@ -29,19 +29,19 @@
   std::uint32_t attempt = 0;
 };
 
-/// Why the router ends a request itself.
+/// Why the router itself gives a request its final answer.
 enum class AnswerReason {
   RateLimit,      ///< Its team is over its rate limit.
   OutOfTime,      ///< No further attempt could be answered in time.
   AttemptsUsed,   ///< It has had all attempts that it may have.
   UnsafeToRetry,  ///< An attempt may have run, and its class allows no other.
-  NoPrimary,      ///< Its group has had no primary for half of its time.
+  NoPrimary,      ///< Its group had no known primary in the first half of its time.
 };
 
 /// The final answer to a request: rejected, and safe to send again.
 struct RejectRequest {
   std::string request_id;
-  Duration retry_after{};  ///< 0: no advice.
+  Duration retry_after{};  ///< 0: none is advised.
   AnswerReason reason = AnswerReason::OutOfTime;
 };
 
@@ -51,7 +51,7 @@
   AnswerReason reason = AnswerReason::OutOfTime;
 };
 
-/// Asks for a TimerExpired at `at`. Replaces the timer set before.
+/// Requests a TimerExpired event at the time `at`. Replaces the timer that was set before.
 struct SetTimer {
   TimePoint at{};
 };
--- a/include/gorsebeam/events.h
+++ b/include/gorsebeam/events.h
@@ -1,4 +1,4 @@
-/// What a router is told. The embedding program translates them from its wire.
+/// Events that the embedding program passes to a router, translated from its own protocol.
 #pragma once
 
 #include "gorsebeam/types.h"
@@ -18,16 +18,16 @@
   GroupId group = 0;
   std::string zone;
   EndpointStatus status = EndpointStatus::Up;
-  TimePoint started_at{};          ///< The last start of its process; 0: long ago.
-  bool listed_as_primary = false;  ///< As the list has it, which may be old.
+  TimePoint started_at{};          ///< When its process last started; 0: long ago.
+  bool listed_as_primary = false;  ///< In the list, which may be outdated.
   double weight = 1;               ///< Relative capacity.
 };
 
 /// The endpoint list, or changes to it.
 struct EndpointList {
   enum class Kind {
-    Cached,  ///< As it was held before this router started; may be old.
-    Full,    ///< All endpoints: whoever is missing has been removed.
+    Cached,  ///< A list stored before this router started; may be outdated.
+    Full,    ///< All endpoints; one that is missing was removed.
     Delta,   ///< Only the entries that changed.
     Failed,  ///< A poll failed; `endpoints` is empty.
   };
@@ -39,25 +39,27 @@
 /// A client's request. Ids of open requests are unique; a duplicate is ignored.
 struct Request {
   std::string id;
-  std::size_t class_index = 0;  ///< Into `Settings::classes`.
+  std::size_t class_index = 0;  ///< The index into `Settings::classes`.
   std::optional<std::size_t> tenant;
   std::optional<std::uint64_t> session;
   TimePoint deadline{};  ///< When the client stops waiting.
   GroupId group = 0;
-  /// SessionTokenSource::Client: how long ago the session's last write was committed; 0: no write.
+  /// SessionTokenSource::Client only: how long ago the session's last write was committed; 0: no
+  /// write.
   std::optional<Duration> session_token_age;
   bool is_client_retry = false;
-  std::uint32_t max_attempts = 0;     ///< The limit of its contract; 0: the settings' limit.
-  Duration rate_limit_retry_after{};  ///< Above 0: over its rate limit, and when the next one fits.
+  std::uint32_t max_attempts = 0;  ///< By its contract; 0: only the settings limit it.
+  /// Above 0: the request exceeds its team's rate limit, which admits one after this time.
+  Duration rate_limit_retry_after{};
 };
 
-/// What an endpoint reports of itself, in a response or to a health check.
+/// What an endpoint reports about itself, in a response or to a health check.
 struct LoadReport {
   std::optional<ReplicationPosition> replication_position;
   std::optional<bool> is_primary;
 };
 
-/// An attempt ended.
+/// The end of an attempt.
 struct AttemptResult {
   std::string request_id;
   std::uint32_t attempt = 0;  ///< Counted from 0 for each request.
@@ -66,14 +68,14 @@
   bool request_finished = false;  ///< The request has its final answer.
   Duration elapsed{};             ///< Since the attempt started.
   Role role = Role::Unknown;
-  std::optional<ReplicationPosition>
-      replication_position;  ///< Of a write that succeeded: its commit.
-  /// Of a write whose commit is later than the endpoint's replication position.
+  /// The endpoint's position; after a successful write, the position of its commit.
+  std::optional<ReplicationPosition> replication_position;
+  /// The position of a write's commit, if it is later than `replication_position`.
   std::optional<ReplicationPosition> commit_position;
   LoadReport load_report;
 };
 
-/// A health check ended.
+/// The end of a health check.
 struct HealthCheckResult {
   EndpointId endpoint = 0;
   bool succeeded = false;
@@ -81,10 +83,10 @@
   LoadReport load_report;
 };
 
-/// The time of the last SetTimer has come.
+/// The timer that the last SetTimer requested has expired.
 struct TimerExpired {};
 
-/// The client of an open request left; it needs no answer.
+/// The client of an open request disconnected; the request needs no answer.
 struct ClientDisconnected {
   std::string request_id;
 };
--- a/include/gorsebeam/log_messages.h
+++ b/include/gorsebeam/log_messages.h
@@ -1,4 +1,4 @@
-/// Log messages of a router, as typed events. The embedding program renders them as text.
+/// Log messages of a router as typed values. The embedding program renders them as text.
 #pragma once
 
 #include "gorsebeam/types.h"
@@ -13,13 +13,14 @@
   EndpointId endpoint = 0;
 };
 
-/// An endpoint that was its group's primary says that it is a replica.
+/// An endpoint that was its group's primary reports that it is a replica.
 struct PrimaryDemoted {
   GroupId group = 0;
   EndpointId endpoint = 0;
 };
 
-/// A group's primary failed to answer or to be reached; its writes wait for evidence.
+/// A group's primary did not answer or could not be reached. The group's writes wait for evidence
+/// of its primary.
 struct PrimarySuspected {
   GroupId group = 0;
   EndpointId endpoint = 0;
@@ -39,17 +40,17 @@
   EndpointId endpoint = 0;
 };
 
-/// The endpoint list says that an endpoint that was up is draining.
+/// The endpoint list marks an endpoint that was up as draining.
 struct EndpointDraining {
   EndpointId endpoint = 0;
 };
 
-/// The endpoint list says that an endpoint that was up was removed, or no longer holds it.
+/// The endpoint list marks an endpoint that was up as removed, or no longer contains it.
 struct EndpointRemoved {
   EndpointId endpoint = 0;
 };
 
-/// One message for the operators' log.
+/// One message for the log.
 using LogMessage = std::variant<PrimaryElected, PrimaryDemoted, PrimarySuspected, EndpointEjected,
                                 EndpointReadmitted, EndpointDraining, EndpointRemoved>;
 
--- a/include/gorsebeam/router.h
+++ b/include/gorsebeam/router.h
@@ -1,5 +1,5 @@
 /// The request router: decides which endpoint gets a request, whether it is retried or hedged, and
-/// when it is rejected. Events with their time go in, actions come out; it performs no I/O.
+/// when it is rejected. It receives events with their time, returns actions and performs no I/O.
 #pragma once
 
 #include "gorsebeam/actions.h"
@@ -14,29 +14,31 @@
 
 namespace gorsebeam {
 
-/// One router. Has no globals, clock or threads: the same events give the same actions. Not safe
-/// for concurrent use. What it keeps is bounded by the open requests, the listed endpoints, and
-/// what was removed within the last minute.
+/// One router. It has no global state, clock or threads, so the same events yield the same actions.
+/// Not thread-safe. Its memory is bounded by the open requests, the listed endpoints, and the
+/// endpoints that were removed within the last minute.
 class Router {
 public:
-  /// `seed` feeds its random choices. Throws std::invalid_argument that names a bad setting.
+  /// `seed` determines the router's random choices. Throws std::invalid_argument, whose message
+  /// names the invalid setting.
   Router(Settings settings, std::uint64_t seed);
   ~Router();
   Router(Router&&) noexcept;
   Router& operator=(Router&&) noexcept;
 
-  /// Handles one event at the time `now` and appends what is to be done to `actions`, in order.
-  /// `now` must not be before that of the last call.
+  /// Handles one event at the time `now` and appends the resulting actions to `actions`, in the
+  /// order in which the program is to perform them. `now` must not be before that of the last call.
   void handle(TimePoint now, const Event& event, std::vector<Action>& actions);
 
-  /// Whether an attempt that was decided may still be written to its endpoint. A connection can
-  /// come up long after the decision, so this is asked again right before the write. False if the
-  /// request has ended, the endpoint is leaving, the time for a retry is over, or the evidence that
-  /// the endpoint is current has expired; the attempt then ends as AttemptStatus::NotSent.
+  /// Whether an attempt that the router started may still be written to its endpoint. A connection
+  /// can be established long after the decision, so the program asks again right before the write.
+  /// False if the request has ended, the endpoint is draining or removed, the time for a retry is
+  /// over, or the evidence that the endpoint is current has expired; the attempt then ends as
+  /// AttemptStatus::NotSent.
   [[nodiscard]] bool is_attempt_allowed(TimePoint now, const std::string& request_id,
                                         EndpointId endpoint);
 
-  /// Whether a health check that was decided may still be written to its endpoint.
+  /// Whether a health check that the router started may still be written to its endpoint.
   [[nodiscard]] bool is_health_check_allowed(EndpointId endpoint) const;
 
 private:
--- a/include/gorsebeam/settings.h
+++ b/include/gorsebeam/settings.h
@@ -1,4 +1,4 @@
-/// What the embedding program configures a router with.
+/// The settings with which the embedding program configures a router.
 #pragma once
 
 #include "gorsebeam/types.h"
@@ -39,10 +39,10 @@
   std::uint32_t router_index = 0;  ///< This router's number among `router_count`.
   std::uint32_t router_count = 1;
   std::string zone;                 ///< This router's zone.
-  Duration clock_resolution = 1ns;  ///< The shortest time between two rounds of events.
+  Duration clock_resolution = 1ns;  ///< The shortest time between two events that differ in time.
 
   DiscoveryMode discovery_mode = DiscoveryMode::Push;
-  Duration max_list_age{};  ///< Poll only: how old a list may grow without being asked for.
+  Duration max_list_age{};  ///< DiscoveryMode::Poll only: the list is polled when it is older.
   ListedRole listed_role = ListedRole::None;
 
   SessionTokenSource session_token_source = SessionTokenSource::Router;
@@ -50,30 +50,31 @@
   /// response was lost on the way. Empty: only a response that arrived counts as known.
   std::optional<Duration> assumed_response_delay;
   StalenessCheck staleness_check = StalenessCheck::None;
-  Duration staleness_check_timeout{};  ///< How long an endpoint that waits does so.
+  /// StalenessCheck::Wait only: how long an endpoint waits for the data.
+  Duration staleness_check_timeout{};
 
   LoadReportSource load_report_source = LoadReportSource::None;
   bool load_reports_contain_positions = false;  ///< Reports contain a replication position.
   bool load_reports_contain_roles = false;      ///< Reports contain the endpoint's role.
   bool health_checks_allowed = true;
-  double health_check_cost = 0.24;  ///< The cost of one, relative to a request's value; 0: free.
+  double health_check_cost = 0.24;  ///< The cost of one, relative to a read's value; 0: free.
 
   bool cancellation_allowed = false;
   bool hedging_allowed = false;      ///< A second copy of a late read may be sent in parallel.
   bool retry_after_allowed = false;  ///< A rejection may say when to come back.
-  Duration max_retry_after{};
-  std::uint32_t max_attempts = 1;  ///< Per request, the first one included. At least 1.
+  Duration max_retry_after{};        ///< The longest time that a rejection may advise.
+  std::uint32_t max_attempts = 1;    ///< Per request, the first one included. At least 1.
   Duration connect_timeout{};
 
   Duration response_slack{};  ///< A final answer still counts this long after the deadline.
   Duration drain_grace{};     ///< How long after a drain notice attempts may still start.
-  /// Only endpoints listed as draining are off limits; one listed as removed may still serve.
+  /// Whether an endpoint that the list removes without draining it first may still serve.
   bool removed_endpoints_may_serve = false;
 
-  Duration slow_start_duration{};          ///< A started endpoint has full capacity after this.
-  double slow_start_initial_capacity = 1;  ///< The fraction that it starts with, in (0, 1].
-  /// An endpoint in slow start that gets more than `overload_factor` times its present capacity for
-  /// `overload_duration` fails.
+  Duration slow_start_duration{};          ///< An endpoint's time from start to full capacity.
+  double slow_start_initial_capacity = 1;  ///< The fraction of it at the start, in (0, 1].
+  /// An endpoint in slow start fails if it gets more than `overload_factor` times its present
+  /// capacity for `overload_duration`.
   Duration overload_duration{};
   double overload_factor = 1;
 };
--- a/include/gorsebeam/time.h
+++ b/include/gorsebeam/time.h
@@ -1,33 +1,33 @@
-/// Time as all modules express it: durations, points in time and replication positions.
+/// The types for time that all modules share: durations, points in time and replication positions.
 ///
-/// Integers stand for time only where a wire, a file or GLib dictates them; they are converted
-/// where they are parsed or written.
+/// Integers represent time only where a wire protocol, a file format or GLib requires them; they
+/// are converted where they are parsed or written.
 #pragma once
 
 #include <chrono>
 
 namespace gorsebeam {
 
-using namespace std::chrono_literals;  // units of constants: 150ms
+using namespace std::chrono_literals;  // for constants with a unit, such as 150ms
 
 using Duration = std::chrono::nanoseconds;
 
-/// Tag of the clock of the embedding program, which never goes back. The library does not read it:
-/// each event comes with its time. The gateway and the simulator's adapter count from the Unix
-/// epoch.
+/// Tag type for the embedding program's clock, which never goes back. The library reads no clock:
+/// the program passes the time with each event. The gateway and the simulator adapter count from
+/// the Unix epoch.
 struct Clock;
 
 /// A point in time. The default is the epoch, which stands for "long ago".
 using TimePoint = std::chrono::time_point<Clock, Duration>;
 
-/// A point in time that does not come.
+/// A point in time that is never reached.
 constexpr TimePoint kNever = TimePoint::max();
 
-/// Tag of the time scale of replication positions.
+/// Tag type for the time scale of replication positions.
 struct ReplicationLog;
 
 /// How far an endpoint has applied its group's log: the time up to which it has applied all
-/// commits. A type of its own, so that a position is not taken for the time at which it was read.
+/// commits. A separate type, so that a position is not mistaken for the time at which it was read.
 using ReplicationPosition = std::chrono::time_point<ReplicationLog, Duration>;
 
 /// The position of an endpoint that has applied all commits up to `time`.
@@ -50,7 +50,7 @@
   return Duration(static_cast<Duration::rep>(nanoseconds));
 }
 
-/// The quotient of two durations, which the operator would round down.
+/// The quotient of two durations as a floating-point number; the operator / would truncate it.
 constexpr double ratio(Duration dividend, Duration divisor) {
   return to_double(dividend) / to_double(divisor);
 }
--- a/src/common/result.h
+++ b/src/common/result.h
@@ -7,12 +7,12 @@
 
 namespace gorsebeam::common {
 
-/// Holds either a `Value` or an `Error`; the two types differ. Test it before it is read:
+/// Holds either a `Value` or an `Error`, which must be different types. Call `has_value()` first:
 /// `value()` of an error and `error()` of a value are programming errors.
 template <typename Value, typename Error>
 class [[nodiscard]] Result {
 public:
-  // Implicit, so that a function returns either one as it is.
+  // The constructors are implicit, so that a function can return a value or an error directly.
   Result(Value value) : content_(std::in_place_index<0>, std::move(value)) {}
 
   Result(Error error) : content_(std::in_place_index<1>, std::move(error)) {}
--- a/src/router/attempt_observer.cpp
+++ b/src/router/attempt_observer.cpp
@@ -9,9 +9,9 @@
 
 void AttemptObserver::record_answer(EndpointState& endpoint, const AttemptResult& result) {
   const TimePoint now = state_.event.now;
-  // Reads that began before a handover report the old role. Without this check each of them would
-  // send all waiting writes to an endpoint that has rejected writes since, until their attempts are
-  // used up.
+  // A read that started before a change of the primary reports the old role. It is ignored, as each
+  // such answer would send all waiting writes to an endpoint that now rejects them, until their
+  // attempts are used up.
   if (result.role == Role::Replica)
     endpoint.answered_as_replica_at = now;
   const bool claims_primary =
@@ -31,7 +31,7 @@
     advance_replication_position(state_.endpoints, endpoint, *report.replication_position, now);
   if (!report.is_primary)
     return;
-  // A primary's position is the present, so it dates the report.
+  // A primary has applied all commits, so its position is the time of the report.
   const TimePoint as_of = report.replication_position ? time_of(*report.replication_position)
                                                       : now - kAssumedEvidenceAge;
   state_.roles.record_role_evidence(endpoint,
@@ -78,7 +78,8 @@
   if (!state_.event.is_after_stall())
     record_load(endpoint, objective_fraction(request, result.elapsed));
   OutlierEjector::record_success(endpoint);
-  // The endpoint checked the read itself, so its answer proves the position that the read required.
+  // The endpoint checked the read for staleness, so its answer proves that it has applied the
+  // position that the read required.
   const ReplicationPosition required = attempt.required_position;
   if (is_read(request) && state_.settings.staleness_check != StalenessCheck::None &&
       required != kUnknownPosition) {
@@ -118,8 +119,8 @@
                                                 UpstreamAttempt& attempt,
                                                 const AttemptResult& result) {
   attempt.connection_broke = true;
-  // A connection that is refused at once shows that the process is down. One that times out may
-  // show a slow network path or a slow set-up.
+  // A connection that is refused at once indicates that the process is down. One that times out may
+  // be due to a slow network path or a slow connection setup.
   const bool is_slow = result.status == AttemptStatus::ConnectFailed &&
                        result.elapsed >= state_.settings.connect_timeout / 2;
   if (is_slow)
@@ -136,7 +137,7 @@
 }
 
 // An attempt without an answer indicates load only where other answers are slow or missing as well.
-// Where they are fast, answers are being lost, and sending fewer requests would not help.
+// Where they are fast, some answers are lost, and sending fewer requests would not help.
 void AttemptObserver::record_missing_answer(EndpointState& endpoint) {
   const DecayingLoad& pool = state_.pool_of(endpoint);
   if (pool.count() < 1 || pool.exceeds(kTargetLoad))
@@ -160,8 +161,8 @@
                                           const HealthCheckResult& result) {
   endpoint.has_health_check = false;
   const GroupId group_id = endpoint.listing.group;
-  // A failed health check ejects no endpoint: health checks may fail, or be too many, while
-  // requests are served. If the endpoint is down, the connection of the next request fails.
+  // A failed health check ejects no endpoint, as an endpoint may fail or refuse health checks while
+  // it serves requests. If the endpoint is down, the connection of the next request fails.
   if (!result.succeeded) {
     state_.endpoints.mark_dispatchable(group_id);
     return;
@@ -169,9 +170,9 @@
   record_load_report(endpoint, result.load_report);
   if (endpoint.needs_recovery_attempt)
     return;
-  // Writes do not wait for a discovery after each broken connection: a primary that accepts a new
-  // connection and reports its role is still the primary. After timeouts only an answer decides, as
-  // a health check proves little.
+  // A primary that accepts a new connection and reports its role is still the primary, so after a
+  // broken connection writes need not wait for a discovery of the primary. After timeouts only an
+  // answer to a request ends the suspicion, as a health check proves little.
   ReplicaGroup& group = state_.endpoints.group(group_id);
   if (group.primary == endpoint.listing.id && result.load_report.is_primary.value_or(false))
     group.primary_suspected = false;
--- a/src/router/attempt_observer.h
+++ b/src/router/attempt_observer.h
@@ -6,15 +6,15 @@
 
 namespace gorsebeam::router {
 
-/// Passes results to the modules that hold the state.
+/// Passes results to the modules that hold the state of endpoints and classes.
 class AttemptObserver {
 public:
   AttemptObserver(RouterState& state, RetryPolicy& retries) : state_(state), retries_(retries) {}
 
-  /// Records the role and the position that an endpoint stated in an answer.
+  /// Records the role and the replication position that an endpoint reported in an answer.
   void record_answer(EndpointState& endpoint, const AttemptResult& result);
 
-  /// Records the end of an attempt: its evidence of the endpoint, and whether it may have run.
+  /// Records the end of an attempt: what it shows about the endpoint, and whether it may have run.
   void record_attempt_end(EndpointState& endpoint, PendingRequest& request,
                           UpstreamAttempt& attempt, const AttemptResult& result);
 
--- a/src/router/attempt_starter.h
+++ b/src/router/attempt_starter.h
@@ -11,16 +11,17 @@
 /// Why a request is sent to an endpoint.
 enum class AttemptKind {
   Normal,
-  Recovery,  ///< The endpoint is ejected; its answer readmits it.
+  Recovery,  ///< The endpoint is ejected; an answer readmits it.
 };
 
-/// Every attempt of the router starts here.
+/// Starts all attempts of the router.
 class AttemptStarter {
 public:
   AttemptStarter(RouterState& state, const RetryPolicy& retries, LoadAdmission& admission)
       : state_(state), retries_(retries), admission_(admission) {}
 
-  /// Starts an attempt. Returns whether it was started.
+  /// Starts an attempt of the request at the endpoint, if it is allowed. Returns whether it
+  /// started.
   bool start(PendingRequest& request, EndpointId id, AttemptKind kind);
 
 private:
--- a/src/router/class_statistics.cpp
+++ b/src/router/class_statistics.cpp
@@ -3,15 +3,18 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr double kStep = 0.02;  // of a median per sample: about the last fifty samples count
-constexpr double kInitialObjectiveFraction = 5;  // the first estimate is the objective over this
+// The fraction by which a sample moves an estimate, so that about the last 50 samples count.
+constexpr double kStep = 0.02;
+
+// The first estimate of a class's typical latency is its latency objective divided by this.
+constexpr double kInitialObjectiveDivisor = 5;
 
 }  // namespace
 
 ClassStatistics::ClassStatistics(const std::vector<RequestClass>& classes) {
   for (const RequestClass& request_class : classes) {
     const auto objective = to_double(request_class.latency_objective);
-    rows_.push_back({objective / kInitialObjectiveFraction, 0});
+    rows_.push_back({objective / kInitialObjectiveDivisor, 0});
   }
 }
 
--- a/src/router/class_statistics.h
+++ b/src/router/class_statistics.h
@@ -8,7 +8,7 @@
 
 namespace gorsebeam::router {
 
-/// One row for each class of the settings, with the same index.
+/// Holds one row for each request class, with the same index as in the settings.
 class ClassStatistics {
 public:
   explicit ClassStatistics(const std::vector<RequestClass>& classes);
@@ -19,15 +19,15 @@
   /// Records an answer that took `elapsed` nanoseconds.
   void record_answer(std::size_t class_index, double elapsed);
 
-  /// Records that an attempt is overdue; it counts as a slow answer.
+  /// Records that an attempt of the class is overdue, which counts as a slow answer.
   void record_overdue(std::size_t class_index);
 
-  /// The median latency in nanoseconds, with overdue attempts counted as slow.
+  /// The estimated median latency in nanoseconds, with overdue attempts counted as slow answers.
   [[nodiscard]] double typical_latency(std::size_t class_index) const {
     return rows_.at(class_index).typical_latency;
   }
 
-  /// The number of recent requests, with decaying weights.
+  /// The number of recent requests, in which older requests count less.
   [[nodiscard]] double traffic(std::size_t class_index) const {
     return rows_.at(class_index).traffic;
   }
--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -77,8 +77,8 @@
   request.is_hedged = true;
 }
 
-// No replica is admitted. The read waits while health checks request positions, and goes to the
-// primary once a longer wait would miss the latency objective.
+// Called for a read for which no replica is admitted. The read waits while health checks request
+// positions, and goes to the primary once a longer wait would miss its latency objective.
 void Dispatcher::await_current_replica(PendingRequest& request) {
   const bool position_may_arrive = positions_.request_positions(request);
   const Duration work = to_duration(2 * state_.typical_latency(request));
@@ -107,8 +107,8 @@
     starter_.start(request, primary, AttemptKind::Normal);
 }
 
-// Requests are dispatched in order of their value for their work, so that in overload those of the
-// lowest value remain.
+// Dispatches in order of descending value per work, so that under overload the requests of the
+// lowest value keep waiting.
 void Dispatcher::dispatch_waiting(GroupId id) {
   ReplicaGroup& group = state_.endpoints.group(id);
   if (state_.event.now - group.last_dispatch_at < kRequestCheckInterval / 2)
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -13,7 +13,7 @@
 
 namespace gorsebeam::router {
 
-/// Combines the other policies.
+/// Combines the other policies into the decisions about a request.
 class Dispatcher {
 public:
   Dispatcher(RouterState& state, RetryPolicy& retries, RequestScheduler& scheduler)
@@ -21,13 +21,14 @@
         admission_(state), selector_(state, admission_), starter_(state, retries, admission_),
         positions_(state, selector_), discovery_(state, selector_, admission_, starter_) {}
 
-  /// Handles a request that has just come in.
+  /// Handles a request that has just arrived.
   void accept(PendingRequest& request);
 
-  /// Takes the request's next step: an attempt, a hedge, a final answer, or none while it waits.
+  /// Takes the request's next step: an attempt, a hedged attempt, a final answer, or none while the
+  /// request waits.
   void dispatch(PendingRequest& request);
 
-  /// Dispatches the requests that wait in a group, unless it did so a short time ago.
+  /// Dispatches the waiting requests of a group, unless they were dispatched a short time ago.
   void dispatch_waiting(GroupId id);
 
 private:
--- a/src/router/endpoint_list_updater.cpp
+++ b/src/router/endpoint_list_updater.cpp
@@ -7,7 +7,8 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr Duration kPollRetryGap = 1000ms;  // until a failed poll is repeated
+// The time after which a failed poll is repeated.
+constexpr Duration kPollRetryGap = 1000ms;
 
 }  // namespace
 
@@ -62,8 +63,8 @@
   state_.endpoints.mark_dispatchable(entry.group);
 }
 
-// The listed role is used only while no primary is known, and that of a cached list as the oldest
-// possible evidence.
+// The primary that the list names is used only while none is known. If the list is cached, it
+// counts as the oldest possible evidence.
 void EndpointListUpdater::record_listed_primary(EndpointState& endpoint, EndpointList::Kind kind) {
   if (state_.settings.listed_role == ListedRole::None ||
       state_.endpoints.group_of(endpoint).primary)
@@ -74,9 +75,9 @@
   state_.roles.record_role_evidence(endpoint, {true, as_of, RoleEvidence::Source::Report});
 }
 
-// Where removed endpoints may serve, an endpoint that was not draining before it was removed from
-// the list is assumed to run: lists lose entries and regain them while the endpoints serve, and
-// connections to an endpoint that does not run fail.
+// Where removed endpoints may serve, an endpoint that was up when it was removed from the list is
+// assumed to be running: lists lose entries and regain them while the endpoints serve, and
+// connections to an endpoint that is not running fail.
 void EndpointListUpdater::exclude(EndpointState& endpoint, EndpointStatus previous,
                                   EndpointStatus status) {
   const bool was_up = previous == EndpointStatus::Up;
--- a/src/router/endpoint_list_updater.h
+++ b/src/router/endpoint_list_updater.h
@@ -6,7 +6,7 @@
 
 namespace gorsebeam::router {
 
-/// Also schedules the polls of a list that is polled.
+/// Also schedules the polls of the list where discovery is polled.
 class EndpointListUpdater {
 public:
   explicit EndpointListUpdater(RouterState& state) : state_(state) {}
--- a/src/router/endpoint_selection.cpp
+++ b/src/router/endpoint_selection.cpp
@@ -11,7 +11,7 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr EndpointId kNoEndpoint = std::numeric_limits<EndpointId>::max();  // reserved
+constexpr EndpointId kNoEndpoint = std::numeric_limits<EndpointId>::max();  // the reserved id
 
 bool needs_current_data(const RequestClass& request_class) {
   return request_class.consistency == ConsistencyLevel::BoundedStaleness ||
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-// A read that met a broken connection at every endpoint must not wait while all of them are
-// running. Once it had as many attempts as there are endpoints to serve it, an endpoint whose
-// connection broke may have it again.
+// A read whose connection broke at every endpoint must not wait while all of them are running.
+// Once it had as many attempts as there are endpoints that can serve it, it may be sent again to an
+// endpoint whose connection broke.
 bool EndpointSelector::was_attempted(const PendingRequest& request, EndpointId id) const {
   const ReplicaGroup& group = state_.group_of(request);
   for (const UpstreamAttempt& attempt : request.attempts) {
@@ -43,10 +43,10 @@
   return false;
 }
 
-// The base design treats all reads alike. Reads that any endpoint may serve and that run far longer
-// than those which need current data may keep a replica from applying the log. They go to one
-// replica, the same at every router, which serves other reads when it is proven current. Reads that
-// it does not admit go to the primary. The cost is latency if such reads fill a machine.
+// Reads that any endpoint may serve and that run far longer than the reads which need current data
+// may keep a replica from applying the log. All of them go to one replica, the same at every
+// router. It serves other reads only while it is proven current. Long reads that it does not admit
+// go to the primary. Trade-off: their latency rises if they are more than one machine can serve.
 bool EndpointSelector::is_long_running(std::size_t class_index) const {
   const std::vector<RequestClass>& classes = state_.settings.classes;
   if (classes[class_index].consistency != ConsistencyLevel::Eventual)
@@ -79,7 +79,7 @@
   return best;
 }
 
-// The test of the base design: the endpoint is not ejected, and known to be current for this read.
+// An endpoint is admitted if it is not ejected, and proven to be current where the read needs that.
 bool EndpointSelector::is_admitted(const EndpointState& endpoint,
                                    const PendingRequest& request) const {
   if (endpoint.is_ejected)
@@ -91,11 +91,11 @@
          is_proven_current(endpoint, request_class, request, state_.event.now);
 }
 
-// Applies where endpoints check reads for staleness, and a replica's known position is too old to
-// prove it current. A replica that has answered is presumed current unless a misdirected read, or
-// its lag when it last reported a position, shows otherwise; its own check protects the read from
-// stale data. This also covers health checks that fail. The cost is a misdirected read if the
-// replica lags. The base design does not admit the replica.
+// Where endpoints themselves check reads for staleness, a replica whose known position is too old
+// to prove it current is presumed current, unless a misdirected read, or its lag when it last
+// reported a position, shows otherwise. The replica's own check protects the read from stale data.
+// This also lets replicas serve while their health checks fail. Trade-off: the read is misdirected
+// if the replica does lag.
 bool EndpointSelector::is_presumed_current(const EndpointState& endpoint,
                                            const PendingRequest& request) const {
   if (state_.settings.staleness_check == StalenessCheck::None || endpoint.is_ejected ||
@@ -110,10 +110,10 @@
          endpoint.position_reported_at - time_of(endpoint.position) <= request_class.max_staleness;
 }
 
-// The base design divides reads evenly. That leaves less work to the replica with the long reads,
-// and to the primary once replicas are saturated. An endpoint's share is its even share of all work
-// less the work that only it can do. The cost is an uneven load where other routers have another
-// mix of requests.
+// An endpoint's weight in the division of the reads is its even share of all work less the work
+// that only this endpoint can do. So the replica that gets the long reads gets fewer others, and so
+// does the primary, which shares the reads once replicas are saturated. Trade-off: the load is
+// uneven where other routers have another mix of requests.
 double EndpointSelector::load_share(const ReplicaGroup& group, EndpointId id,
                                     bool serves_long_reads) const {
   const bool is_primary = group.primary == id;
@@ -166,12 +166,12 @@
          endpoint.position >= required_position(request_class, request, now);
 }
 
-// The base design readmits an endpoint by a health check only. A health check may fail, exceed the
-// budget, or prove little after timeouts or errors. Therefore one idempotent read at a time is sent
-// to the endpoint, after a backoff that doubles with each failure; this also serves the first reads
-// of a new router. The endpoint gets no more than the hash would assign to it, unless no other is
-// left: many routers, each without knowledge of the others, would overload one that has just
-// started.
+// A health check is not enough to readmit endpoints: it may fail, exceed the budget, or prove
+// little after timeouts or errors. Therefore one idempotent read at a time is sent to the endpoint,
+// after a backoff that doubles with each failure; this also serves the first reads of a new router.
+// The endpoint gets no more reads than the hash would assign to it, unless no other endpoint is
+// left: many routers, each without knowledge of the others, would overload an endpoint that has
+// just started.
 std::optional<EndpointId> EndpointSelector::choose_recovery_attempt(const PendingRequest& request,
                                                                     RecoveryChoice choice) {
   if (state_.class_of(request).idempotency != Idempotency::Idempotent || !request.attempts.empty())
@@ -246,9 +246,9 @@
   Candidates candidates = collect_candidates(request, long_reads_at);
   if (candidates.has_replica)
     return pick_by_weighted_hash(request, std::move(candidates.admitted));
-  // A replica that is not proven current gets no bounded or session read, except where endpoints
-  // check reads themselves: then the most advanced one is tried first, unless it is known to lag
-  // too far.
+  // A replica that is not proven current gets no read that needs current data, except where
+  // endpoints check reads themselves. There the replica with the highest position gets it, unless
+  // it is known to lag too far.
   if (state_.settings.staleness_check == StalenessCheck::None)
     return std::nullopt;
   return most_advanced(request, candidates.reachable);
--- a/src/router/endpoint_selection.h
+++ b/src/router/endpoint_selection.h
@@ -11,31 +11,32 @@
 
 namespace gorsebeam::router {
 
-/// Reads that take this many times as long as reads which need current data delay a replica.
+/// Reads that run at least this many times as long as reads which need current data may keep a
+/// replica from applying the log.
 constexpr double kLongReadFactor = 2;
 
-/// When an ejected endpoint may get a request to see whether it answers.
+/// When an ejected endpoint may get a read as a recovery attempt.
 enum class RecoveryChoice {
-  ByHashShare,  ///< No more often than the hash would assign requests to it.
-  Fallback,     ///< Whenever one is due, as no other endpoint can serve the request.
+  ByHashShare,  ///< No more often than the hash would assign reads to it.
+  Fallback,     ///< Whenever one is due, as no other endpoint can serve the read.
 };
 
-/// Sessions hash over the admitted replicas, sorted by id, so that all routers send one session to
-/// the same replica.
+/// Selects among the admitted replicas, sorted by id, by a hash of the read's session, so that all
+/// routers send a session's reads to the same replica.
 class EndpointSelector {
 public:
   EndpointSelector(RouterState& state, LoadAdmission& admission)
       : state_(state), admission_(admission) {}
 
-  /// The replica that gets the read, or the primary where it shares the reads; none if no endpoint
-  /// is admitted.
+  /// The replica that gets the read, or the primary where saturated replicas share the reads with
+  /// it; empty if no endpoint is admitted.
   [[nodiscard]] std::optional<EndpointId> choose_replica(const PendingRequest& request);
 
   /// The ejected endpoint that gets the read as a recovery attempt, if any is due.
   [[nodiscard]] std::optional<EndpointId> choose_recovery_attempt(const PendingRequest& request,
                                                                   RecoveryChoice choice);
 
-  /// Whether the request had an attempt at the endpoint and may not have another there.
+  /// Whether the request had an attempt at the endpoint and may not have another one there.
   [[nodiscard]] bool was_attempted(const PendingRequest& request, EndpointId id) const;
 
 private:
@@ -43,7 +44,7 @@
 
   struct Candidates {
     WeightedIds admitted;               // sorted by id
-    bool has_replica = false;           // among the admitted
+    bool has_replica = false;           // whether a replica is among the admitted
     std::vector<EndpointId> reachable;  // replicas that are not ejected, at any position
   };
 
--- a/src/router/endpoint_table.cpp
+++ b/src/router/endpoint_table.cpp
@@ -6,7 +6,8 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr Duration kForgetAfter = 60'000ms;  // an endpoint may be listed again within this time
+// A removed endpoint is kept for this time, as the list may contain it again.
+constexpr Duration kForgetAfter = 60'000ms;
 
 }  // namespace
 
--- a/src/router/endpoint_table.h
+++ b/src/router/endpoint_table.h
@@ -1,4 +1,4 @@
-/// Holds what is known of each endpoint and replica group.
+/// Holds what the router knows about each endpoint and replica group.
 #pragma once
 
 #include "gorsebeam/events.h"
@@ -14,37 +14,39 @@
 
 namespace gorsebeam::router {
 
-/// The first backoff before an ejected endpoint gets a recovery attempt.
+/// How long a newly ejected endpoint gets no recovery attempt; doubles with each failure.
 constexpr Duration kInitialRecoveryBackoff = 500ms;
 
-/// What is known of one endpoint. A new entry is ejected, as a new router has no evidence of any
-/// endpoint.
+/// What the router knows about one endpoint. A new endpoint counts as ejected until it answers, as
+/// nothing is known about it.
 struct EndpointState {
   Endpoint listing;               ///< The newest entry of the endpoint list.
-  TimePoint removed_at = kNever;  ///< When the list said that it was removed.
-  ReplicationPosition position =
-      kUnknownPosition;  ///< It has applied the log at least up to here. Never decreases.
-  ReplicationPosition stale_before =
-      kUnknownPosition;  ///< A misdirected read showed that it had not applied the log up to here.
-  int consecutive_failures = 0;  ///< Timeouts, or connections that failed at once.
-  double error_ratio = 0;        ///< The recent share of errors among its answers.
+  TimePoint removed_at = kNever;  ///< When the list marked it as removed.
+  /// It has applied the log at least up to this position, which never decreases.
+  ReplicationPosition position = kUnknownPosition;
+  /// A misdirected read showed that it had not yet applied the log up to this position.
+  ReplicationPosition stale_before = kUnknownPosition;
+  int consecutive_failures = 0;  ///< Timeouts, and connections that were refused or broke at once.
+  double error_ratio = 0;        ///< The fraction of errors among its recent answers.
   bool is_ejected = true;        ///< Gets no reads until it answers.
-  bool needs_recovery_attempt =
-      false;                   ///< Ejected for a reason that a health check does not refute.
-  int connection_breaks = 0;   ///< Connections refused or broken in a row, with no answer between.
-  TimePoint first_break_at{};  ///< The first of them.
-  bool may_have_restarted = false;    ///< Connections broke repeatedly.
+  /// Whether only the answer to a recovery attempt readmits it, as a health check proves little.
+  bool needs_recovery_attempt = false;
+  /// The number of connections that were refused or broke since the last answer.
+  int connection_breaks = 0;
+  TimePoint first_break_at{};  ///< When the first of these connections broke.
+  /// Connections broke repeatedly, so it may need a slow start when it is back.
+  bool may_have_restarted = false;
   TimePoint ejected_at = kNever;      ///< When it was last ejected.
-  bool has_recovery_attempt = false;  ///< One is in flight.
-  bool has_health_check = false;      ///< One is in flight.
-  TimePoint next_recovery_at{};       ///< No recovery attempt before this.
-  Duration recovery_backoff =
-      kInitialRecoveryBackoff;                    ///< The next backoff; doubles with each failure.
+  bool has_recovery_attempt = false;  ///< A recovery attempt is in flight.
+  bool has_health_check = false;      ///< A health check is in flight.
+  TimePoint next_recovery_at{};       ///< No recovery attempt starts before this.
+  /// The next backoff before a recovery attempt; doubles with each failure.
+  Duration recovery_backoff = kInitialRecoveryBackoff;
   TimePoint last_answer_at{};                     ///< When it last answered an attempt.
-  TimePoint last_health_check_at = kUnknownTime;  ///< When the last one was sent.
+  TimePoint last_health_check_at = kUnknownTime;  ///< When the last health check was sent.
   TimePoint position_reported_at = kUnknownTime;  ///< When it last reported a position.
-  TimePoint role_evidence_at =
-      kUnknownTime;  ///< The time for which the newest evidence of its role holds.
+  /// The time to which the newest evidence of its role applies.
+  TimePoint role_evidence_at = kUnknownTime;
   TimePoint answered_as_replica_at = kUnknownTime;  ///< When it last answered that it is a replica.
   TimePoint slow_start_since = kUnknownTime;        ///< When its slow start began.
   DecayingLoad load;                                ///< Estimated from its own answers.
@@ -53,26 +55,28 @@
   [[nodiscard]] bool is_usable() const { return listing.status == EndpointStatus::Up; }
 };
 
-/// What is known of one replica group.
+/// What the router knows about one replica group.
 struct ReplicaGroup {
-  std::vector<EndpointId> endpoints;             ///< Sorted.
-  std::optional<EndpointId> primary;             ///< By the newest evidence.
-  TimePoint primary_evidence_at = kUnknownTime;  ///< The time for which that evidence holds;
-                                                 ///< remains when the primary becomes unknown.
-  bool primary_suspected = false;  ///< It failed to answer, so writes wait.
-  bool sparse_bounded_reads =
-      true;  ///< They come further apart than a position remains recent enough.
+  std::vector<EndpointId> endpoints;  ///< Sorted.
+  std::optional<EndpointId> primary;  ///< By the newest evidence.
+  /// The time to which that evidence applies. Kept when the primary becomes unknown.
+  TimePoint primary_evidence_at = kUnknownTime;
+  bool primary_suspected = false;  ///< The primary did not answer, so writes wait.
+  /// Whether reads with a staleness bound arrive at longer intervals than the bound, so that the
+  /// positions known at one read are too old for the next.
+  bool sparse_bounded_reads = true;
   TimePoint last_bounded_read_at = kUnknownTime;
-  bool is_dispatchable = false;  ///< Something changed that may allow waiting requests to be sent.
+  /// Whether something changed that may allow the waiting requests to be sent.
+  bool is_dispatchable = false;
   TimePoint last_discovery_at = kUnknownTime;  ///< When a write was last sent to find the primary.
-  TimePoint
-      last_dispatch_at{};  ///< Dispatches are rate-limited, as thousands of requests may wait.
+  /// Limits the rate of dispatches, as thousands of requests may wait.
+  TimePoint last_dispatch_at{};
   std::set<std::uint64_t> waiting;  ///< Sequence numbers of requests with no attempt in flight.
 };
 
-/// Owns all endpoint states and groups. Bounded by the listed endpoints, those removed within the
-/// last minute, and the groups of open requests. References stay valid until the entry is
-/// forgotten.
+/// Owns all endpoint states and groups. Its size is bounded by the listed endpoints, those removed
+/// within the last minute, and the groups of open requests. A reference to an endpoint or a group
+/// stays valid until the table forgets it.
 class EndpointTable {
 public:
   using Endpoints = std::map<EndpointId, EndpointState>;
@@ -103,7 +107,7 @@
     return group_of(endpoint).primary == endpoint.listing.id;
   }
 
-  /// Its role by the newest evidence.
+  /// The endpoint's role by the newest evidence.
   [[nodiscard]] Role role_of(const EndpointState& endpoint) {
     return is_primary(endpoint) ? Role::Primary : Role::Replica;
   }
@@ -117,12 +121,12 @@
   /// Removes and returns the group that was marked first, if any.
   [[nodiscard]] std::optional<GroupId> pop_dispatchable();
 
-  /// Removes endpoints that were removed from the list a minute ago, except those `in_use`. Bounds
-  /// memory and the work per request: replaced endpoints have new ids.
+  /// Forgets the endpoints that were removed from the list at least a minute ago, except those
+  /// `in_use`. This bounds the memory and the work per request, as replaced endpoints have new ids.
   void forget_removed(TimePoint now, const std::set<EndpointId>& in_use);
 
-  /// Removes a group without endpoints and waiting requests. Bounds memory: clients may name groups
-  /// that no list contains, and lists add and drop groups.
+  /// Forgets the group if it has neither endpoints nor waiting requests. This bounds the memory, as
+  /// clients may name groups that no list contains, and lists add and drop groups.
   void forget_group_if_unused(GroupId id);
 
 private:
--- a/src/router/health_check_scheduler.cpp
+++ b/src/router/health_check_scheduler.cpp
@@ -7,9 +7,12 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr double kBudgetShare = 0.1;  // checks per request of this router; bounds their cost
-constexpr double kMinPositionValue =
-    0.04;  // as a fraction of a read's value, of a position that only this read uses
+// The health checks that each request of this router adds to the budget.
+constexpr double kBudgetShare = 0.1;
+
+// The least value of a replication position that only one read uses, as a fraction of the value of
+// that read.
+constexpr double kMinPositionValue = 0.04;
 
 }  // namespace
 
--- a/src/router/load_admission.cpp
+++ b/src/router/load_admission.cpp
@@ -8,10 +8,10 @@
 
 namespace gorsebeam::router {
 
-// The base design sheds no load. When answers take too large a fraction of their objectives,
-// because of overload, slow machines or retries, an endpoint gets only so many of the requests that
-// the hash assigns to it that these are answered in time. The others go to other endpoints or wait.
-// The cost is requests of a group that is overloaded alone and has few answers.
+// When answers take too large a fraction of their latency objectives, because of overload, slow
+// machines or retries, an endpoint gets only as many of the requests that the hash assigns to it as
+// it can answer in time. The others go to other endpoints or wait. Trade-off: as the load is pooled
+// over groups, a group that is overloaded alone and has few answers may lose requests.
 bool LoadAdmission::admits_under_load(EndpointState& endpoint, const PendingRequest& request) {
   const DecayingLoad& pool = state_.pool_of(endpoint);
   const DecayingLoad& own = state_.load_of(endpoint);
@@ -22,20 +22,20 @@
     value += state_.classes.traffic(i) * state_.settings.classes[i].priority_weight;
     work += state_.classes.traffic(i) * state_.classes.typical_latency(i);
   }
-  // The exponent is about two, as clients retry late requests, and higher for requests whose value
-  // for their work is below the mean.
+  // The exponent is two for requests of mean value per work, as clients retry late requests, and
+  // higher for requests of less value per work.
   const double relative = 2 * value / work / value_per_work(request);
   const double exponent = std::min(kMaxSheddingExponent, std::max(1.0, relative));
   return unit_interval(request.id_hash + 1) < std::pow(headroom, exponent);
 }
 
-// The base design has no slow start. An endpoint in slow start keeps its place in the hash, and a
-// primary its writes, but only for a fraction of the requests. Each request draws whether it
-// belongs to that fraction, so that the rest does not add up on the next endpoint. The fraction is
-// the capacity that is certain, times the root of the overload factor where the list contained the
-// start, because typical work needs less than the settings assume. It is lower while the
-// endpoint's role is overloaded, as clients retry rejected requests. The cost falls on an endpoint
-// that does the work of several.
+// An endpoint in slow start keeps its share in the hash, and a primary keeps its writes, but only a
+// fraction of these requests are sent. The hash of its id decides whether a request belongs to the
+// fraction at every endpoint, so that the rest does not overload the next endpoint. The fraction is
+// the endpoint's present capacity; if the list contained its start, it is that capacity times the
+// square root of the overload factor, as typical work needs less than the settings assume. The
+// fraction is lower while the endpoint's pool is overloaded, as clients retry rejected requests.
+// Trade-off: an endpoint that does the work of several may still be overloaded.
 bool LoadAdmission::admits_during_slow_start(const EndpointState& endpoint,
                                              const PendingRequest& request) {
   const double capacity = slow_start_capacity(endpoint, state_.settings, state_.event.now);
--- a/src/router/load_admission.h
+++ b/src/router/load_admission.h
@@ -1,18 +1,20 @@
-/// Policy: decides which of the requests that are assigned to an endpoint it gets under load.
+/// Policy: decides which of the requests that are assigned to an endpoint are sent to it under
+/// load.
 #pragma once
 
 #include "router/router_state.h"
 
 namespace gorsebeam::router {
 
-/// The fraction of their latency objectives that answers may take on average. Above it, the slow
-/// answers miss their objectives.
+/// The fraction of their latency objectives that answers may take on average. At a higher mean, the
+/// slower answers miss their objectives.
 constexpr double kTargetLoad = 0.35;
 
-/// The highest exponent by which requests of low value are shed.
+/// The upper limit of the exponent that sets how strongly requests of low value are shed.
 constexpr double kMaxSheddingExponent = 4;
 
-/// Sheds load by a request's own random number, so that all endpoints treat a request alike.
+/// Sheds load by the hash of a request's id, so that a request which one endpoint sheds is shed by
+/// all endpoints under the same load.
 class LoadAdmission {
 public:
   explicit LoadAdmission(RouterState& state) : state_(state) {}
--- a/src/router/load_estimator.cpp
+++ b/src/router/load_estimator.cpp
@@ -6,12 +6,18 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr double kDecayTime = 3e9;  // ns in which a sample decays to 1/e; congestion lasts seconds
-constexpr double kPoolPriorCount = 30;  // samples; the mean of so many has an error of a fifth
-constexpr double kIdleLoad =
-    0.21;  // the fraction of its objective that an answer takes without load
-constexpr double kOwnPriorCount =
-    4;  // samples from which an endpoint's own load outweighs that of its pool
+// The time in nanoseconds in which a sample's weight decays to 1/e, as congestion lasts seconds.
+constexpr double kDecayTime = 3e9;
+
+// The prior of a pool counts as this many samples. The mean of 30 samples has an error of about a
+// fifth.
+constexpr double kPoolPriorCount = 30;
+
+// The fraction of its latency objective that an answer takes without load.
+constexpr double kIdleLoad = 0.21;
+
+// An endpoint's own load outweighs the load of its pool from this many samples on.
+constexpr double kOwnPriorCount = 4;
 
 }  // namespace
 
@@ -40,7 +46,8 @@
 
 double LatencyLoadEstimator::headroom(const DecayingLoad& own, const DecayingLoad& pool,
                                       double target) {
-  // The prior prevents a router with few requests from taking random variation for load.
+  // The prior, an idle pool, prevents a router with few requests from mistaking random variation
+  // for load.
   const double pool_mean =
       (pool.sum() + kPoolPriorCount * kIdleLoad) / (pool.count() + kPoolPriorCount);
   return target * (own.count() + kOwnPriorCount) / (own.sum() + kOwnPriorCount * pool_mean + 1e-9);
--- a/src/router/load_estimator.h
+++ b/src/router/load_estimator.h
@@ -2,8 +2,9 @@
 ///
 /// A sample is an answer's latency as a fraction of its latency objective. Samples decay, so that
 /// an estimate follows congestion, which lasts seconds. A router with little traffic gets few
-/// answers of a single endpoint, so they are weighted against those of all endpoints with the same
-/// zone and role; this also covers a slow network path between zones.
+/// answers from a single endpoint, so these are combined with the answers of all endpoints that
+/// have the same zone and role (their pool). A pool also reflects a slow network path between
+/// zones.
 #pragma once
 
 #include "gorsebeam/types.h"
@@ -17,7 +18,7 @@
 /// A sum of samples in which older ones count less.
 class DecayingLoad {
 public:
-  /// Decays all samples up to `now`.
+  /// Reduces the weight of all samples by their age at `now`.
   DecayingLoad& decay(TimePoint now);
 
   /// Adds a sample at the time of the last `decay`, capped at `kNoAnswerSample`.
@@ -36,10 +37,11 @@
   TimePoint decayed_at_{};
 };
 
-/// Holds the pooled load for each zone and role. Bounded by the zones that the list names.
+/// Holds the pooled load for each zone and role. Its size is bounded by the zones in the endpoint
+/// list.
 class LatencyLoadEstimator {
 public:
-  /// The sample of a request that got no usable answer.
+  /// The sample of a request that got no usable answer: twice the latency objective.
   static constexpr double kNoAnswerSample = 2;
 
   /// The pool of a zone and a role, decayed to `now`.
@@ -49,12 +51,12 @@
   static void record(DecayingLoad& own, DecayingLoad& pool, double objective_fraction,
                      TimePoint now);
 
-  /// `target` divided by the estimated load; above 1 for an endpoint with free capacity. Both must
-  /// be decayed to the present.
+  /// The load `target` divided by the endpoint's estimated load; above 1 for an endpoint with free
+  /// capacity. `own` and `pool` must be decayed to the present.
   [[nodiscard]] static double headroom(const DecayingLoad& own, const DecayingLoad& pool,
                                        double target);
 
-  /// The mean load of a role over all zones, with the samples of `excluded` left out.
+  /// The mean load of the endpoints with a role, over all zones, without the samples of `excluded`.
   [[nodiscard]] double mean_role_load(Role role, TimePoint now, const DecayingLoad& excluded = {});
 
 private:
--- a/src/router/outlier_ejection.cpp
+++ b/src/router/outlier_ejection.cpp
@@ -6,11 +6,20 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr int kConsecutiveFailures = 2;      // a single timeout may be chance
-constexpr double kErrorSmoothing = 0.1;      // weight of a new sample; about the last ten count
-constexpr double kMaxErrorRatio = 0.25;      // an endpoint with a higher ratio is ejected
-constexpr Duration kMinRestartTime = 300ms;  // an endpoint that is back sooner did not restart
-constexpr Duration kMaxRecoveryBackoff = 4000ms;  // outages last seconds to tens of seconds
+// An endpoint is ejected after this many failures in a row, as a single one may be chance.
+constexpr int kConsecutiveFailures = 2;
+
+// The weight of a new sample in the error ratio, so that about the last ten answers count.
+constexpr double kErrorSmoothing = 0.1;
+
+// An endpoint with a higher error ratio is ejected.
+constexpr double kMaxErrorRatio = 0.25;
+
+// An endpoint that answers sooner after its first broken connection did not restart.
+constexpr Duration kMinRestartTime = 300ms;
+
+// The upper limit of the recovery backoff, as outages last seconds to tens of seconds.
+constexpr Duration kMaxRecoveryBackoff = 4000ms;
 
 }  // namespace
 
@@ -41,10 +50,11 @@
   event_.log(EndpointReadmitted{endpoint.listing.id});
 }
 
-// An endpoint can be back before the list contains its restart: it refused a connection, or was
-// silent and returns without the writes of that time. An endpoint that applied the log meanwhile
-// was only unreachable, because of a bad network path or expensive connections, and needs no slow
-// start. The cost is less traffic for an endpoint that hung and recovered.
+// An endpoint can serve again before the list contains its restart. It is assumed to have restarted
+// if its connections broke repeatedly, or if it did not answer during a long outage and returns
+// without the writes of that time. An endpoint that applied the log meanwhile was only unreachable,
+// because of a bad network path or expensive connections, and needs no slow start. Trade-off: an
+// endpoint that hung and recovered gets less traffic than it could serve.
 bool OutlierEjector::needs_slow_start(const EndpointState& endpoint,
                                       bool may_have_restarted) const {
   if (may_have_restarted)
@@ -97,8 +107,8 @@
   if (attempt.is_recovery)
     back_off_recovery(endpoint);
   // A single broken connection may be chance: endpoints reset some connections and continue to run,
-  // also while they are ejected for being slow. Two in a row count as a failure, as with timeouts:
-  // of an endpoint that is down, all connections break.
+  // also while they are ejected for being slow. Two in a row eject an endpoint, as two timeouts do,
+  // because all connections to an endpoint that is down break.
   const bool immediate = kind == ConnectionFailureKind::Immediate;
   if (immediate) {
     ++endpoint.connection_breaks;
@@ -117,7 +127,7 @@
 }
 
 void OutlierEjector::record_answer_on_connection(EndpointState& endpoint) const {
-  // An endpoint that answers on a new connection so soon did not restart: restarts take longer.
+  // A restart takes at least kMinRestartTime.
   if (event_.now - endpoint.first_break_at < kMinRestartTime)
     endpoint.may_have_restarted = false;
   endpoint.connection_breaks = 0;
--- a/src/router/outlier_ejection.h
+++ b/src/router/outlier_ejection.h
@@ -19,26 +19,28 @@
 /// How a connection failed.
 enum class ConnectionFailureKind {
   Immediate,  ///< Refused or broken at once: the process may be down.
-  Slow,       ///< Ran into the timeout: the network path or the set-up may be slow.
+  Slow,       ///< Timed out: the network path or the connection setup may be slow.
 };
 
-/// Holds the failure counts in an endpoint table.
+/// Updates the failure counts and ejections in an endpoint table.
 class OutlierEjector {
 public:
   OutlierEjector(const EventContext& event, const Settings& settings, EndpointTable& endpoints,
                  RoleTracker& roles)
       : event_(event), settings_(settings), endpoints_(endpoints), roles_(roles) {}
 
-  /// Stops reads to the endpoint and suspects it if it is primary.
+  /// Ejects the endpoint until `condition` is met, and suspects it if it is its group's primary.
   void eject(EndpointState& endpoint, RecoveryCondition condition, EjectionReason reason);
 
-  /// Ends the ejection, if there is one. Starts a slow start if the endpoint may have restarted.
+  /// Ends the ejection, if there is one. Puts the endpoint into slow start if it may have
+  /// restarted.
   void readmit(EndpointState& endpoint);
 
-  /// Records an answered attempt: resets counts and backoff, and readmits the endpoint.
+  /// Records an answered attempt: resets the count of failures and the backoff, and readmits the
+  /// endpoint unless only a recovery attempt can.
   void record_answer(EndpointState& endpoint, const UpstreamAttempt& attempt);
 
-  /// Postpones the next recovery attempt by a backoff that doubles.
+  /// Postpones the next recovery attempt by the backoff, and doubles the backoff.
   void back_off_recovery(EndpointState& endpoint) const;
 
   /// Records an attempt that timed out.
@@ -50,12 +52,13 @@
   /// Records an attempt that was answered with an error.
   void record_error(EndpointState& endpoint, const UpstreamAttempt& attempt);
 
-  /// Records a connection that failed or broke. Returns whether the endpoint was ejected for it.
+  /// Records a connection that failed or broke. Returns whether that was reason to eject the
+  /// endpoint.
   [[nodiscard]] bool record_connection_failure(EndpointState& endpoint,
                                                const UpstreamAttempt& attempt,
                                                ConnectionFailureKind kind);
 
-  /// Records an answer on a connection, which resets the count of broken connections.
+  /// Records an answer, which resets the count of broken connections.
   void record_answer_on_connection(EndpointState& endpoint) const;
 
 private:
--- a/src/router/position_requester.cpp
+++ b/src/router/position_requester.cpp
@@ -9,19 +9,20 @@
 namespace gorsebeam::router {
 namespace {
 
-// The endpoints of a group that a read without a known primary may check beyond the budget.
+// The number of endpoints that a read of a group without a known primary may check beyond the
+// budget.
 constexpr int kMaxExemptHealthChecks = 4;
 
 }  // namespace
 
-// Reads of a group without a primary do not wait until the next write finds it, which takes seconds
-// where many routers share the traffic. Each such read checks the group's endpoints once, beyond
-// the budget, because a health check costs less than the value of a read.
+// Reads of a group without a known primary do not wait until the next write finds it, which takes
+// seconds where many routers share the traffic. Each such read checks the group's endpoints once,
+// beyond the budget, because a health check costs less than the value of a read.
 //
-// With many routers the bounded reads of a group come further apart than a known position remains
-// recent enough. One endpoint is then checked at a time, and the read waits for the result, because
-// an old position does not mean that the replica lags. The cost is latency when several replicas do
-// lag. The base design checks every replica.
+// With many routers, the reads with a staleness bound arrive at longer intervals than the bound, so
+// that the positions known at one read are too old for the next. An old position does not mean that
+// the replica lags, so one endpoint at a time is checked, rather than all, and the read waits for
+// the result. Trade-off: the latency rises when several replicas do lag.
 bool PositionRequester::request_positions(const PendingRequest& request) {
   const ReplicaGroup& group = state_.group_of(request);
   const bool lacks_primary = !group.primary || group.primary_suspected;
@@ -56,7 +57,8 @@
     return !endpoint.needs_recovery_attempt;
   const TimePoint now = state_.event.now;
   const ReplicationPosition required = required_position(state_.class_of(request), request, now);
-  // A replica that lags by more than the remaining time does not catch up before the objective.
+  // A replica that lags by more than the remaining time does not catch up before the read's latency
+  // objective.
   return required != kUnknownPosition &&
          required < endpoint.position + (request.objective_at - now);
 }
--- a/src/router/position_requester.h
+++ b/src/router/position_requester.h
@@ -1,4 +1,4 @@
-/// Policy: requests replication positions for a read that no replica is known to be current for.
+/// Policy: requests replication positions for a read for which no replica is known to be current.
 #pragma once
 
 #include "router/endpoint_selection.h"
@@ -6,7 +6,7 @@
 
 namespace gorsebeam::router {
 
-/// Positions are requested by health checks.
+/// Requests positions by health checks.
 class PositionRequester {
 public:
   PositionRequester(RouterState& state, const EndpointSelector& selector)
--- a/src/router/primary_discovery.cpp
+++ b/src/router/primary_discovery.cpp
@@ -11,10 +11,10 @@
 
 }  // namespace
 
-// The base design does not treat a group whose primary does not answer. Where health checks report
-// roles, they are sent to all endpoints. Otherwise one waiting write at a time is sent to the
-// replicas, the most advanced first: an endpoint that is not the primary rejects it unexecuted. The
-// cost is those attempts.
+// Where health checks report roles, all endpoints of the group are checked. Otherwise one waiting
+// write at a time is sent to the endpoints, the one with the highest replication position first: an
+// endpoint that is not the primary refuses it without executing it. Each such attempt counts
+// against the limit of the write.
 void PrimaryDiscovery::discover_for(PendingRequest& request) {
   ReplicaGroup& group = state_.group_of(request);
   check_roles(group);
@@ -71,17 +71,18 @@
   return !selector_.was_attempted(request, id);
 }
 
-// The primary may get a request again after an attempt if evidence since then shows that it is the
-// primary: it may have broken one connection and continue to serve. Without this no other endpoint
-// would ever accept the write.
+// The primary may get a request a second time if evidence since the first attempt shows that it is
+// still the primary, as it may have broken one connection and continue to serve. Otherwise the
+// write would never succeed, as no other endpoint accepts it.
 bool PrimaryDiscovery::has_evidence_since_attempt(const PendingRequest& request) const {
   return !request.attempts.empty() &&
          state_.group_of(request).primary_evidence_at > request.attempts.back().sent_at;
 }
 
-// A primary that reports its position by health checks while answers are fast loses some answers.
-// The doubling backoff would withhold writes from it for seconds. A primary that hangs reports
-// nothing; where all answers are slow, it may be overloaded.
+// If an ejected primary reports its position to health checks and other answers are fast, it is
+// running and only some of its answers were lost. It gets writes at once, as its recovery backoff
+// would withhold them for seconds. A primary that hangs reports no position, and one whose answers
+// are all slow may be overloaded.
 bool PrimaryDiscovery::has_recent_evidence(const EndpointState& primary) {
   return primary.position_reported_at > state_.event.now - kRecentEvidenceAge &&
          !admission_.is_pool_overloaded(primary);
--- a/src/router/primary_discovery.h
+++ b/src/router/primary_discovery.h
@@ -10,14 +10,15 @@
 
 namespace gorsebeam::router {
 
-/// Discovers a primary by health checks where they report roles, else by one write at a time.
+/// Discovers a primary by health checks where they report roles, otherwise by sending one waiting
+/// write at a time.
 class PrimaryDiscovery {
 public:
   PrimaryDiscovery(RouterState& state, const EndpointSelector& selector, LoadAdmission& admission,
                    AttemptStarter& starter)
       : state_(state), selector_(selector), admission_(admission), starter_(starter) {}
 
-  /// Takes the next step for a request that only the primary may serve.
+  /// Takes the next step of the discovery for a request that only the primary may serve.
   void discover_for(PendingRequest& request);
 
 private:
--- a/src/router/rejection_policy.cpp
+++ b/src/router/rejection_policy.cpp
@@ -3,7 +3,7 @@
 namespace gorsebeam::router {
 namespace {
 
-// A primary that hands over its role, rather than dies, has a successor within this time.
+// A primary that hands over its role, rather than failing, has a successor within this time.
 constexpr Duration kHandoverTime = 1000ms;
 
 }  // namespace
@@ -27,9 +27,9 @@
   return std::nullopt;
 }
 
-// An election lasts seconds. A request that was not sent by half of its time is rejected while its
-// client still has time to retry. A suspected primary may answer at any time, so requests wait for
-// it.
+// An election lasts seconds. A request that was not sent in the first half of the time until its
+// deadline is rejected while its client still has time to retry. A primary that is only suspected
+// may answer at any time, so requests wait for it.
 bool RejectionPolicy::cannot_find_primary_in_time(const PendingRequest& request,
                                                   const ReplicaGroup& group) const {
   if (!request.attempts.empty() || group.primary || group.primary_evidence_at == kUnknownTime)
--- a/src/router/rejection_policy.h
+++ b/src/router/rejection_policy.h
@@ -1,4 +1,4 @@
-/// Policy: decides when a request gets a final answer from the router, and which.
+/// Policy: decides when the router gives a request its final answer, and which answer.
 #pragma once
 
 #include "router/retry_policy.h"
@@ -14,19 +14,20 @@
   RejectionPolicy(RouterState& state, const RetryPolicy& retries)
       : state_(state), retries_(retries) {}
 
-  /// Rejects a request over its rate limit before anything is sent, with the time after which one
-  /// is admitted. Returns whether it did.
+  /// Rejects a request over its team's rate limit before anything is sent, with the time after
+  /// which the limit admits a request. Returns whether the request was rejected.
   [[nodiscard]] bool reject_over_rate_limit(PendingRequest& request) const;
 
-  /// Why a request without an attempt in flight can get no further attempt; empty if it can.
+  /// Why a request without an attempt in flight can have no further attempt; empty if it can.
   [[nodiscard]] std::optional<AnswerReason> reason_to_give_up(const PendingRequest& request) const;
 
-  /// Whether a request that needs its group's primary, which is unknown, should wait no longer.
+  /// Whether a request that needs its group's primary should wait no longer, as the primary is
+  /// unknown.
   [[nodiscard]] bool cannot_find_primary_in_time(const PendingRequest& request,
                                                  const ReplicaGroup& group) const;
 
-  /// Closes a request without an attempt in flight: rejected if it is safe to send again, else
-  /// failed.
+  /// Gives a request without an attempt in flight its final answer: rejected if it is safe to send
+  /// again, otherwise failed.
   void give_up(PendingRequest& request, AnswerReason reason) const;
 
 private:
--- a/src/router/replication_positions.h
+++ b/src/router/replication_positions.h
@@ -1,4 +1,5 @@
-/// Tracks how far endpoints have applied the replication log, for reads that need current data.
+/// Tracks up to which position endpoints have applied the replication log, and decides whether that
+/// is enough for a read.
 #pragma once
 
 #include "gorsebeam/settings.h"
@@ -8,14 +9,16 @@
 namespace gorsebeam::router {
 
 /// Records that an endpoint reported at `reported_at` that it has applied the log up to `position`.
-/// A position never decreases, so a report remains valid.
+/// An older position changes nothing, as an endpoint never goes back in the log.
 void advance_replication_position(EndpointTable& endpoints, EndpointState& endpoint,
                                   ReplicationPosition position, TimePoint reported_at);
 
-/// Whether a misdirected read showed that the endpoint lags, and no position has refuted it since.
+/// Whether a misdirected read showed that the endpoint lags, and it has not reported to have caught
+/// up since.
 [[nodiscard]] bool is_known_stale(const EndpointState& endpoint);
 
-/// The position that an endpoint must have applied to serve the request now; kUnknownPosition: any.
+/// The position that an endpoint must have applied to serve the request now; kUnknownPosition if
+/// any will do.
 [[nodiscard]] ReplicationPosition required_position(const RequestClass& request_class,
                                                     const PendingRequest& request, TimePoint now);
 
--- a/src/router/request_scheduler.h
+++ b/src/router/request_scheduler.h
@@ -7,7 +7,7 @@
 
 namespace gorsebeam::router {
 
-/// Updates the waiting requests of each group and the timers.
+/// Updates the waiting requests of each group and the check times.
 class RequestScheduler {
 public:
   RequestScheduler(RouterState& state, RetryPolicy& retries) : state_(state), retries_(retries) {}
--- a/src/router/request_table.h
+++ b/src/router/request_table.h
@@ -19,36 +19,37 @@
 struct UpstreamAttempt {
   EndpointId endpoint = 0;
   TimePoint sent_at{};
-  ReplicationPosition required_position =
-      kUnknownPosition;  ///< The position that the read must see.
+  /// The position that a read must see.
+  ReplicationPosition required_position = kUnknownPosition;
   bool in_flight = true;
   bool is_overdue = false;
-  bool is_recovery = false;       ///< Sent to an ejected endpoint, whose answer readmits it.
+  bool is_recovery = false;       ///< Sent to an ejected endpoint; an answer readmits it.
   bool connection_broke = false;  ///< Ended by a connection that failed or broke.
 };
 
-/// A request without its final answer, or with attempts in flight after it.
+/// A request that has no final answer yet, or still has attempts in flight after its final answer.
 struct PendingRequest {
   Request request;
-  std::uint64_t sequence = 0;  ///< By arrival.
+  std::uint64_t sequence = 0;  ///< Numbers the requests by arrival.
   TimePoint arrived_at{};
   TimePoint objective_at{};  ///< An answer later than this is late.
-  TimePoint give_up_at{};    ///< No attempt starts after this.
-  ReplicationPosition session_token =
-      kUnknownPosition;             ///< The position that a session read must see.
-  std::uint64_t affinity_hash = 0;  ///< Of its session, or its own; assigns it to an endpoint.
-  std::uint64_t id_hash = 0;        ///< Its own random number.
+  TimePoint give_up_at{};    ///< No attempt starts after this time.
+  /// The position that a read at the consistency level Session must see.
+  ReplicationPosition session_token = kUnknownPosition;
+  std::uint64_t affinity_hash = 0;  ///< Of its session, or of its id; assigns it to an endpoint.
+  std::uint64_t id_hash = 0;        ///< Of its id; determines random choices for this request.
   std::vector<UpstreamAttempt> attempts;
   TimePoint may_have_run_at = kUnknownTime;  ///< When the first attempt that may have run was sent.
-  EndpointId may_have_run_on = 0;
-  bool is_closed = false;  ///< It has its final answer.
-  bool is_hedged = false;
-  TimePoint retry_not_before{};
-  TimePoint check_at = kNever;  ///< When it is checked next.
-  int in_flight = 0;            ///< Attempts without a result.
+  EndpointId may_have_run_on = 0;            ///< The endpoint of that attempt.
+  bool is_closed = false;        ///< It has its final answer, or its client disconnected.
+  bool is_hedged = false;        ///< A hedged attempt was sent.
+  TimePoint retry_not_before{};  ///< No attempt starts before this time.
+  TimePoint check_at = kNever;   ///< When it is checked next.
+  int in_flight = 0;             ///< The number of attempts in flight.
 };
 
-/// Owns the open requests. Bounded by the requests that the embedding program keeps open.
+/// Owns the open requests. Its size is bounded by the requests that the embedding program keeps
+/// open.
 class RequestTable {
 public:
   /// Adds a request with the next sequence number.
@@ -65,12 +66,12 @@
   /// Removes a request, which invalidates references to it.
   void remove(const PendingRequest& request);
 
-  /// The endpoints to which open requests had attempts.
+  /// The endpoints at which open requests had attempts.
   [[nodiscard]] std::set<EndpointId> endpoints_in_use() const;
 
 private:
   std::map<std::uint64_t, PendingRequest> requests_;    // by arrival
-  std::unordered_map<std::string, std::uint64_t> ids_;  // never iterated: its order is not fixed
+  std::unordered_map<std::string, std::uint64_t> ids_;  // never iterated: the order may differ
   std::uint64_t next_sequence_ = 0;
 };
 
--- a/src/router/request_timers.cpp
+++ b/src/router/request_timers.cpp
@@ -7,12 +7,14 @@
 namespace gorsebeam::router {
 
 RequestTimers::RequestTimers(std::uint64_t seed, Duration clock_resolution)
-    : phase_(mix_hash(seed) % static_cast<std::uint64_t>(kRequestCheckInterval.count())),
+    : first_check_offset_(mix_hash(seed) %
+                          static_cast<std::uint64_t>(kRequestCheckInterval.count())),
       clock_resolution_(clock_resolution) {}
 
 TimePoint RequestTimers::next_periodic_check(TimePoint now) {
-  const TimePoint check_at = now + std::max(kRequestCheckInterval, clock_resolution_) + phase_;
-  phase_ = 0ms;
+  const TimePoint check_at =
+      now + std::max(kRequestCheckInterval, clock_resolution_) + first_check_offset_;
+  first_check_offset_ = 0ms;
   return check_at;
 }
 
@@ -46,7 +48,7 @@
 }
 
 void RequestTimers::record_expiry(TimePoint now) {
-  // On a clock that is coarser than nanoseconds, the timer may expire slightly early.
+  // If the clock is coarser than nanoseconds, the timer may expire slightly early.
   if (now + clock_resolution_ > armed_at_)
     armed_at_ = kNever;
 }
--- a/src/router/retry_policy.cpp
+++ b/src/router/retry_policy.cpp
@@ -8,9 +8,14 @@
 namespace gorsebeam::router {
 namespace {
 
-// In multiples of the median; one answer in fifty takes longer if latencies are exponential.
+// An attempt is overdue after at least this many times the median latency of its class. One answer
+// in fifty takes longer if latencies are distributed exponentially.
 constexpr double kOverdueFactor = 6;
-constexpr double kHedgeShare = 0.02;  // hedges per request; bounds the load that they add
+
+// The hedged requests that each request adds to the budget; bounds the load that hedging adds.
+constexpr double kHedgeShare = 0.02;
+
+// The first backoff after a primary rejected an attempt; doubles with each attempt.
 constexpr Duration kRejectionBackoff = 5 * kRequestCheckInterval;
 
 }  // namespace
@@ -39,9 +44,10 @@
   return is_ejected ? HedgeDecision::Free : HedgeDecision::Budgeted;
 }
 
-// An attempt is overdue far beyond the typical latency of its class and beyond the present latency
-// of the other endpoints. Where all endpoints are slow, none is at fault: congestion ejects no
-// endpoint, suspects no primary, and does not concentrate the load on the last endpoint left.
+// An attempt is overdue only long after the typical latency of its class and the present latency of
+// the other endpoints. Where all endpoints are slow, none of them is at fault. So congestion does
+// not eject endpoints or suspect a primary, and does not concentrate the load on the last endpoint
+// left.
 Duration RetryPolicy::overdue_after(const PendingRequest& request, EndpointId id) {
   const RequestClass& request_class = state_.class_of(request);
   const auto objective = to_double(request_class.latency_objective);
@@ -64,7 +70,8 @@
   return request.attempts.size() < limit;
 }
 
-// A request that may have run is sent again only if its idempotency key is still remembered.
+// A request that may have run and is not idempotent is sent again only while endpoints still
+// remember its idempotency key.
 bool RetryPolicy::is_safe_to_retry(const PendingRequest& request) const {
   const RequestClass& request_class = state_.class_of(request);
   if (request.may_have_run_at == kUnknownTime ||
@@ -76,7 +83,8 @@
          request_class.deduplication_window - state_.settings.clock_resolution;
 }
 
-// Where keys are remembered per zone, a request that may have run stays in the zone where it ran.
+// Where idempotency keys are remembered per zone, a request that may have run is sent again only to
+// endpoints of the zone where it may have run.
 bool RetryPolicy::can_retry_at(const PendingRequest& request, const EndpointState& endpoint) const {
   const RequestClass& request_class = state_.class_of(request);
   if (request_class.idempotency != Idempotency::IdempotencyKey ||
--- a/src/router/role_evidence.h
+++ b/src/router/role_evidence.h
@@ -6,29 +6,30 @@
 
 namespace gorsebeam::router {
 
-/// The age that is assumed of evidence without a date.
+/// The assumed age of evidence that does not state its time.
 constexpr Duration kAssumedEvidenceAge = 2000ms;
 
 /// A statement about an endpoint's role.
 struct RoleEvidence {
-  /// Only an answer to a request ends a suspicion.
+  /// Evidence from an answer to a request ends the suspicion of a primary; a load report does not.
   enum class Source { Answer, Report };
 
   bool is_primary = false;
-  TimePoint as_of{};  ///< The time for which it holds.
+  TimePoint as_of{};  ///< The time to which the statement applies.
   Source source = Source::Report;
 };
 
-/// Changes the primary and the suspicion in an endpoint table.
+/// Updates each group's primary, and whether it is suspected, in an endpoint table.
 class RoleTracker {
 public:
   RoleTracker(const EventContext& event, EndpointTable& endpoints)
       : event_(event), endpoints_(endpoints) {}
 
-  /// Records evidence of an endpoint's role. The newest evidence decides which is the primary.
+  /// Records evidence of an endpoint's role. The newest evidence decides which endpoint is the
+  /// primary.
   void record_role_evidence(EndpointState& endpoint, const RoleEvidence& evidence);
 
-  /// Records that an endpoint failed to answer or to be reached. If it is its group's primary,
+  /// Records that an endpoint did not answer or could not be reached. If it is its group's primary,
   /// writes wait until evidence shows which endpoint is the primary.
   void suspect_primary(const EndpointState& endpoint);
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -137,7 +137,7 @@
     state_.timers.cancel(request);
     observer_.mark_overdue_attempts(request);
     if (request.in_flight == 0) {
-      // Requests that wait are dispatched in order of value.
+      // Waiting requests of a group are dispatched together, in order of their value per work.
       state_.endpoints.mark_dispatchable(request.request.group);
       state_.timers.schedule(request, state_.event.now + kRequestCheckInterval);
       return;
--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -1,5 +1,5 @@
-/// Holds all state of one router: its settings, the event that is handled, and the modules that
-/// hold state and estimates. The policies decide by it.
+/// Holds all state of one router: its settings, the event that it is handling, and the modules that
+/// hold state and estimates. The policies base their decisions on it.
 #pragma once
 
 #include "gorsebeam/settings.h"
@@ -20,7 +20,7 @@
 
 /// Owned by the router. The modules refer to each other, so it is neither copied nor moved.
 struct RouterState {
-  /// Throws std::invalid_argument that names a bad setting.
+  /// Throws std::invalid_argument, whose message names the invalid setting.
   RouterState(Settings checked_settings, std::uint64_t seed);
   RouterState(const RouterState&) = delete;
   RouterState& operator=(const RouterState&) = delete;
--- a/src/router/session_requirements.h
+++ b/src/router/session_requirements.h
@@ -1,4 +1,4 @@
-/// Determines which position a session's reads must see.
+/// Determines the replication position that a session's reads must see.
 #pragma once
 
 #include "gorsebeam/events.h"
@@ -8,12 +8,12 @@
 
 namespace gorsebeam::router {
 
-/// Records writes where this router is the source of session tokens.
+/// Also records the sessions' writes where this router is the source of session tokens.
 class SessionRequirements {
 public:
   explicit SessionRequirements(const Settings& settings);
 
-  /// The position that a read which arrives at `now` must see; kUnknownPosition: any.
+  /// The position that a read which arrives at `now` must see; kUnknownPosition if any will do.
   [[nodiscard]] ReplicationPosition
   token_for(const Request& request, const RequestClass& request_class, TimePoint now) const;
 
--- a/src/router/settings_validation.h
+++ b/src/router/settings_validation.h
@@ -1,11 +1,12 @@
-/// Checks of the router's settings that hold whatever file they come from.
+/// Validates the router's settings, independent of the file from which they were read.
 #pragma once
 
 #include "gorsebeam/settings.h"
 
 namespace gorsebeam::router {
 
-/// Throws std::invalid_argument that names the first field with which the router cannot run.
+/// Throws std::invalid_argument, whose message names the first invalid field, if the router cannot
+/// run with the settings.
 void validate_settings(const Settings& settings);
 
 }  // namespace gorsebeam::router
--- a/src/router/time_points.h
+++ b/src/router/time_points.h
@@ -5,10 +5,10 @@
 
 namespace gorsebeam::router {
 
-/// A point in time that is not known; before all others.
+/// Stands for a point in time that is not known. Less than all others.
 constexpr TimePoint kUnknownTime = TimePoint::min();
 
-/// A replication position that is not known; before all others.
+/// Stands for a replication position that is not known. Less than all others.
 constexpr ReplicationPosition kUnknownPosition = ReplicationPosition::min();
 
 }  // namespace gorsebeam::router
--- a/src/session_tokens/session_writes.cpp
+++ b/src/session_tokens/session_writes.cpp
@@ -39,8 +39,9 @@
 }
 
 void SessionWrites::forget_oldest(TimePoint now) {
-  // Two steps a write bound the memory at a constant cost. A session that goes on writing keeps the
-  // sessions behind it in the queue until there are more than kMaxSessions.
+  // Up to two sessions are forgotten per write, which bounds the memory at a constant cost. A
+  // session that continues to write keeps the sessions behind it in the queue until there are more
+  // than kMaxSessions.
   constexpr int kStepsPerWrite = 2;
   for (int step = 0; step < kStepsPerWrite && !sessions_by_age_.empty(); ++step) {
     const auto oldest = positions_.find(sessions_by_age_.front());
--- a/src/session_tokens/session_writes.h
+++ b/src/session_tokens/session_writes.h
@@ -1,15 +1,15 @@
 /// The replication position that the reads of each session require to see the session's own writes.
 ///
-/// The module is pure: the caller passes the time in, and no call does I/O. It runs on one thread.
-/// Positions and times are Unix nanoseconds.
+/// The module reads no clock and performs no I/O: the caller passes the time. It is not
+/// thread-safe. Positions and times are Unix nanoseconds.
 ///
 /// A write may take effect before its response reaches this gateway: the endpoint may have
-/// committed and answered, and the response be lost or delayed, while the session learns of the
-/// commit by another way and reads. The site's settings bound how long after the start of a write
-/// its effect counts as known to the session. While a write is in flight for longer than that, a
-/// read requires everything that may have been committed and known by then. After a write that
-/// ended without a proof that it never ran, a read requires everything that may have been committed
-/// before its end.
+/// committed it and answered, while the response is delayed or lost. The session may learn of the
+/// commit in another way and then read. A setting, the assumed response delay, states how long
+/// after the start of a write its effect counts as known to the session. While a write is in flight
+/// for longer than that, a read requires everything that may have been committed and known by then.
+/// After a write that ended without proof that it never ran, a read requires everything that may
+/// have been committed before its end.
 #pragma once
 
 #include "gorsebeam/types.h"
@@ -35,9 +35,10 @@
 public:
   /// The position of a session that has written nothing.
   static constexpr ReplicationPosition kNoWrite = ReplicationPosition::min();
-  /// Sessions remembered; the oldest beyond them fold into one floor.
+  /// The number of sessions whose positions are kept separately. The positions of older sessions
+  /// are merged into one, the newest of them.
   static constexpr std::size_t kMaxSessions = 100'000;
-  /// How long a session's position is kept at least: no replica in use lags further behind.
+  /// The minimum time for which a session's position is kept. No replica in use lags by more.
   static constexpr Duration kRetention = 60s;
 
   /// `assumed_response_delay`: how long after its start a write counts as known to the session,
@@ -64,7 +65,7 @@
 
   std::optional<Duration> assumed_response_delay_;
   std::unordered_map<std::uint64_t, ReplicationPosition> positions_;  // by session; never iterated
-  std::deque<std::uint64_t> sessions_by_age_;  // in order of their first write
+  std::deque<std::uint64_t> sessions_by_age_;  // in order of their first complete_write
   std::unordered_map<std::uint64_t, std::multiset<TimePoint>>
       in_flight_;  // start times, by session
   ReplicationPosition forgotten_position_ = kNoWrite;
--- a/tests/router/endpoint_fixture.h
+++ b/tests/router/endpoint_fixture.h
@@ -1,4 +1,5 @@
-/// A group of endpoints and an event in hand, for tests of modules that change endpoint states.
+/// A fixture with one group of endpoints and an event that is being handled, for tests of modules
+/// that change endpoint states.
 #pragma once
 
 #include "router/endpoint_table.h"
@@ -22,7 +23,7 @@
     event_.actions = &actions_;
   }
 
-  /// Adds an endpoint that serves.
+  /// Adds an endpoint to the group that is up and not ejected.
   EndpointState& add_endpoint(EndpointId id) {
     EndpointState& endpoint = endpoints_.find_or_create(id);
     endpoint.listing.id = id;
--- a/tests/router/endpoint_table_test.cpp
+++ b/tests/router/endpoint_table_test.cpp
@@ -35,7 +35,8 @@
   draining.listing.status = EndpointStatus::Draining;
   add_endpoint(table, 4).is_ejected = false;
   EXPECT_EQ(table.serving_endpoint_count(table.group(kGroup)), 2);
-  EXPECT_EQ(table.serving_endpoint_count(table.group(kGroup + 1)), 1) << "at least one";
+  EXPECT_EQ(table.serving_endpoint_count(table.group(kGroup + 1)), 1)
+      << "a group counts as having at least one";
 }
 
 TEST(EndpointTable, MarksEachGroupOnceAndOnlyIfRequestsWait) {
@@ -47,7 +48,8 @@
   table.mark_dispatchable(kGroup);
   table.mark_dispatchable(3);
   table.mark_dispatchable(kGroup);
-  EXPECT_EQ(table.pop_dispatchable(), kGroup) << "in the order of the marks";
+  EXPECT_EQ(table.pop_dispatchable(), kGroup)
+      << "groups are returned in the order in which they were marked";
   EXPECT_EQ(table.pop_dispatchable(), 3U);
   EXPECT_EQ(table.pop_dispatchable(), std::nullopt);
 }
--- a/tests/router/hashing_test.cpp
+++ b/tests/router/hashing_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 TEST(Hashing, MixesAsSplitmix64Does) {
-  // The first outputs of the published generator with seed 0.
+  // The first two outputs of the published splitmix64 generator with seed 0.
   EXPECT_EQ(mix_hash(0), 0xe220a8397b1dcdafULL);
   EXPECT_EQ(mix_hash(0x9e3779b97f4a7c15ULL), 0x6e789e6aa1b965f4ULL);
 }
--- a/tests/router/health_check_scheduler_test.cpp
+++ b/tests/router/health_check_scheduler_test.cpp
@@ -70,9 +70,10 @@
   use_up_budget();
   EndpointState& endpoint = add_endpoint(1);
   scheduler_.accrue_budget(true, 0);
-  EXPECT_FALSE(scheduler_.check(endpoint)) << "0.04 / 0.5 of a check";
+  EXPECT_FALSE(scheduler_.check(endpoint)) << "the read adds 0.04 / 0.5 of a check";
   scheduler_.accrue_budget(true, 1);
-  EXPECT_TRUE(scheduler_.check(endpoint)) << "a whole one at full pressure";
+  EXPECT_TRUE(scheduler_.check(endpoint))
+      << "the read adds a whole check while primaries are saturated";
 }
 
 TEST_F(HealthCheckSchedulerTest, RefreshesEjectedEndpointsThatACheckCanReadmit) {
--- a/tests/router/policy_fixture.h
+++ b/tests/router/policy_fixture.h
@@ -1,4 +1,5 @@
-/// A router's state with one group of healthy endpoints, for tests of single policies.
+/// A fixture that holds a router's state with one group of healthy endpoints, for tests of a single
+/// policy.
 #pragma once
 
 #include "router/router_state.h"
@@ -18,7 +19,7 @@
 class PolicyFixture : public testing::Test {
 protected:
   static constexpr TimePoint kStart{1000s};
-  static constexpr std::size_t kRead = 0;   ///< Bounded by a second, idempotent.
+  static constexpr std::size_t kRead = 0;   ///< Idempotent; its maximum staleness is one second.
   static constexpr std::size_t kWrite = 1;  ///< Not idempotent.
   static constexpr std::size_t kKeyed = 2;  ///< Deduplicated in its group for two seconds.
 
@@ -41,7 +42,7 @@
     state_.endpoints.group(0).primary_evidence_at = kStart;
   }
 
-  /// Adds an endpoint of group 0 that serves and is current.
+  /// Adds an endpoint to group 0 that is up, not ejected and current.
   EndpointState& add_endpoint(EndpointId id) {
     EndpointState& endpoint = state_.endpoints.find_or_create(id);
     endpoint.listing.id = id;
@@ -64,7 +65,7 @@
     return pending;
   }
 
-  /// Adds an attempt that was sent now and has ended.
+  /// Adds an attempt that was sent at `sent_at` and has ended.
   static UpstreamAttempt& add_ended_attempt(PendingRequest& request, EndpointId endpoint,
                                             TimePoint sent_at) {
     UpstreamAttempt attempt;
--- a/tests/router/rejection_policy_test.cpp
+++ b/tests/router/rejection_policy_test.cpp
@@ -59,7 +59,7 @@
   ReplicaGroup& group = state_.endpoints.group(0);
   group.primary_evidence_at = kStart - 2s;
   state_.event.now = kStart + 1s;
-  EXPECT_FALSE(rejections_.cannot_find_primary_in_time(request, group)) << "it is known";
+  EXPECT_FALSE(rejections_.cannot_find_primary_in_time(request, group)) << "the primary is known";
   group.primary.reset();
   EXPECT_TRUE(rejections_.cannot_find_primary_in_time(request, group));
   state_.event.now = kStart + 900ms;
--- a/tests/router/replication_positions_test.cpp
+++ b/tests/router/replication_positions_test.cpp
@@ -63,7 +63,8 @@
   RequestClass session;
   session.consistency = ConsistencyLevel::Session;
   PendingRequest request;
-  EXPECT_FALSE(is_proven_current(endpoint, session, request, kStart)) << "no token, no position";
+  EXPECT_FALSE(is_proven_current(endpoint, session, request, kStart))
+      << "its position is not known";
   endpoint.position = ReplicationPosition(100ns);
   EXPECT_TRUE(is_proven_current(endpoint, session, request, kStart));
   request.session_token = ReplicationPosition(101ns);
--- a/tests/router/request_table_test.cpp
+++ b/tests/router/request_table_test.cpp
@@ -51,7 +51,7 @@
   EXPECT_GE(first_check, TimePoint(kRequestCheckInterval));
   EXPECT_LT(first_check, TimePoint(2 * kRequestCheckInterval));
   EXPECT_EQ(first.next_periodic_check(TimePoint{}), TimePoint(kRequestCheckInterval))
-      << "the phase is used up";
+      << "only the first check is offset";
 }
 
 TEST(RequestTimers, ReturnsDueRequestsByTimeThenArrival) {
@@ -88,7 +88,7 @@
   timers.arm(event);
   ASSERT_EQ(actions.size(), 2U);
   EXPECT_EQ(std::get<SetTimer>(actions[1]).at, TimePoint(5ns))
-      << "not before the clock's next tick";
+      << "the timer expires one clock step from now at the earliest";
 }
 
 TEST(RequestTimers, AListPollIsDueOnce) {
--- a/tests/router/retry_policy_test.cpp
+++ b/tests/router/retry_policy_test.cpp
@@ -45,7 +45,8 @@
   EndpointState& replica = state_.endpoints.at(2);
   EXPECT_TRUE(retries_.is_attempt_allowed(read, replica));
   replica.position = position_at(kStart - 1001ms);
-  EXPECT_FALSE(retries_.is_attempt_allowed(read, replica)) << "older than the bound";
+  EXPECT_FALSE(retries_.is_attempt_allowed(read, replica))
+      << "the replica's position is older than the staleness bound";
   EndpointState& primary = state_.endpoints.at(1);
   EXPECT_TRUE(retries_.is_attempt_allowed(read, primary));
   primary.listing.status = EndpointStatus::Draining;
--- a/tests/router/router_drawn_histories_test.cpp
+++ b/tests/router/router_drawn_histories_test.cpp
@@ -20,7 +20,7 @@
 constexpr std::array kEndpointStatuses{EndpointStatus::Up, EndpointStatus::Draining,
                                        EndpointStatus::Removed};
 
-/// What the histories covered, so that a pass shows something.
+/// Counts what the histories contained, so that the test can require that they covered enough.
 struct Coverage {
   std::size_t attempts = 0;
   std::size_t retries = 0;
@@ -29,10 +29,10 @@
   std::size_t disconnected_clients = 0;
 };
 
-/// A request as its client and the endpoints know it.
+/// What the client and the endpoints know about a request.
 struct OpenRequest {
   std::size_t class_index = 0;
-  bool finished = false;                          ///< Answered, or its client left.
+  bool finished = false;  ///< It has its final answer, or its client disconnected.
   std::map<std::uint32_t, EndpointId> in_flight;  ///< By attempt number.
   std::optional<TimePoint> may_have_run_since;
 };
@@ -157,7 +157,7 @@
 
   void send_random_request() {
     const std::size_t class_index = random_below(6);
-    // The request is known here before the router acts on it.
+    // The request is recorded here before the router emits actions for it.
     requests_["r" + std::to_string(harness_.next_request_number)].class_index = class_index;
     harness_.send_request(class_index, random_below(3));
   }
--- a/tests/router/router_endpoint_choice_test.cpp
+++ b/tests/router/router_endpoint_choice_test.cpp
@@ -1,4 +1,4 @@
-/// Which of several admitted endpoints a request goes to.
+/// Tests which of several admitted endpoints gets a request.
 #include "router_harness.h"
 
 namespace gorsebeam::router_test {
--- a/tests/router/router_endpoint_list_test.cpp
+++ b/tests/router/router_endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-/// What the endpoint list rules out, and when its endpoints are forgotten.
+/// Tests which endpoints the endpoint list excludes, and when endpoints are forgotten.
 #include "router_harness.h"
 
 namespace gorsebeam::router_test {
@@ -39,7 +39,7 @@
   harness.list_healthy_group();
 
   harness.deliver_list({make_draining_endpoint(4)}, EndpointList::Kind::Delta);
-  harness.deliver_list({make_endpoint(1)});  // 2 and 3 never drained, 4 did.
+  harness.deliver_list({make_endpoint(1)});  // Of the removed endpoints, only 4 was draining.
 
   std::set<EndpointId> used;
   for (int i = 0; i < 60; ++i) {
@@ -70,7 +70,8 @@
   harness.list_healthy_group();
   harness.deliver_list({make_endpoint(1), make_endpoint(2), make_endpoint(3)});
   harness.now += 59'000ms;
-  harness.deliver_list({make_endpoint(4)}, EndpointList::Kind::Delta);  // Still known.
+  // Endpoint 4 is still known.
+  harness.deliver_list({make_endpoint(4)}, EndpointList::Kind::Delta);
   EXPECT_TRUE(harness.actions_of<SendHealthCheck>().empty());
 
   harness.deliver_list({make_endpoint(1), make_endpoint(2), make_endpoint(3)});
--- a/tests/router/router_harness.h
+++ b/tests/router/router_harness.h
@@ -1,4 +1,4 @@
-/// Drives one Router through its public interface in virtual time. All settings are invented.
+/// Drives one Router through its public interface in virtual time, with settings of its own.
 #pragma once
 
 #include "gorsebeam/router.h"
@@ -17,12 +17,13 @@
 
 namespace gorsebeam::router_test {
 
-/// What RouterHarness::attempted_endpoint returns if there is no attempt. No test lists it.
+/// RouterHarness::attempted_endpoint returns this id if there is no attempt. No test lists an
+/// endpoint with it.
 constexpr EndpointId kNoEndpoint = 0;
 
 /// Indices of the classes of default_settings().
 constexpr std::size_t kEventualRead = 0;
-constexpr std::size_t kBoundedRead = 1;  ///< At most a second stale.
+constexpr std::size_t kBoundedRead = 1;  ///< Its maximum staleness is one second.
 constexpr std::size_t kSessionRead = 2;
 constexpr std::size_t kStrongRead = 3;
 constexpr std::size_t kPlainWrite = 4;  ///< Not idempotent.
@@ -40,37 +41,40 @@
 /// Whether an attempt's end is also the final answer to its request.
 enum class RequestState { Open, Finished };
 
-/// Delivers events to a Router and keeps the actions that it answers with.
+/// Delivers events to a Router and keeps the resulting actions.
 class RouterHarness {
 public:
   explicit RouterHarness(Settings settings = default_settings());
 
-  /// Delivers an event; `actions` then holds what came of this event alone.
+  /// Delivers an event and replaces `actions` by the resulting actions.
   void deliver(const Event& event);
 
-  /// Delivers an event and appends what comes of it to `actions`.
+  /// Delivers an event and appends the resulting actions to `actions`.
   void deliver_keeping_actions(const Event& event);
 
-  /// Moves the clock on in steps of 10 ms with a TimerExpired at each; appends to `actions`.
+  /// Advances the clock in steps of 10 ms and delivers a TimerExpired at each; appends to
+  /// `actions`.
   void run_timers_for(Duration time);
 
   void deliver_list(std::vector<Endpoint> endpoints,
                     EndpointList::Kind kind = EndpointList::Kind::Full);
 
-  /// A health check succeeds and reports the endpoint's role, and a replication position that is
-  /// `lag` behind the present.
+  /// Delivers a successful health check that reports the endpoint's role and a replication position
+  /// `lag` before the present.
   void report_health(EndpointId id, Role role, Duration lag);
 
   void fail_health_check(EndpointId id);
 
-  /// Lists a group whose primary is 1 and whose replicas 2, 3 and 4 are current, all healthy.
+  /// Lists a group of healthy endpoints: the primary 1, and the replicas 2, 3 and 4, which lag by
+  /// 20 ms.
   void list_healthy_group();
 
   /// Sends a request with a deadline in 2 s to group 0 and returns its id.
   std::string send_request(std::size_t class_index, std::optional<std::uint64_t> session = {},
                            Duration session_token_age = 0ms);
 
-  /// Ends an attempt. Endpoint 1 says that it is the primary, each other one that it is a replica.
+  /// Ends an attempt. In answers, endpoint 1 reports that it is the primary, and every other
+  /// endpoint that it is a replica.
   void end_attempt(const std::string& request_id, EndpointId endpoint, AttemptStatus status,
                    RequestState state = RequestState::Open, Duration elapsed = 10ms,
                    std::uint32_t attempt = 0);
@@ -78,7 +82,7 @@
   /// Ends a request's first attempt with its final answer.
   void answer(const std::string& request_id, EndpointId endpoint, Duration elapsed = 10ms);
 
-  /// Endpoint 1 rejects a write, as it is a replica by now.
+  /// Ends a write's first attempt: endpoint 1 refuses it, as it has become a replica.
   void reject_write_as_replica(const std::string& request_id, const LoadReport& report = {});
 
   /// All actions of one type in `actions`, in order.
@@ -94,13 +98,13 @@
   /// The endpoint of the last attempt in `actions`, or kNoEndpoint.
   [[nodiscard]] EndpointId attempted_endpoint() const;
 
-  /// Whether `actions` holds no final answer; a failure names how many there are of each kind.
+  /// Whether `actions` contains no final answer. A failure states how many there are of each kind.
   [[nodiscard]] testing::AssertionResult has_no_final_answer() const;
 
   /// Whether an attempt of the request was ever started at the endpoint.
   [[nodiscard]] bool was_attempted(const std::string& request_id, EndpointId endpoint) const;
 
-  /// The number of ejections for time-outs in `actions`; `only`: those of this endpoint.
+  /// The number of ejections for timeouts in `actions`, either of all endpoints or `only` of one.
   [[nodiscard]] int count_timeout_ejections(std::optional<EndpointId> only = {}) const;
 
   Router router;
--- a/tests/router/router_health_check_test.cpp
+++ b/tests/router/router_health_check_test.cpp
@@ -1,4 +1,4 @@
-/// When and at which endpoints the router spends health checks.
+/// Tests when, and to which endpoints, the router sends health checks.
 #include "router_harness.h"
 
 namespace gorsebeam::router_test {
@@ -17,9 +17,9 @@
   EXPECT_EQ(harness.attempted_endpoint(), 2U);
 }
 
-// With many endpoints the first health checks go to the groups that requests name, not to the
-// endpoints with the lowest ids. The first reads of unknown groups wait for a known position and do
-// not go to the primaries.
+// With many endpoints, the first health checks go to the groups that requests name, not to the
+// endpoints with the lowest ids. The first reads of a group wait until a position is known and do
+// not go to the primary.
 TEST(RouterHealthCheck, ChecksOnlyRequestedGroupsOfLongList) {
   Settings settings = default_settings();
   settings.health_check_cost = 0.4;
@@ -55,9 +55,9 @@
   }
 }
 
-/// Plays 40 bounded reads that come further apart than a known position holds, with an expensive
-/// health check, beside writes that the primary answers in `primary_latency`. Returns how many of
-/// the reads a replica served.
+/// Sends 40 bounded reads at longer intervals than their staleness bound, with expensive health
+/// checks, and between them writes that the primary answers in `primary_latency`. Returns how many
+/// of the reads a replica served.
 int count_sparse_reads_served_by_replicas(Duration primary_latency) {
   Settings settings = default_settings();
   settings.health_check_cost = 0.4;
@@ -67,7 +67,7 @@
   for (int i = 0; i < 40; ++i) {
     for (int write = 0; write < 3; ++write)
       harness.answer(harness.send_request(kPlainWrite), 1, primary_latency);
-    harness.now += 1100ms;  // No known position holds any more.
+    harness.now += 1100ms;  // All known positions are too old for a bounded read.
     const std::string read = harness.send_request(kBoundedRead);
     for (const SendHealthCheck& check : harness.actions_of<SendHealthCheck>())
       harness.report_health(check.endpoint, Role::Replica, 10ms);
@@ -81,24 +81,25 @@
   return count;
 }
 
-// Most such reads go to the primary unchecked. Once primaries answer as slowly as the target load
-// allows, each read checks a replica first, at any price.
+// Most such reads go to the primary without a health check. Once primaries answer as slowly as the
+// target load allows, each read checks a replica first, whatever the check costs.
 TEST(RouterHealthCheck, SparseBoundedReadsAvoidSaturatedPrimary) {
-  // Ten health checks may go at once and a tenth for each request.
+  // Ten health checks may be sent at once, and each request adds a tenth of one.
   EXPECT_LE(count_sparse_reads_served_by_replicas(20ms), 22);
   EXPECT_GE(count_sparse_reads_served_by_replicas(600ms), 26);
 }
 
-// A hundred routers have used up their share of health checks when their group's primary drains.
-// Each read checks every endpoint once and goes to the one that reports to be the new primary, with
-// no write to find it first.
+// A hundred routers have used up their budgets for health checks when their group's primary drains.
+// The next read of each checks every endpoint once and goes to the one that reports that it is the
+// new primary, although no write has found it before.
 TEST(RouterHealthCheck, ReadOfGroupWithoutPrimaryFindsNewPrimary) {
   std::size_t health_checks = 0;
   std::size_t served = 0;
   for (int router = 0; router < 100; ++router) {
     RouterHarness harness;
     harness.list_healthy_group();
-    for (int i = 0; i < 6; ++i) {  // Each read finds no position that holds and checks replicas.
+    // No known position is recent enough, so each read checks replicas.
+    for (int i = 0; i < 6; ++i) {
       harness.now += 5000ms;
       const std::string read = harness.send_request(kBoundedRead);
       for (const EndpointId id : {2U, 3U, 4U, 2U, 3U, 4U})
@@ -124,8 +125,8 @@
   EXPECT_LE(health_checks, 300U);
 }
 
-// A hundred routers get a bounded read each 1.2 s, when no known position holds any more. Each read
-// checks one replica, not all, is served by it, and stays within its share of health checks.
+// A hundred routers each get a bounded read every 1.2 s, when all known positions are too old for
+// it. Each read checks one replica rather than all, is served by it, and stays within the budget.
 TEST(RouterHealthCheck, SparseBoundedReadChecksOneReplica) {
   Settings settings = default_settings();
   settings.health_check_cost = 0.04;
@@ -193,7 +194,7 @@
   std::size_t count = harness.actions_of<SendHealthCheck>().size();
   EXPECT_LE(count, 20U);
 
-  // A read of a group without a primary may go beyond the share, though not to all endpoints.
+  // A read of a group without a primary may exceed the budget, but does not check all endpoints.
   harness.send_request(kBoundedRead);
   EXPECT_LE(harness.actions_of<SendHealthCheck>().size(), 14U);
 
--- a/tests/router/router_load_test.cpp
+++ b/tests/router/router_load_test.cpp
@@ -1,4 +1,4 @@
-/// When requests are held back because endpoints answer slowly.
+/// Tests when the router sheds load because endpoints answer slowly.
 #include "router_harness.h"
 
 #include <cmath>
@@ -32,7 +32,7 @@
   EXPECT_LT(attempts[kEventualRead], attempts[kBoundedRead]);
 }
 
-/// Draws latencies from an exponential distribution, the same on each platform.
+/// Generates latencies with an exponential distribution, the same on each platform.
 class LatencySource {
 public:
   Duration next(double mean_in_milliseconds) {
@@ -46,8 +46,9 @@
   std::uint64_t state_ = 1;
 };
 
-// A hundred routers of a system without overload: each gets three answers in two seconds, of usual
-// latency. What a router mistakes for overload by chance, it rejects for nothing.
+// In a system without overload, each of a hundred routers gets three answers in two seconds, with
+// typical latencies. A router that mistakes their random variation for overload would reject
+// requests without need.
 TEST(RouterLoad, FewAnswersShowNoOverload) {
   int requests = 0;
   int not_attempted = 0;
@@ -59,7 +60,7 @@
     for (int i = 0; i < 40; ++i) {
       const std::string id = harness.send_request(kStrongRead);
       const EndpointId endpoint = harness.attempted_endpoint();
-      const Duration latency = latencies.next(90);  // The objective is 300.
+      const Duration latency = latencies.next(90);  // In ms; the objective is 300 ms.
       ++requests;
       if (endpoint == kNoEndpoint) {
         ++not_attempted;
--- a/tests/router/router_outlier_ejection_test.cpp
+++ b/tests/router/router_outlier_ejection_test.cpp
@@ -1,4 +1,4 @@
-/// Which endpoints are ejected, and how they are tried again.
+/// Tests which endpoints are ejected, and when they get recovery attempts.
 #include "router_harness.h"
 
 namespace gorsebeam::router_test {
@@ -95,7 +95,7 @@
     in_flight.emplace_back(id, harness.attempted_endpoint());
   }
 
-  harness.now += 1500ms;  // The answers came long before the router ran again.
+  harness.now += 1500ms;  // The answers arrived long before the router handles them.
   for (const auto& [id, endpoint] : in_flight) {
     harness.answer(id, endpoint, 20ms);
     EXPECT_EQ(harness.count_timeout_ejections(), 0);
@@ -112,7 +112,7 @@
       harness.send_request(kEventualRead);
     harness.actions.clear();
     if (stalled) {
-      harness.now += 1000ms;  // The timer is handled late, and before any answer.
+      harness.now += 1000ms;  // The router handles the timer late, and before any answer.
       harness.deliver(TimerExpired{});
     } else {
       harness.run_timers_for(1000ms);
--- a/tests/router/router_rejection_test.cpp
+++ b/tests/router/router_rejection_test.cpp
@@ -1,11 +1,11 @@
-/// When a request gets its final answer from the router, and with which advice.
+/// Tests when the router itself gives a request its final answer, and with which Retry-After.
 #include "router_harness.h"
 
 namespace gorsebeam::router_test {
 namespace {
 
 TEST(RouterRejection, RejectsUnservedRequestBeforeItsDeadline) {
-  RouterHarness harness;  // Without any endpoint.
+  RouterHarness harness;  // It knows no endpoint.
   const std::string id = harness.send_request(kEventualRead);
   harness.actions.clear();
   harness.run_timers_for(2000ms);
@@ -40,8 +40,9 @@
       harness.end_attempt(second, 1, AttemptStatus::Reset, RequestState::Finished);
     }
     harness.run_timers_for(1100ms);
+    // One write per 100 ms is sent to find the primary; the others wait.
     for (int i = 0; i < 30; ++i)
-      harness.send_request(kPlainWrite);  // One in 100 ms looks for the primary, the rest waits.
+      harness.send_request(kPlainWrite);
 
     harness.run_timers_for(900ms);
     EXPECT_TRUE(harness.actions_of<RejectRequest>().empty());
--- a/tests/router/router_replication_position_test.cpp
+++ b/tests/router/router_replication_position_test.cpp
@@ -1,4 +1,4 @@
-/// Which endpoints are known to be current enough for a read.
+/// Tests which endpoints count as current enough for a read.
 #include "router_harness.h"
 
 namespace gorsebeam::router_test {
@@ -17,14 +17,15 @@
   return result;
 }
 
-/// Session 9 writes, and reads a while after; all replicas are current up to the write.
+/// Session 9 writes and then reads. The replicas have applied the log up to the time before the
+/// write.
 struct WriteThenRead {
   std::size_t write_class = kPlainWrite;
   std::optional<AttemptStatus> write_status;  ///< Empty: the write is still in flight.
   Duration write_elapsed = 30ms;
   std::optional<Duration> assumed_response_delay = 100ms;
 
-  /// Whether a replica serves the read; if not, the read needs the write.
+  /// Whether a replica serves the read. If not, the read was required to see the write.
   [[nodiscard]] bool is_read_served_by_replica() const {
     Settings settings = default_settings();
     settings.session_token_source = SessionTokenSource::Router;
@@ -63,7 +64,7 @@
   RouterHarness harness;
   harness.list_healthy_group();
 
-  harness.now += 1100ms;  // Every known position is now older than the bound.
+  harness.now += 1100ms;  // All known positions are now older than the staleness bound.
   harness.send_request(kBoundedRead);
 
   EXPECT_NE(harness.attempted_endpoint(), 2U);
@@ -98,7 +99,7 @@
   harness.send_request(kSessionRead, 9);
 
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint)
-      << "no replica is known to hold the session's write";
+      << "no replica is known to have applied the session's write";
 
   harness.report_health(3, Role::Replica, 0ms);
   EXPECT_EQ(harness.attempted_endpoint(), 3U);
@@ -107,9 +108,8 @@
   EXPECT_NE(harness.attempted_endpoint(), kNoEndpoint);
 }
 
-// The answer to a write may be lost or delayed although the write was committed. A later read of
-// the session must see it, also where the write ended without an answer, or with one without a
-// commit.
+// The answer to a committed write may be lost or delayed. A later read of the session must see the
+// write, also if the write ended without an answer, or if its answer contains no commit position.
 TEST(RouterReplicationPosition, SessionReadNeedsWriteWithUnknownResult) {
   EXPECT_FALSE((WriteThenRead{kKeyedWrite, std::nullopt, 100ms}.is_read_served_by_replica()))
       << "the write is in flight and may have been answered";
@@ -154,7 +154,8 @@
 
   harness.now += 61'000ms;
   write(9);
-  // No replica has reported since, so none is known to hold what session 7 wrote.
+  // Session 7 is forgotten, so its write is required of all sessions, and no replica has reported
+  // that it has applied the write.
   harness.send_request(kSessionRead, 8);
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
 }
--- a/tests/router/router_retry_test.cpp
+++ b/tests/router/router_retry_test.cpp
@@ -1,4 +1,4 @@
-/// What may be attempted again, and what still holds when an attempt is written.
+/// Tests which requests are retried, and which attempts may still be written to their endpoint.
 #include "router_harness.h"
 
 namespace gorsebeam::router_test {
@@ -33,9 +33,9 @@
   harness.end_attempt(id, 1, AttemptStatus::Error, RequestState::Open, 1450ms, 1);
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
   EXPECT_EQ(harness.actions_of<FailRequest>().size(), 1U)
-      << "it cannot succeed any more, so the client gets its answer at once";
+      << "the window is over, so no retry is possible and the write fails at once";
   EXPECT_TRUE(harness.actions_of<RejectRequest>().empty())
-      << "a rejection would state that it may be sent again";
+      << "a rejection would promise that the write is safe to send again";
   harness.actions.clear();
   harness.run_timers_for(600ms);
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
@@ -50,8 +50,8 @@
   return kNoEndpoint;
 }
 
-// A connection can come up long after the decision, so the rules are checked again with what is
-// known at the write.
+// A connection can be established long after the decision, so the rules are checked again, with
+// what is known then, right before the attempt is written.
 TEST(RouterRetry, ChecksRulesAgainWhenAttemptIsWritten) {
   RouterHarness harness;
   harness.list_healthy_group();
@@ -73,7 +73,7 @@
   harness.deliver(ClientDisconnected{disconnected});
   EXPECT_FALSE(is_allowed(disconnected));
 
-  // A keyed write that may have run is attempted again, and the connection is not up yet.
+  // A keyed write that may have run is retried, and its connection is not established yet.
   harness.end_attempt(keyed, 1, AttemptStatus::Error);
   ASSERT_EQ(harness.attempted_endpoint(), 1U);
   EXPECT_TRUE(is_allowed(keyed));
--- a/tests/router/router_robustness_test.cpp
+++ b/tests/router/router_robustness_test.cpp
@@ -1,4 +1,4 @@
-/// Unexpected events, determinism, timers and invalid settings.
+/// Tests unexpected events, determinism, timers and invalid settings.
 #include "router_harness.h"
 
 #include <stdexcept>
@@ -55,7 +55,7 @@
   EXPECT_EQ(run(), run());
 }
 
-/// What a router's constructor says of the settings; empty if it accepts them.
+/// The message with which a router's constructor rejects the settings; empty if it accepts them.
 std::string rejection_message(Settings settings) {
   try {
     const Router router(std::move(settings), 1);
@@ -72,7 +72,7 @@
   no_attempts.max_attempts = 0;
 
   EXPECT_NE(rejection_message(Settings{}).find("classes"), std::string::npos);
-  EXPECT_NE(rejection_message(negative_staleness).find("bound"), std::string::npos);
+  EXPECT_NE(rejection_message(negative_staleness).find("max_staleness"), std::string::npos);
   EXPECT_NE(rejection_message(no_attempts).find("max_attempts"), std::string::npos);
   EXPECT_EQ(rejection_message(default_settings()), "");
 }
--- a/tests/router/router_role_evidence_test.cpp
+++ b/tests/router/router_role_evidence_test.cpp
@@ -1,4 +1,4 @@
-/// Which endpoint counts as the primary of its group.
+/// Tests which endpoint counts as the primary of its group.
 #include "router_harness.h"
 
 namespace gorsebeam::router_test {
@@ -46,7 +46,7 @@
   harness.now += 5ms;
   harness.reject_write_as_replica(write);
   harness.now += 5ms;
-  harness.answer(read, 1, 60ms);  // The role is that of its start.
+  harness.answer(read, 1, 60ms);  // The answer contains the role at the start of the read.
   harness.send_request(kKeyedWrite);
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
 
@@ -64,7 +64,7 @@
   harness.now += 200ms;
   harness.end_attempt(first, 1, AttemptStatus::Reset);
   harness.send_request(kPlainWrite);
-  EXPECT_EQ(harness.attempted_endpoint(), 1U) << "one reset is no fault of the primary";
+  EXPECT_EQ(harness.attempted_endpoint(), 1U) << "one reset does not suspect the primary";
   harness.end_attempt(second, 1, AttemptStatus::Reset);
   harness.send_request(kPlainWrite);
   EXPECT_EQ(harness.attempted_endpoint(), kNoEndpoint);
@@ -82,7 +82,7 @@
       harness.answer(harness.send_request(kPlainWrite), 1);
     harness.send_request(kPlainWrite);
     harness.send_request(kPlainWrite);
-    // Neither is answered: the primary is ejected, and a recovery attempt is due in 500 ms.
+    // Neither write is answered: the primary is ejected, and gets no recovery attempt for 500 ms.
     harness.run_timers_for(300ms);
 
     const std::string id = harness.send_request(kPlainWrite);
--- a/tests/router/router_slow_start_test.cpp
+++ b/tests/router/router_slow_start_test.cpp
@@ -1,4 +1,4 @@
-/// How much a recently started endpoint gets, and which endpoints count as restarted.
+/// Tests how many requests an endpoint in slow start gets, and which endpoints count as restarted.
 #include "router_harness.h"
 
 #include <algorithm>
@@ -19,13 +19,14 @@
     harness.now += 5ms;
   }
 
-  // Within these 1.5 s its capacity rises from 0.2 to 0.32.
+  // Within these 1.5 s, the endpoint's capacity rises from 0.2 to 0.32 of its full capacity.
   EXPECT_LE(attempts[3], 0.35 * std::max(attempts[2], attempts[4]));
   EXPECT_GT(attempts[3], 0);
 }
 
 // A hundred routers send to a primary that has just started. Together they send more than its
-// initial capacity, as usual load leaves some of it free, and less than what overloads it.
+// present capacity, as typical work needs less than the settings assume, and less than what
+// overloads it.
 TEST(RouterSlowStart, StartedPrimaryGetsMoreThanItsCapacityAndLessThanOverload) {
   int requests = 0;
   int attempts = 0;
@@ -34,7 +35,7 @@
     harness.deliver_list({make_endpoint(1, harness.now), make_endpoint(3)});
     harness.now += 20ms;
     harness.report_health(1, Role::Primary, 0ms);
-    harness.next_request_number = router * 1000;  // Random choices follow from the id.
+    harness.next_request_number = router * 1000;  // The request ids determine the random choices.
     for (int i = 0; i < 20; ++i) {
       const std::string id = harness.send_request(kStrongRead);
       ++requests;
@@ -48,7 +49,8 @@
     }
   }
 
-  // Its capacity rises from 0.2 to 0.23 in these 0.4 s; twice as much for two seconds overloads it.
+  // The primary's capacity rises from 0.2 to 0.23 in these 0.4 s. Twice its capacity for two
+  // seconds would overload it.
   EXPECT_GT(attempts, 0.25 * requests);
   EXPECT_LT(attempts, 0.35 * requests);
 }
@@ -76,12 +78,13 @@
       harness.answer(id, 1);
     }
 
-    // After a longer absence it may have restarted and gets fewer.
+    // After 400 ms the endpoint may have restarted, so it is in slow start and gets fewer writes.
     EXPECT_EQ(attempts == 40, absence < 300ms) << attempts;
   }
 }
 
-/// Health checks prove little after time-outs, so endpoint 1 stays ejected until a read tries it.
+/// Sends reads until endpoint 1 answers one. After timeouts a health check does not readmit an
+/// endpoint, so it stays ejected until a read is sent to it as a recovery attempt.
 void wait_for_recovery_attempt(RouterHarness& harness) {
   for (int reads = 0; reads < 1000; ++reads) {
     harness.run_timers_for(10ms);
@@ -96,7 +99,8 @@
   FAIL() << "no recovery attempt within 1000 reads";
 }
 
-// It answers a request between the resets, or a health check soon after them.
+// A slow endpoint resets connections, but answers a request between the resets, or a health check
+// soon after them. So it has not restarted, and is not held to the capacity of a slow start.
 TEST(RouterSlowStart, SlowEndpointWithResetsHasNotRestarted) {
   for (const bool answers_between : {true, false}) {
     Settings settings = default_settings();
@@ -107,7 +111,7 @@
     writes.reserve(4);
     for (int i = 0; i < 4; ++i)
       writes.push_back(harness.send_request(kPlainWrite));
-    harness.run_timers_for(700ms);  // None is answered: it is ejected.
+    harness.run_timers_for(700ms);  // No write is answered, so endpoint 1 is ejected.
     harness.end_attempt(writes[0], 1, AttemptStatus::Reset, RequestState::Finished, 700ms);
     if (answers_between) {
       harness.answer(writes[1], 1, 700ms);
@@ -117,13 +121,13 @@
     harness.now += answers_between ? 400ms : 100ms;
     harness.report_health(1, Role::Primary, 0ms);
     ASSERT_NO_FATAL_FAILURE(wait_for_recovery_attempt(harness));
-    // The slow answers are forgotten by then, and a slow start would still last.
+    // After 20 s the slow answers have decayed, while a slow start of 60 s would still last.
     harness.run_timers_for(20'000ms);
 
     for (int i = 0; i < 40; ++i) {
       const std::string id = harness.send_request(kPlainWrite);
       ASSERT_EQ(harness.attempted_endpoint(), 1U)
-          << "held to the capacity of a slow start after " << i;
+          << "write " << i << " was held back as in a slow start";
       harness.answer(id, 1);
     }
   }
@@ -135,12 +139,12 @@
     settings.connect_timeout = 250ms;
     RouterHarness harness(settings);
     harness.list_healthy_group();
-    // Two connections are refused at once, or one runs into the connect timeout.
+    // Endpoint 3 is ejected after two connections that are refused at once, or one that times out.
     const int failures_wanted = refused ? 2 : 1;
     const Duration elapsed = refused ? 1ms : 250ms;
     int failures = 0;
     for (int reads = 0; failures < failures_wanted; ++reads) {
-      ASSERT_LT(reads, 1000) << "one refused connection has ejected it";
+      ASSERT_LT(reads, 1000) << "endpoint 3 is ejected after " << failures << " failures";
       const std::string id = harness.send_request(kEventualRead);
       if (harness.attempted_endpoint() != 3U) {
         harness.answer(id, harness.attempted_endpoint());
@@ -162,9 +166,9 @@
     }
 
     if (refused)
-      EXPECT_LT(attempts, 40) << "it has restarted and is in slow start";
+      EXPECT_LT(attempts, 40) << "endpoint 3 may have restarted, so it is in slow start";
     else
-      EXPECT_GT(attempts, 60) << "it was only hard to reach";
+      EXPECT_GT(attempts, 60) << "endpoint 3 has not restarted";
   }
 }
 
--- a/tests/router/session_requirements_test.cpp
+++ b/tests/router/session_requirements_test.cpp
@@ -39,7 +39,7 @@
   EXPECT_EQ(sessions.token_for(read, settings.classes[kRead], TimePoint(100ns)), kUnknownPosition);
   read.session_token_age = 0ns;
   EXPECT_EQ(sessions.token_for(read, settings.classes[kRead], TimePoint(100ns)), kUnknownPosition)
-      << "no write";
+      << "an age of 0 stands for no write";
   read.session_token_age = 30ns;
   EXPECT_EQ(sessions.token_for(read, settings.classes[kRead], TimePoint(100ns)),
             ReplicationPosition(70ns));
@@ -59,7 +59,7 @@
   EXPECT_EQ(sessions.token_for(make_session_read(), settings.classes[kRead], TimePoint(100ns)),
             ReplicationPosition(15ns));
   EXPECT_EQ(sessions.token_for({}, settings.classes[kRead], TimePoint(100ns)), kUnknownPosition)
-      << "another session";
+      << "a request without a session";
 }
 
 TEST(SessionRequirements, AWriteThatNeverRanConstrainsNoRead) {
--- a/tests/router_settings.h
+++ b/tests/router_settings.h
@@ -1,12 +1,12 @@
-/// The settings that the router's unit tests and the soak share. Times differ between them, so the
-/// caller sets these.
+/// Settings that the router's unit tests and the soak share. The times differ between them, so the
+/// caller sets the times.
 #pragma once
 
 #include "gorsebeam/settings.h"
 
 namespace gorsebeam::test_support {
 
-/// A class of requests whose duplicates are dropped by their group. Its times are unset.
+/// A class whose requests are deduplicated by their group. Its times are unset.
 inline RequestClass make_request_class(const char* name, ConsistencyLevel consistency,
                                        Idempotency idempotency) {
   RequestClass request_class;
@@ -17,8 +17,8 @@
   return request_class;
 }
 
-/// Settings with load reports that hold positions and roles, up to four attempts of a request, and
-/// overload and slow-start factors. Classes and times are unset.
+/// Settings with load reports that contain positions and roles, up to four attempts of a request,
+/// and overload and slow-start factors. Classes and times are unset.
 inline Settings make_settings(LoadReportSource load_report_source) {
   Settings settings;
   settings.load_report_source = load_report_source;
--- a/tests/session_writes_test.cpp
+++ b/tests/session_writes_test.cpp
@@ -131,8 +131,8 @@
                         retained + 1ns);
 
   EXPECT_EQ(writes.required_position(kSession, retained), position_at(kStart));
-  EXPECT_EQ(writes.required_position(99, retained),
-            position_at(kStart));  // any session without a position
+  EXPECT_EQ(writes.required_position(99, retained), position_at(kStart))
+      << "required of every session without a position of its own";
   EXPECT_EQ(writes.required_position(kOtherSession, retained), position_at(retained));
 }
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -122,7 +122,9 @@
     gorsebeam::router::validate_settings(settings);
     ADD_FAILURE() << "no error";
   } catch (const std::invalid_argument& error) {
-    EXPECT_STREQ(error.what(), "gorsebeam settings: classes.save.deadline is before its aim");
+    EXPECT_STREQ(
+        error.what(),
+        "gorsebeam settings: classes.save.deadline, 1 ns, is before its latency_objective, 200 ns");
   }
 }
 
