--- a/src/connection_admission/connection_admission.h
+++ b/src/connection_admission/connection_admission.h
@@ -1,10 +1,9 @@
 /// Selects the idle client connections that are closed to make room for others.
 ///
 /// Performs no I/O: it receives descriptions of connections and returns an order of closing. A
-/// connection
-/// may be closed at any time between two requests, but if a request is in transit at that time, the
-/// client has to open a new connection. A connection is therefore kept longer if its client is
-/// likely to use it again.
+/// connection may be closed at any time between two requests, but if a request is in transit at
+/// that time, the client has to open a new connection. A connection is therefore kept longer if its
+/// client is likely to use it again.
 #pragma once
 
 #include "gorsebeam/router.h"
--- a/src/connection_pool/connection_pool.cpp
+++ b/src/connection_pool/connection_pool.cpp
@@ -109,8 +109,8 @@
 // If the connection that became idle last has been idle for too long, so have all others, and the
 // loop closes them too.
 PooledConnection* ConnectionPool::acquire_idle(EndpointConnections& endpoint) {
-  // The timer that closes an idle connection can be late after a pause of the process, so the
-  // limit of the settings is checked here too.
+  // The timer that closes an idle connection can be late after a pause of the process, so the limit
+  // of the settings is checked here too.
   const auto limit_by_settings = idle_time_limit(limits_);
   const auto limit_by_estimate = idle_lifetime_.idle_time_limit(net::now());
   while (!endpoint.idle.empty()) {
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -91,8 +91,8 @@
   [[nodiscard]] TimePoint earliest_arrival() const;
 
   /// Passes the request, which is in the first `size` bytes of the input, to the broker. Returns
-  /// false if a request with this id is pending already. The request is rejected if the frontend
-  /// is stopping. If the client has disconnected, the request is dropped with its connection.
+  /// false if a request with this id is pending already. The request is rejected if the frontend is
+  /// stopping. If the client has disconnected, the request is dropped with its connection.
   [[nodiscard]] bool begin_request(Request request, std::size_t size);
 
   /// Called when the response to the pending request has been written and its input consumed.
--- a/src/proxy/input_freshness.h
+++ b/src/proxy/input_freshness.h
@@ -18,17 +18,17 @@
 
 class InputFreshness {
 public:
-  /// Whether the endpoint list must be read at `now`. A change to the list is in
-  /// force once discovery wrote it to the gateway's connection, so that nothing may be sent on an
-  /// outdated list after a pause of the process.
+  /// Whether the endpoint list must be read at `now`. A change to the list is in force once
+  /// discovery wrote it to the gateway's connection, so that nothing may be sent on an outdated
+  /// list after a pause of the process.
   [[nodiscard]] bool is_endpoint_list_stale(TimePoint now) const {
     return now - endpoint_list_read_at_ >= kMaxEndpointListAge;
   }
 
   void record_endpoint_list_read(TimePoint now) { endpoint_list_read_at_ = now; }
 
-  /// Whether responses must be read at `now`. `earliest_arrival` is the earliest time at which
-  /// the input of this iteration of the event loop can have arrived (`net::earliest_arrival`). The
+  /// Whether responses must be read at `now`. `earliest_arrival` is the earliest time at which the
+  /// input of this iteration of the event loop can have arrived (`net::earliest_arrival`). The
   /// result is true only if the loop is stalled: otherwise it reads each response in time by
   /// itself.
   [[nodiscard]] bool are_responses_stale(TimePoint now, TimePoint earliest_arrival) const {
--- a/src/proxy/interfaces.h
+++ b/src/proxy/interfaces.h
@@ -1,8 +1,8 @@
 /// The interfaces between the request broker, the frontends, the upstream and the source of the
 /// endpoint list.
 ///
-/// All functions run on the main loop's thread and do not block. The interfaces do not depend
-/// on a wire protocol: request and response bodies are bytes.
+/// All functions run on the main loop's thread and do not block. The interfaces do not depend on a
+/// wire protocol: request and response bodies are bytes.
 ///
 /// Ownership:
 ///  - A frontend owns its `ClientCall`s. The broker and the upstream borrow a call from
@@ -57,13 +57,13 @@
 public:
   virtual ~ClientCall() = default;
 
-  /// Whether the client has closed its connection or its sending side, even if the frontend has
-  /// not handled that yet. Costs a system call.
+  /// Whether the client has closed its connection or its sending side, even if the frontend has not
+  /// handled that yet. Costs a system call.
   [[nodiscard]] virtual bool has_client_disconnected() const = 0;
 
   /// Returns the request body for an endpoint that must answer within `left`. Called at most once
-  /// for each attempt, until the request is complete. The parts are valid until the next call of
-  /// a function of this object.
+  /// for each attempt, until the request is complete. The parts are valid until the next call of a
+  /// function of this object.
   virtual ByteSpans body(Duration left) = 0;
 
   /// Gives the final answer: the response, whose `body` is valid during the call.
--- a/src/proxy/request_broker.h
+++ b/src/proxy/request_broker.h
@@ -35,8 +35,8 @@
   /// Sets the upstream, which is borrowed. Call it once, before any other function.
   void attach(Upstream& upstream);
 
-  /// Sets the source of the endpoint list, which is borrowed; null if no source can hold
-  /// changes back.
+  /// Sets the source of the endpoint list, which is borrowed; null if no source can hold changes
+  /// back.
   void set_list_source(EndpointListSource* source) { list_source_ = source; }
 
   /// For frontends: passes a request to the router and borrows `call` until the request is
@@ -46,8 +46,7 @@
   [[nodiscard]] bool begin_request(Request request, ClientCall& call);
 
   /// For frontends: reports that the client of a request disconnected. The broker does not use its
-  /// call again.
-  /// Ignored if the request is complete.
+  /// call again. Ignored if the request is complete.
   void client_disconnected(const std::string& request_id);
 
   /// For the upstream: reports the end of an attempt. `response.body` is read only during this
