--- a/src/mongo/bson.cpp
+++ b/src/mongo/bson.cpp
@@ -6,7 +6,7 @@
 namespace gorsebeam::mongo {
 namespace {
 
-using Bytes = std::optional<std::string_view>;
+using OptionalBytes = std::optional<std::string_view>;
 
 constexpr std::size_t kLengthSize = 4;
 constexpr std::size_t kObjectIdSize = 12;
@@ -15,7 +15,7 @@
 constexpr double kMaxExactDouble = 9e15;  // integers up to about here are exact in a double
 
 /// Removes `size` bytes from the front of `rest` and returns them; nothing if there are fewer.
-Bytes read_bytes(std::string_view& rest, std::size_t size) {
+OptionalBytes read_bytes(std::string_view& rest, std::size_t size) {
   if (size > rest.size())
     return std::nullopt;
   const std::string_view bytes = rest.substr(0, size);
@@ -24,7 +24,7 @@
 }
 
 /// Removes a zero-terminated text from the front of `rest` and returns it without the zero byte.
-Bytes read_cstring(std::string_view& rest) {
+OptionalBytes read_cstring(std::string_view& rest) {
   const std::size_t end = rest.find('\0');
   if (end == std::string_view::npos)
     return std::nullopt;
@@ -43,14 +43,14 @@
   return length;
 }
 
-/// A value whose length field counts only what follows it; `extra` more bytes belong to it.
-Bytes read_length_prefixed(std::string_view& rest, std::size_t extra) {
+/// A value whose length field counts only what follows it; `trailing_size` more bytes belong to it.
+OptionalBytes read_length_prefixed(std::string_view& rest, std::size_t trailing_size) {
   const std::optional<std::size_t> length = peek_length(rest);
-  return length ? read_bytes(rest, kLengthSize + *length + extra) : std::nullopt;
+  return length ? read_bytes(rest, kLengthSize + *length + trailing_size) : std::nullopt;
 }
 
 /// A value whose length field counts itself, as a document's does.
-Bytes read_document(std::string_view& rest) {
+OptionalBytes read_document(std::string_view& rest) {
   const std::optional<std::size_t> length = peek_length(rest);
   if (!length || *length < kMinDocumentSize)
     return std::nullopt;
@@ -58,16 +58,16 @@
 }
 
 /// The text of a string. Its length field counts the zero byte at its end.
-Bytes read_string(std::string_view& rest) {
-  const Bytes bytes = read_length_prefixed(rest, 0);
+OptionalBytes read_string(std::string_view& rest) {
+  const OptionalBytes bytes = read_length_prefixed(rest, 0);
   if (!bytes || bytes->size() < kLengthSize + 1 || bytes->back() != '\0')
     return std::nullopt;
   return bytes->substr(kLengthSize, bytes->size() - kLengthSize - 1);
 }
 
 /// The pattern of a regular expression; its options are skipped.
-Bytes read_regex(std::string_view& rest) {
-  const Bytes pattern = read_cstring(rest);
+OptionalBytes read_regex(std::string_view& rest) {
+  const OptionalBytes pattern = read_cstring(rest);
   if (!pattern || !read_cstring(rest))
     return std::nullopt;
   return pattern;
@@ -75,7 +75,7 @@
 
 /// Removes a value of `type` from the front of `rest`; nothing if it is malformed or the type is
 /// unknown.
-Bytes read_value(std::string_view& rest, ElementType type) {
+OptionalBytes read_value(std::string_view& rest, ElementType type) {
   switch (type) {
   case ElementType::Double:
   case ElementType::Date:
@@ -136,8 +136,8 @@
   const std::string_view begin = rest_;
   const auto type = static_cast<ElementType>(rest_.front());
   rest_.remove_prefix(1);
-  const Bytes name = read_cstring(rest_);
-  const Bytes value = name ? read_value(rest_, type) : std::nullopt;
+  const OptionalBytes name = read_cstring(rest_);
+  const OptionalBytes value = name ? read_value(rest_, type) : std::nullopt;
   if (!value) {
     is_malformed_ = true;
     return std::nullopt;
@@ -145,12 +145,12 @@
   return Element{type, *name, *value, begin.substr(0, begin.size() - rest_.size())};
 }
 
-bool is_well_formed(std::string_view document, int levels) {
+bool is_well_formed(std::string_view document, int max_depth) {
   Reader reader(document);
   while (const std::optional<Element> element = reader.next()) {
     if (!is_nested_document(*element))
       continue;
-    if (levels == 0 || !is_well_formed(element->value, levels - 1))
+    if (max_depth == 0 || !is_well_formed(element->value, max_depth - 1))
       return false;
   }
   return !reader.is_malformed();
--- a/src/mongo/bson.h
+++ b/src/mongo/bson.h
@@ -80,11 +80,11 @@
 };
 
 /// The largest number of nested levels that `is_well_formed` accepts.
-constexpr int kMaxNestedLevels = 32;
+constexpr int kMaxNestingDepth = 32;
 
 /// Whether every element of a document and of its nested documents and arrays can be read.
-/// `levels` is the number of nested levels that are permitted.
-bool is_well_formed(std::string_view document, int levels = kMaxNestedLevels);
+/// `max_depth` is the number of nested levels that are permitted.
+bool is_well_formed(std::string_view document, int max_depth = kMaxNestingDepth);
 
 /// The first element called `name`; nothing if there is none before the document's end or fault.
 std::optional<Element> find(std::string_view document, std::string_view name);
--- a/src/mongo/client_connection.cpp
+++ b/src/mongo/client_connection.cpp
@@ -19,7 +19,7 @@
 
 using wire::FramingError;
 
-CommandError too_many_connections() {
+CommandError too_many_connections_error() {
   return {ErrorCode::IngressRequestRateLimitExceeded, "too many connections"};
 }
 
@@ -32,10 +32,10 @@
         admission_(contracts, frontend.broker().settings()) {}
 
   // The message stays in the input until its request is complete.
-  proxy::ByteSpans body(Duration left) override {
+  proxy::ByteSpans body(Duration time_left) override {
     const wire::FramingResult<Message> message = read_pending_message();
     const OpMsg op_msg = message ? read_op_msg(message.value().payload).value_or(OpMsg{}) : OpMsg{};
-    return rewriter_.rewrite(op_msg, request_kind_, left);
+    return rewriter_.rewrite(op_msg, request_kind_, time_left);
   }
 
   void respond(const proxy::ByteSpans& body) override {
@@ -65,7 +65,7 @@
     if (message)
       handle_message(message.value());
     else if (message.error() == FramingError::Malformed)
-      end_with_error(ProtocolError::MalformedFrame);
+      close_with_error(ProtocolError::MalformedFrame);
   }
 
   [[nodiscard]] wire::FramingResult<Message> read_pending_message() const {
@@ -77,7 +77,7 @@
     message_size_ = message.size;
     const common::Result<Command, ProtocolError> command = parse_command(message);
     if (!command)
-      end_with_error(command.error());
+      close_with_error(command.error());
     else if (message.opcode == Opcode::Query)
       handle_query(command.value());
     else
@@ -116,7 +116,7 @@
   }
 
   void reject_over_limit(const Command& command) {
-    send_reply(encode_error_reply(too_many_connections()));
+    send_reply(encode_error_reply(too_many_connections_error()));
     if (command.kind == CommandKind::Hello)
       consume_message();
     close_when_written(frontend::CloseReason::ErrorSent);
@@ -124,7 +124,7 @@
 
   std::string hello_reply(std::string_view hello) {
     if (is_over_limit())
-      return encode_error_reply(too_many_connections());
+      return encode_error_reply(too_many_connections_error());
     if (auto name = application_name(hello))
       admission_.set_team(std::move(*name));
     return encode_hello_reply(max_message_bytes(), net::now());
@@ -165,18 +165,18 @@
     finish_request();
   }
 
-  void end_with_error(ProtocolError error) {
+  void close_with_error(ProtocolError error) {
     if (error == ProtocolError::ReplyForbidden)
       close_when_written(frontend::CloseReason::ErrorSent);
     else
-      end_with_text(describe(error));
+      close_with_error_text(describe(error));
   }
 
   void send_closing_error(frontend::RejectReason reason) override {
-    end_with_text(frontend::text_of(reason));
+    close_with_error_text(frontend::text_of(reason));
   }
 
-  void end_with_text(const char* text) {
+  void close_with_error_text(const char* text) {
     send_reply(encode_error_reply({ErrorCode::InvalidBson, text}));
     close_when_written(frontend::CloseReason::ErrorSent);
   }
--- a/src/mongo/codec.cpp
+++ b/src/mongo/codec.cpp
@@ -5,7 +5,9 @@
 
 using wire::FramingError;
 
-constexpr std::uint32_t kRequiredFlags = 0xffffU;  // a receiver rejects those that it does not know
+// The flags of OP_MSG in these bits are required: a receiver rejects a message that sets one it
+// does not know.
+constexpr std::uint32_t kRequiredFlagsMask = 0xffffU;
 constexpr std::uint32_t kKnownFlags = kChecksumPresent | kMoreToCome;
 constexpr std::uint32_t kAwaitCapable = 8;  // a flag of OP_REPLY
 constexpr std::size_t kFlagsSize = 4;
@@ -17,7 +19,7 @@
 constexpr char kDocumentSequenceSection = 1;
 
 /// Whether `in` begins with a whole document; `size` is what its length field says.
-bool is_document_size(std::string_view in, std::size_t size) {
+bool is_valid_document_size(std::string_view in, std::size_t size) {
   return size >= kMinDocumentSize && size <= in.size();
 }
 
@@ -26,7 +28,7 @@
   if (in.size() < kMinDocumentSize)
     return std::nullopt;
   const std::size_t size = read_u32(in.data());
-  if (!is_document_size(in, size) || !is_well_formed(in.substr(0, size)))
+  if (!is_valid_document_size(in, size) || !is_well_formed(in.substr(0, size)))
     return std::nullopt;
   return in.substr(0, size);
 }
@@ -58,7 +60,7 @@
   if (rest.size() < kMinDocumentSize)
     return std::nullopt;
   const std::size_t size = read_u32(rest.data());
-  if (!is_document_size(rest, size))
+  if (!is_valid_document_size(rest, size))
     return std::nullopt;
   const Section section{sections.front(), rest.substr(0, size)};
   const bool is_well_formed_section =
@@ -114,7 +116,7 @@
   if (payload.size() < kFlagsSize)
     return std::nullopt;
   const std::uint32_t flags = read_u32(payload.data());
-  if ((flags & kRequiredFlags & ~kKnownFlags) != 0)
+  if ((flags & kRequiredFlagsMask & ~kKnownFlags) != 0)
     return std::nullopt;
   payload.remove_prefix(kFlagsSize);
   if ((flags & kChecksumPresent) != 0) {
--- a/src/mongo/command_parser.cpp
+++ b/src/mongo/command_parser.cpp
@@ -46,7 +46,7 @@
 }
 
 /// A command is named by the first element of its document.
-Command command_in(std::string_view document) {
+Command read_command(std::string_view document) {
   const std::optional<Element> first = Reader(document).next();
   if (!first)
     return {CommandKind::Empty, {}, document};
@@ -150,7 +150,7 @@
     const std::optional<std::string_view> document = read_op_query(message.payload);
     if (!document)
       return ProtocolError::MalformedQuery;
-    return command_in(*document);
+    return read_command(*document);
   }
   if (message.opcode != Opcode::Msg)
     return ProtocolError::UnsupportedOpcode;
@@ -159,7 +159,7 @@
     return ProtocolError::MalformedMessage;
   if ((op_msg->flags & kMoreToCome) != 0)
     return ProtocolError::ReplyForbidden;
-  return command_in(op_msg->body);
+  return read_command(op_msg->body);
 }
 
 common::Result<ParsedRequest, CommandError> parse_request(const Command& command,
--- a/src/mongo/command_rewriter.cpp
+++ b/src/mongo/command_rewriter.cpp
@@ -35,13 +35,13 @@
 
 /// The elements that are added behind the unchanged ones.
 Writer replacement_elements(CommandKind kind, Duration time_left) {
-  Writer added;
-  added.append_int64("maxTimeMS", std::max<Duration::rep>(time_left / 1ms, 1));
+  Writer replacements;
+  replacements.append_int64("maxTimeMS", std::max<Duration::rep>(time_left / 1ms, 1));
   if (kind == CommandKind::Read) {
     const std::string preference = Writer().append_string("mode", "primaryPreferred").finish();
-    added.append_document("$readPreference", preference);
+    replacements.append_document("$readPreference", preference);
   }
-  return added;
+  return replacements;
 }
 
 }  // namespace
@@ -49,17 +49,17 @@
 proxy::ByteSpans CommandRewriter::rewrite(const OpMsg& message, CommandKind kind,
                                           Duration time_left) {
   const proxy::ByteSpans unchanged = unchanged_elements(message.body, kind);
-  const Writer added = replacement_elements(kind, time_left);
+  const Writer replacements = replacement_elements(kind, time_left);
   const std::size_t document_size =
-      kMinDocumentSize + wire::total_size(unchanged) + added.elements().size();
+      kMinDocumentSize + wire::total_size(unchanged) + replacements.elements().size();
   const std::string flags = encode_u32(0);
   const std::string body_header = '\0' + encode_u32(static_cast<std::uint32_t>(document_size));
-  written_ = flags + body_header + added.elements() + '\0';
-  const std::string_view written = written_;
-  proxy::ByteSpans parts{written.substr(0, kFlagsSize), message.sections_before,
-                         written.substr(kFlagsSize, kBodyHeaderSize)};
+  buffer_ = flags + body_header + replacements.elements() + '\0';
+  const std::string_view buffer = buffer_;
+  proxy::ByteSpans parts{buffer.substr(0, kFlagsSize), message.sections_before,
+                         buffer.substr(kFlagsSize, kBodyHeaderSize)};
   parts.insert(parts.end(), unchanged.begin(), unchanged.end());
-  parts.push_back(written.substr(kFlagsSize + kBodyHeaderSize));
+  parts.push_back(buffer.substr(kFlagsSize + kBodyHeaderSize));
   parts.push_back(message.sections_after);
   return parts;
 }
--- a/src/mongo/command_rewriter.h
+++ b/src/mongo/command_rewriter.h
@@ -23,7 +23,7 @@
   proxy::ByteSpans rewrite(const OpMsg& message, CommandKind kind, Duration time_left);
 
 private:
-  std::string written_;
+  std::string buffer_;
 };
 
 }  // namespace gorsebeam::mongo
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -20,13 +20,13 @@
 constexpr std::size_t kMaxMessageSize = 1 << 20;
 constexpr std::int64_t kMaxUnixSeconds = 9'000'000'000;
 
-bool is_set(std::string_view document, const char* name) {
+bool has_true_field(std::string_view document, const char* name) {
   const auto element = find(document, name);
   return element && to_bool(*element).value_or(false);
 }
 
 bool is_ok(std::string_view document) {
-  return is_set(document, "ok");
+  return has_true_field(document, "ok");
 }
 
 ErrorCode error_code_of(std::string_view document) {
@@ -36,7 +36,7 @@
 
 /// `Misdirected` (no primary, or too far behind) and `Rejected` mean that the endpoint did not
 /// apply the command.
-AttemptStatus status_for(ErrorCode code) {
+AttemptStatus attempt_status_for(ErrorCode code) {
   switch (code) {
   case ErrorCode::NotWritablePrimary:
   case ErrorCode::NotPrimaryNoSecondaryOk:
@@ -65,8 +65,9 @@
 /// Interprets the reply to a health check.
 UpstreamResponse interpret_hello_reply(std::string_view document) {
   UpstreamResponse response;
-  const bool is_primary = is_set(document, "isWritablePrimary") || is_set(document, "ismaster");
-  const bool is_replica = is_set(document, "secondary");
+  const bool is_primary =
+      has_true_field(document, "isWritablePrimary") || has_true_field(document, "ismaster");
+  const bool is_replica = has_true_field(document, "secondary");
   if (!is_ok(document) || (!is_primary && !is_replica)) {
     response.status = AttemptStatus::Error;
     return response;
@@ -103,7 +104,7 @@
     return response;
   }
   const ErrorCode code = error_code_of(document);
-  response.status = status_for(code);
+  response.status = attempt_status_for(code);
   if (code == ErrorCode::NotWritablePrimary)
     response.role = Role::Replica;
   if (response.status == AttemptStatus::Error)
--- a/src/postgres/client_connection.cpp
+++ b/src/postgres/client_connection.cpp
@@ -35,9 +35,9 @@
         admission_(contracts, frontend.broker().settings()), classifier_(classifier) {}
 
   // The statement stays in the input until its request is complete.
-  proxy::ByteSpans body(Duration left) override {
+  proxy::ByteSpans body(Duration time_left) override {
     const std::string_view text = input().substr(kQueryHeaderSize, text_size_);
-    return rewriter_.rewrite(text, deadline_, left);
+    return rewriter_.rewrite(text, deadline_, time_left);
   }
 
   void respond(const proxy::ByteSpans& body) override {
@@ -71,7 +71,7 @@
     if (message)
       handle_message(message.value());
     else if (message.error() == FramingError::Malformed)
-      end_with_error({kProtocolViolation, "a message is malformed or too long"});
+      close_with_error({kProtocolViolation, "a message is malformed or too long"});
   }
 
   void parse_startup_message() {
@@ -79,7 +79,7 @@
     if (message)
       handle_startup(message.value());
     else if (message.error() == FramingError::Malformed)
-      end_with_error({kProtocolViolation, "the startup message is malformed"});
+      close_with_error({kProtocolViolation, "the startup message is malformed"});
   }
 
   void handle_startup(const StartupMessage& message) {
@@ -91,10 +91,10 @@
       send({"N"});
       return consume(message.size);
     case StartupKind::UnsupportedVersion:
-      return end_with_error({kFeatureNotSupported, "only version 3 of the protocol is served"});
+      return close_with_error({kFeatureNotSupported, "only version 3 of the protocol is served"});
     case StartupKind::Session:
       if (const std::optional<SqlError> error = begin_session(startup.user))
-        return end_with_error(*error);
+        return close_with_error(*error);
       send({encode_startup_reply(), kReadyForQuery});
       return consume(message.size);
     }
@@ -117,7 +117,7 @@
     const MessageKind kind = kind_of(message);
     const bool ends_skipping = kind == MessageKind::Sync || kind == MessageKind::Terminate;
     if (phase_ == Phase::SkippingToSync && !ends_skipping)
-      return drop(message);
+      return discard_message(message);
     switch (kind) {
     case MessageKind::Query:
       return handle_query(message);
@@ -129,22 +129,22 @@
     case MessageKind::ExtendedQuery:
       // The error is sent once; then all messages are skipped until the client sends Sync.
       phase_ = Phase::SkippingToSync;
-      return reply(message, {encode_error(Severity::Error, simple_queries_only())});
+      return reply(message, {encode_error(Severity::Error, simple_queries_only_error())});
     case MessageKind::FunctionCall:
-      return reject_message(message, simple_queries_only());
+      return reject_message(message, simple_queries_only_error());
     case MessageKind::Unknown:
-      return end_with_error({kProtocolViolation, "unknown message type"});
+      return close_with_error({kProtocolViolation, "unknown message type"});
     }
   }
 
-  static SqlError simple_queries_only() {
+  static SqlError simple_queries_only_error() {
     return {kFeatureNotSupported, "only simple queries are served"};
   }
 
   void handle_query(const Message& message) {
     const common::Result<std::string_view, SqlError> text = read_query(message);
     if (!text)
-      return end_with_error(text.error());
+      return close_with_error(text.error());
     if (is_blank(text.value()))
       return reply(message, {encode_message('I', ""), kReadyForQuery});
     if (const auto error = begin_statement(text.value(), message.encoded.size()))
@@ -171,12 +171,12 @@
     return std::nullopt;
   }
 
-  void drop(const Message& message) { consume(message.encoded.size()); }
+  void discard_message(const Message& message) { consume(message.encoded.size()); }
 
   /// Replies to a message that began no request.
   void reply(const Message& message, const proxy::ByteSpans& parts) {
     send(parts);
-    drop(message);
+    discard_message(message);
   }
 
   void reject_message(const Message& message, const SqlError& error) {
@@ -190,14 +190,14 @@
     finish_request();
   }
 
-  void end_with_error(const SqlError& error) {
+  void close_with_error(const SqlError& error) {
     send({encode_error(Severity::Fatal, error)});
     close_when_written(frontend::CloseReason::ErrorSent);
   }
 
   void send_closing_error(frontend::RejectReason reason) override {
     const char* code = is_over_limit() ? kTooManyConnections : kQueryCanceled;
-    end_with_error({code, frontend::text_of(reason)});
+    close_with_error({code, frontend::text_of(reason)});
   }
 
   frontend::RequestAdmission admission_;
--- a/src/postgres/codec.cpp
+++ b/src/postgres/codec.cpp
@@ -13,13 +13,13 @@
 constexpr std::size_t kLengthSize = 4;
 constexpr std::size_t kStartupHeaderSize = 8;  // the length field and the code
 
-std::string_view text_until_nul(std::string_view in) {
+std::string_view cstring_at_front(std::string_view in) {
   return in.substr(0, in.find('\0'));
 }
 
 /// Removes a text and its zero byte from the front of `rest` and returns the text.
-std::string_view remove_text(std::string_view& rest) {
-  const std::string_view text = text_until_nul(rest);
+std::string_view read_cstring(std::string_view& rest) {
+  const std::string_view text = cstring_at_front(rest);
   rest.remove_prefix(std::min(rest.size(), text.size() + 1));
   return text;
 }
@@ -69,8 +69,8 @@
 std::optional<std::string_view> startup_parameter(std::string_view parameters,
                                                   std::string_view name) {
   while (!parameters.empty() && parameters.front() != '\0') {
-    const std::string_view key = remove_text(parameters);
-    const std::string_view value = remove_text(parameters);
+    const std::string_view key = read_cstring(parameters);
+    const std::string_view value = read_cstring(parameters);
     if (key == name)
       return value;
   }
@@ -100,7 +100,7 @@
   while (!body.empty() && body.front() != '\0') {
     const char type = body.front();
     body.remove_prefix(1);
-    const std::string_view value = remove_text(body);
+    const std::string_view value = read_cstring(body);
     if (type == field)
       return value;
   }
@@ -108,11 +108,11 @@
 }
 
 std::optional<ParameterStatus> read_parameter_status(std::string_view body) {
-  const std::string_view name = text_until_nul(body);
+  const std::string_view name = cstring_at_front(body);
   if (name.size() == body.size())
     return std::nullopt;
   body.remove_prefix(name.size() + 1);
-  const std::string_view value = text_until_nul(body);
+  const std::string_view value = cstring_at_front(body);
   if (value.size() == body.size())
     return std::nullopt;
   return ParameterStatus{name, value};
--- a/src/postgres/load_report.cpp
+++ b/src/postgres/load_report.cpp
@@ -23,7 +23,7 @@
   return value;
 }
 
-std::optional<ReplicationPosition> position_at(double unix_ms, TimePoint now) {
+std::optional<ReplicationPosition> position_from_unix_ms(double unix_ms, TimePoint now) {
   if (unix_ms < 0 || unix_ms * kNanosPerMs > to_double((now + kMaxClockSkew).time_since_epoch()))
     return std::nullopt;
   return ReplicationPosition(to_duration(std::floor(unix_ms * kNanosPerMs)));
@@ -31,18 +31,18 @@
 
 /// The position in a report is a Unix time in seconds, while the one in a response is in
 /// milliseconds. A value too large to be seconds is read as milliseconds.
-std::optional<ReplicationPosition> report_position_at(double value, TimePoint now) {
-  return position_at(value < kMaxPositionSeconds ? value * kMsPerSecond : value, now);
+std::optional<ReplicationPosition> position_from_report(double value, TimePoint now) {
+  return position_from_unix_ms(value < kMaxPositionSeconds ? value * kMsPerSecond : value, now);
 }
 
 /// Reads one value into `report`; returns false if the whole report is to be ignored.
-bool read_value(std::string_view name, double value, TimePoint now, LoadReport& report) {
+bool apply_value(std::string_view name, double value, TimePoint now, LoadReport& report) {
   if (name == "x0") {
     // An endpoint that has not made its first report sends zeros. Read as a report, they would tell
     // each gateway that starts that no group has a primary, and they prove no position.
     if (value == 0)
       return false;
-    report.replication_position = report_position_at(value, now);
+    report.replication_position = position_from_report(value, now);
     return report.replication_position.has_value();
   }
   if (name == "x1")
@@ -54,7 +54,7 @@
 
 std::optional<ReplicationPosition> parse_position(std::string_view text, TimePoint now) {
   const auto unix_ms = parse_number(text);
-  return unix_ms ? position_at(*unix_ms, now) : std::nullopt;
+  return unix_ms ? position_from_unix_ms(*unix_ms, now) : std::nullopt;
 }
 
 std::optional<LoadReport> parse_load_report(std::string_view text, TimePoint now) {
@@ -65,7 +65,7 @@
     const std::string_view name = pair.substr(0, pair.find('='));
     text = comma == std::string_view::npos ? std::string_view() : text.substr(comma + 1);
     const auto value = parse_number(pair.substr(std::min(pair.size(), name.size() + 1)));
-    if (!value || !read_value(name, *value, now, report))
+    if (!value || !apply_value(name, *value, now, report))
       return std::nullopt;
   }
   return report;
--- a/src/postgres/statement.cpp
+++ b/src/postgres/statement.cpp
@@ -25,7 +25,7 @@
   return text;
 }
 
-void set_term(Statement& statement, std::string_view name, std::string_view value) {
+void set_field(Statement& statement, std::string_view name, std::string_view value) {
   if (name == "id")
     statement.id = value;
   else if (name == "c")
@@ -43,14 +43,14 @@
 }
 
 /// Sets the terms that the text of a comment holds; a later one replaces an earlier one.
-void read_terms(std::string_view comment, Statement& statement) {
+void read_comment_fields(std::string_view comment, Statement& statement) {
   while (!comment.empty()) {
     const std::size_t comma = comment.find(',');
     const std::string_view pair = trim(comment.substr(0, comma));
     comment = comma == std::string_view::npos ? std::string_view() : comment.substr(comma + 1);
     const std::size_t equals = pair.find('=');
     if (equals != std::string_view::npos)
-      set_term(statement, pair.substr(0, equals), pair.substr(equals + 1));
+      set_field(statement, pair.substr(0, equals), pair.substr(equals + 1));
   }
 }
 
@@ -88,12 +88,12 @@
     if (text_.compare(position_, 2, "/*") == 0)
       return scan_comment();
     const char c = text_[position_];
-    if (!is_space(c) && c != ';' && has_ended_)
-      statement_.has_multiple = true;
+    if (!is_space(c) && c != ';' && has_seen_semicolon_)
+      statement_.has_multiple_statements = true;
     if (c == '\'')
       return scan_literal();
     if (c == ';')
-      has_ended_ = true;
+      has_seen_semicolon_ = true;
     if (first_word_.empty() && is_letter(c))
       scan_first_word();
     else
@@ -106,7 +106,7 @@
     const std::size_t end = text_.find("*/", begin);
     if (end == std::string_view::npos)
       return false;
-    read_terms(text_.substr(begin, end - begin), statement_);
+    read_comment_fields(text_.substr(begin, end - begin), statement_);
     position_ = end + 2;
     return true;
   }
@@ -132,7 +132,7 @@
   std::string_view text_;
   std::size_t position_ = 0;
   std::string_view first_word_;
-  bool has_ended_ = false;  ///< A semicolon was scanned.
+  bool has_seen_semicolon_ = false;  ///< A semicolon was scanned.
   Statement statement_;
 };
 
--- a/src/postgres/statement_request.cpp
+++ b/src/postgres/statement_request.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t kMaxSessionDigits = 16;
 
 /// A key of up to 16 hexadecimal digits is the number of the session; any other is hashed.
-std::uint64_t session_number(std::string_view key) {
+std::uint64_t session_from_key(std::string_view key) {
   std::uint64_t number = 0;
   bool is_hexadecimal = !key.empty() && key.size() <= kMaxSessionDigits;
   for (const char c : key) {
@@ -73,7 +73,7 @@
                                                          const frontend::RequestClasses& classes,
                                                          const SqlClassifier* classifier) {
   const Statement statement = parse_statement(text);
-  if (statement.has_multiple)
+  if (statement.has_multiple_statements)
     return SqlError{kSyntaxError, "a query holds one statement"};
   if (statement.id.empty())
     return SqlError{kSyntaxError, "the statement's comment holds no id"};
@@ -96,7 +96,7 @@
   request.parsed.request.group = static_cast<GroupId>(*group);
   request.parsed.request.is_client_retry = statement.retry == "1";
   if (frontend::belongs_to_session(settings))
-    request.parsed.request.session = session_number(statement.first_literal);
+    request.parsed.request.session = session_from_key(statement.first_literal);
   request.parsed.time_limit = std::chrono::milliseconds(*deadline_ms);
   request.parsed.is_single_attempt =
       classifier != nullptr && classification.effect == Effect::Unknown;
--- a/src/postgres/upstream_protocol.cpp
+++ b/src/postgres/upstream_protocol.cpp
@@ -26,8 +26,8 @@
 constexpr std::size_t kLengthSize = 4;
 constexpr std::size_t kRowHeaderSize = 6;  // the number of columns, and the length of the first
 constexpr std::uint32_t kNullLength = 0xffffffffU;
-constexpr std::string_view kHandshakeTypes = "RSKZEN";
-constexpr std::string_view kResponseTypes = "TDCESNZ";
+constexpr std::string_view kHandshakeMessageTypes = "RSKZEN";
+constexpr std::string_view kResponseMessageTypes = "TDCESNZ";
 
 /// Whether a number of columns, as two bytes, is one.
 bool is_one_column(std::string_view count) {
@@ -59,7 +59,7 @@
 }
 
 /// Reads the first message of `in`, which is to be one of `types`.
-FramingResult<Message> read_message_of(std::string_view in, std::string_view types) {
+FramingResult<Message> read_message_of_type(std::string_view in, std::string_view types) {
   FramingResult<Message> message = read_message(in, kMaxMessageLength);
   if (!message && message.error() == FramingError::Incomplete && cannot_become_message(in, types))
     return FramingError::Malformed;
@@ -68,7 +68,7 @@
 
 /// The value of a DataRow of one column; nothing if it has another number of columns or its length
 /// is wrong.
-std::optional<std::string_view> read_row(std::string_view body) {
+std::optional<std::string_view> read_single_column_row(std::string_view body) {
   if (body.size() < kRowHeaderSize || !is_single_column_row(body, body.size()))
     return std::nullopt;
   return body.substr(kRowHeaderSize);
@@ -79,7 +79,7 @@
 }
 
 /// `Misdirected` and `Rejected` mean that the endpoint did not execute the statement.
-AttemptStatus status_for(std::string_view sqlstate) {
+AttemptStatus attempt_status_for(std::string_view sqlstate) {
   if (sqlstate == kReadOnlyTransaction || sqlstate == kSnapshotTooOld)
     return AttemptStatus::Misdirected;
   if (sqlstate == kTooManyConnections || sqlstate == kCannotConnectNow)
@@ -131,7 +131,7 @@
     if (!is_complete)
       return {Status::Incomplete, 0, {}};
     if (!sqlstate_.empty()) {
-      response_.status = status_for(sqlstate_);
+      response_.status = attempt_status_for(sqlstate_);
       return {Status::Complete, size, std::move(response_)};
     }
     if (has_invalid_rows_ || row_description_.empty() || row_.empty() || command_complete_.empty())
@@ -149,7 +149,7 @@
   }
 
   void add_row(const Message& message) {
-    const std::optional<std::string_view> value = read_row(message.body);
+    const std::optional<std::string_view> value = read_single_column_row(message.body);
     if (!row_.empty() || row_description_.empty() || !command_complete_.empty() || !value)
       has_invalid_rows_ = true;
     row_ = message.encoded;
@@ -211,7 +211,8 @@
     using Status = HandshakeResult::Status;
     std::size_t offset = 0;
     while (true) {
-      const FramingResult<Message> framed = read_message_of(in.substr(offset), kHandshakeTypes);
+      const FramingResult<Message> framed =
+          read_message_of_type(in.substr(offset), kHandshakeMessageTypes);
       if (!framed)
         return {framed.error() == FramingError::Incomplete ? Status::Incomplete : Status::Failed};
       const Message& message = framed.value();
@@ -247,7 +248,8 @@
     ResponseParser parser(kind);
     std::size_t offset = 0;
     while (!parser.is_ready()) {
-      const FramingResult<Message> message = read_message_of(in.substr(offset), kResponseTypes);
+      const FramingResult<Message> message =
+          read_message_of_type(in.substr(offset), kResponseMessageTypes);
       if (!message && message.error() == FramingError::Incomplete)
         break;
       if (!message || !parser.add(message.value()))
--- a/tests/mongo_bson_test.cpp
+++ b/tests/mongo_bson_test.cpp
@@ -80,15 +80,15 @@
   }
 }
 
-TEST(BsonReader, BoundsNestedLevels) {
+TEST(BsonReader, LimitsNestingDepth) {
   std::string document = Writer().finish();
-  for (int level = 0; level < kMaxNestedLevels; ++level)
+  for (int level = 0; level < kMaxNestingDepth; ++level)
     document = Writer().append_document("d", document).finish();
   EXPECT_TRUE(is_well_formed(document));
   EXPECT_FALSE(is_well_formed(Writer().append_array("d", document).finish()));
 }
 
-TEST(BsonElement, ConvertsValuesOfFittingTypesOnly) {
+TEST(BsonElement, ConvertsOnlyValuesOfMatchingTypes) {
   const std::string document = Writer()
                                    .append_double("whole", 20)
                                    .append_double("fraction", 20.5)
--- a/tests/mongo_command_parser_test.cpp
+++ b/tests/mongo_command_parser_test.cpp
@@ -41,11 +41,11 @@
   parse(const Writer& command) const {
     message_ = encode_op_msg(command.finish(), 1, 0);
     const auto parsed = parse_command(read_message(message_, message_.size()).value());
-    return parse_request(parsed.value(), {indexes_, classes_});
+    return parse_request(parsed.value(), {class_indexes_, classes_});
   }
 
   const std::vector<RequestClass> classes_ = make_classes();
-  const std::map<std::string, std::size_t> indexes_{{"any", 0}, {"session", 1}, {"save", 2}};
+  const std::map<std::string, std::size_t> class_indexes_{{"any", 0}, {"session", 1}, {"save", 2}};
   const Writer lsid_ =
       Writer().append_document("lsid", Writer().append_string("id", "s1").finish());
   mutable std::string message_;
@@ -102,7 +102,7 @@
   }
 }
 
-TEST_F(MongoCommandParser, ReadsTermsOfRequest) {
+TEST_F(MongoCommandParser, ReadsRequestFields) {
   Writer read = command("find", comment("session"));
   read.append_int32("maxTimeMS", 1500).append_document("lsid", find(lsid_.finish(), "lsid")->value);
   const auto parsed = parse(read);
@@ -125,7 +125,7 @@
   }
 }
 
-TEST_F(MongoCommandParser, AcceptsEitherKeyOfAWriteAndCommentsAsText) {
+TEST_F(MongoCommandParser, AcceptsEitherIdempotencyKeyAndTextComments) {
   EXPECT_TRUE(parse(command("insert", comment("save").append_string("k", "key"))));
   Writer retryable = command("insert", comment("save"));
   retryable.append_document("lsid", find(lsid_.finish(), "lsid")->value)
@@ -137,7 +137,7 @@
   EXPECT_EQ(text.value().request.id, "t");
 }
 
-TEST_F(MongoCommandParser, RejectsWhatTheGatewayDoesNotServe) {
+TEST_F(MongoCommandParser, RejectsUnsupportedAndInvalidCommands) {
   const Writer any = comment("any");
 
   struct Case {
--- a/tests/mongo_replies_test.cpp
+++ b/tests/mongo_replies_test.cpp
@@ -73,7 +73,7 @@
             "\xc8\0\0\0"s + refused + "\x12retryAfterMS\0\7\0\0\0\0\0\0\0\0"s);
 }
 
-TEST(MongoErrorCode, HasNameOfTheServersList) {
+TEST(MongoErrorCode, HasTheServersName) {
   struct Case {
     std::int32_t code;
     const char* name;
--- a/tests/mongo_upstream_protocol_test.cpp
+++ b/tests/mongo_upstream_protocol_test.cpp
@@ -14,13 +14,13 @@
 using connection_pool::ParsedResponse;
 using connection_pool::RequestKind;
 
-constexpr std::uint32_t kRequestId = 1;  // of the first message of a connection
+constexpr std::uint32_t kFirstRequestId = 1;  // of the first message of a connection
 
-std::string reply_with(const Writer& document, std::uint32_t response_to = kRequestId) {
+std::string encode_reply(const Writer& document, std::uint32_t response_to = kFirstRequestId) {
   return encode_op_msg(document.finish(), 77, response_to);
 }
 
-Writer error_with(std::int32_t code) {
+Writer error_document(std::int32_t code) {
   return Writer().append_double("ok", 0).append_int32("code", code);
 }
 
@@ -38,7 +38,7 @@
 
 TEST(MongoUpstreamProtocol, ReadsHandshakeReply) {
   using Status = HandshakeResult::Status;
-  const std::string ready = reply_with(Writer().append_double("ok", 1));
+  const std::string ready = encode_reply(Writer().append_double("ok", 1));
 
   struct Case {
     std::string in;
@@ -48,9 +48,9 @@
   const std::vector<Case> cases = {
       {ready.substr(0, ready.size() - 1), Status::Incomplete},
       {ready, Status::Complete},
-      {reply_with(error_with(462)), Status::Rejected},
-      {reply_with(error_with(18)), Status::Failed},
-      {reply_with(Writer().append_double("ok", 1), kRequestId + 1), Status::Failed},
+      {encode_reply(error_document(462)), Status::Rejected},
+      {encode_reply(error_document(18)), Status::Failed},
+      {encode_reply(Writer().append_double("ok", 1), kFirstRequestId + 1), Status::Failed},
   };
 
   for (const auto& each : cases) {
@@ -81,7 +81,7 @@
   for (const auto& each : cases) {
     const auto protocol = make_upstream_protocol();
     protocol->frame_request({});
-    const std::string in = reply_with(error_with(each.code));
+    const std::string in = encode_reply(error_document(each.code));
     const ParsedResponse parsed =
         protocol->parse_response(in, RequestKind::ClientRequest, InputState::Open);
     ASSERT_EQ(parsed.status, ParsedResponse::Status::Complete);
@@ -91,12 +91,12 @@
   }
 }
 
-TEST(MongoUpstreamProtocol, ReadsHealthCheckAndPositions) {
+TEST(MongoUpstreamProtocol, ReadsHealthCheckReplyAndReplicationPositions) {
   const std::string last_write = Writer().append_date("lastWriteDate", 1700000000123).finish();
-  const std::string hello = reply_with(Writer()
-                                           .append_bool("isWritablePrimary", true)
-                                           .append_document("lastWrite", last_write)
-                                           .append_double("ok", 1));
+  const std::string hello = encode_reply(Writer()
+                                             .append_bool("isWritablePrimary", true)
+                                             .append_document("lastWrite", last_write)
+                                             .append_double("ok", 1));
   const auto protocol = make_upstream_protocol();
   protocol->health_check_message();
   const ParsedResponse check =
@@ -105,8 +105,8 @@
   EXPECT_EQ(check.response.load_report.is_primary, true);
   EXPECT_EQ(check.response.load_report.replication_position, ReplicationPosition(1700000000123ms));
 
-  const std::string reply =
-      reply_with(Writer().append_double("ok", 1).append_timestamp("operationTime", 1700000000, 5));
+  const std::string reply = encode_reply(
+      Writer().append_double("ok", 1).append_timestamp("operationTime", 1700000000, 5));
   const ParsedResponse read =
       protocol->parse_response(reply, RequestKind::ClientRequest, InputState::Open);
   EXPECT_EQ(read.response.replication_position, ReplicationPosition(1700000000s));
--- a/tests/postgres_statement_request_test.cpp
+++ b/tests/postgres_statement_request_test.cpp
@@ -25,15 +25,15 @@
 
   [[nodiscard]] common::Result<StatementRequest, SqlError>
   parse(const std::string& text, const sql_classifier::SqlClassifier* classifier = nullptr) const {
-    return parse_request(text, {indexes_, classes_}, classifier);
+    return parse_request(text, {class_indexes_, classes_}, classifier);
   }
 
   const std::vector<RequestClass> classes_ = make_classes();
-  const std::map<std::string, std::size_t> indexes_{{"any", 0}, {"session", 1}, {"save", 2}};
+  const std::map<std::string, std::size_t> class_indexes_{{"any", 0}, {"session", 1}, {"save", 2}};
   const sql_classifier::SqlClassifier classifier_;
 };
 
-TEST_F(PostgresStatementRequest, ReadsTermsOfRequest) {
+TEST_F(PostgresStatementRequest, ReadsRequestFields) {
   const auto parsed = parse("SELECT data FROM facts WHERE code = 'beef' "
                             "/* id=r1, c=session,d=1500,cluster=7,after=1700000000123,r=1 */");
   ASSERT_TRUE(parsed);
@@ -48,7 +48,7 @@
   EXPECT_EQ(parsed.value().last_write_at, TimePoint(1700000000123ms));
 }
 
-TEST_F(PostgresStatementRequest, HashesSessionKeysThatAreNoNumbers) {
+TEST_F(PostgresStatementRequest, HashesSessionKeysThatAreNotHexadecimalNumbers) {
   for (const std::string key : {"not hexadecimal", "12345678901234567", ""}) {
     const auto parsed = parse("SELECT '" + key + "' /* id=a,c=session,d=5,cluster=0 */");
     ASSERT_TRUE(parsed) << key;
@@ -58,7 +58,7 @@
       parse("SELECT 'beef' /* id=a,c=any,d=5,cluster=0 */").value().parsed.request.session);
 }
 
-TEST_F(PostgresStatementRequest, RejectsStatementsThatMakeNoRequest) {
+TEST_F(PostgresStatementRequest, RejectsInvalidStatements) {
   struct Case {
     std::string text;
     std::string sqlstate;
@@ -91,18 +91,18 @@
   }
 }
 
-TEST_F(PostgresStatementRequest, ClassifiesStatementsWhileThereIsAClassifier) {
+TEST_F(PostgresStatementRequest, UsesTheClassifierIfThereIsOne) {
   const auto write = parse("SELECT nextval('s') /* id=a,c=any,d=5,cluster=0 */", &classifier_);
   ASSERT_FALSE(write);
   EXPECT_STREQ(write.error().sqlstate, kReadOnlyTransaction);
   EXPECT_EQ(write.error().text, "the statement may write, and its class reads: function nextval is "
                                 "not known to read only");
-  const std::string terms = " /* id=a,c=save,d=5,cluster=0,k=1 */";
-  EXPECT_TRUE(parse("SELECT mystery()" + terms, &classifier_).value().parsed.is_single_attempt);
-  EXPECT_FALSE(parse("DELETE FROM t" + terms, &classifier_).value().parsed.is_single_attempt);
+  const std::string comment = " /* id=a,c=save,d=5,cluster=0,k=1 */";
+  EXPECT_TRUE(parse("SELECT mystery()" + comment, &classifier_).value().parsed.is_single_attempt);
+  EXPECT_FALSE(parse("DELETE FROM t" + comment, &classifier_).value().parsed.is_single_attempt);
 }
 
-TEST_F(PostgresStatementRequest, IsForwardedWithItsDeadlineReplaced) {
+TEST_F(PostgresStatementRequest, RewriterReplacesOnlyTheDeadline) {
   const std::string text = "SELECT 1 /* id=a,c=any,d=1500,cluster=0 */";
   const DeadlineField deadline = parse(text).value().deadline;
   StatementRewriter rewriter;
--- a/tests/postgres_upstream_protocol_test.cpp
+++ b/tests/postgres_upstream_protocol_test.cpp
@@ -18,7 +18,7 @@
 using connection_pool::ParsedResponse;
 using connection_pool::RequestKind;
 
-LoadReport report_of(const std::string& gauges) {
+LoadReport parse_health_check_report(const std::string& gauges) {
   const std::string column = std::string("\0\1gauges\0", 9) + std::string(18, '\0');
   const std::string row = std::string("\0\1", 2) +
                           wire::encode_u32_big_endian(static_cast<std::uint32_t>(gauges.size())) +
@@ -36,23 +36,24 @@
 TEST(PostgresUpstreamProtocol, ReadsReportPositionsInSecondsOrMilliseconds) {
   const auto at = std::chrono::floor<std::chrono::milliseconds>(net::now()) - 150ms;
   const std::string ms = std::to_string(at.time_since_epoch().count());
-  const LoadReport seconds = report_of("x0=" + ms.substr(0, 10) + "." + ms.substr(10) + ",x1=1");
+  const LoadReport seconds =
+      parse_health_check_report("x0=" + ms.substr(0, 10) + "." + ms.substr(10) + ",x1=1");
   ASSERT_TRUE(seconds.replication_position);
   EXPECT_NEAR(to_double(seconds.replication_position->time_since_epoch()),
               to_double(at.time_since_epoch()), 1e6);
   EXPECT_TRUE(seconds.is_primary.value_or(false));
-  const LoadReport milliseconds = report_of("x0=" + ms + ",x1=0");
+  const LoadReport milliseconds = parse_health_check_report("x0=" + ms + ",x1=0");
   ASSERT_TRUE(milliseconds.replication_position);
   EXPECT_NEAR(to_double(milliseconds.replication_position->time_since_epoch()),
               to_double(at.time_since_epoch()), 1e6);
   EXPECT_FALSE(milliseconds.is_primary.value_or(true));
 }
 
-TEST(PostgresUpstreamProtocol, IgnoresReportNotMadeYet) {
-  const LoadReport blank = report_of("x0=0.000,x1=0");
-  EXPECT_FALSE(blank.replication_position);
+TEST(PostgresUpstreamProtocol, IgnoresReportOfZeros) {
+  const LoadReport zero_report = parse_health_check_report("x0=0.000,x1=0");
+  EXPECT_FALSE(zero_report.replication_position);
   // Otherwise each gateway that starts would take each primary as replaced.
-  EXPECT_FALSE(blank.is_primary);
+  EXPECT_FALSE(zero_report.is_primary);
 }
 
 TEST(PostgresUpstreamProtocol, ReadsHandshakeResponse) {
