--- a/src/mongo/client_connection.cpp
+++ b/src/mongo/client_connection.cpp
@@ -35,7 +35,7 @@
   proxy::ByteSpans body(Duration time_left) override {
     const wire::FramingResult<Message> message = read_pending_message();
     const OpMsg op_msg = message ? read_op_msg(message.value().payload).value_or(OpMsg{}) : OpMsg{};
-    return rewriter_.rewrite(op_msg, request_kind_, time_left);
+    return rewriter_.rewrite(op_msg, pending_command_kind_, time_left);
   }
 
   void respond(const proxy::ByteSpans& body) override {
@@ -141,7 +141,7 @@
     auto request = admission_.admit(std::move(parsed.value()), earliest_arrival(), now);
     if (!request)
       return CommandError{ErrorCode::Unauthorized, proxy::describe(request.error())};
-    request_kind_ = command.kind;
+    pending_command_kind_ = command.kind;
     if (!begin_request(std::move(request.value()), message_size_))
       return CommandError{ErrorCode::FailedToParse, frontend::kUnacceptedIdText};
     return std::nullopt;
@@ -186,7 +186,7 @@
   std::uint32_t last_sent_id_ = 0;
   std::uint32_t message_id_ = 0;  ///< Of the client's message that is being handled.
   std::size_t message_size_ = 0;  ///< Of the same message.
-  CommandKind request_kind_ = CommandKind::Read;  ///< Of the pending request.
+  CommandKind pending_command_kind_ = CommandKind::Read;  ///< Of the pending request.
 };
 
 }  // namespace
--- a/src/postgres/client_connection.cpp
+++ b/src/postgres/client_connection.cpp
@@ -36,7 +36,7 @@
 
   // The statement stays in the input until its request is complete.
   proxy::ByteSpans body(Duration time_left) override {
-    const std::string_view text = input().substr(kQueryHeaderSize, text_size_);
+    const std::string_view text = input().substr(kQueryHeaderSize, statement_size_);
     return rewriter_.rewrite(text, deadline_, time_left);
   }
 
@@ -164,7 +164,7 @@
     auto request = admission_.admit(std::move(statement.parsed), earliest_arrival(), now);
     if (!request)
       return SqlError{kInsufficientPrivilege, proxy::describe(request.error())};
-    text_size_ = text.size();
+    statement_size_ = text.size();
     deadline_ = statement.deadline;
     if (!begin_request(std::move(request.value()), message_size))
       return SqlError{kDuplicateObject, frontend::kUnacceptedIdText};
@@ -186,7 +186,7 @@
   /// Sends the response to the pending request, which ends it.
   void complete_request(const proxy::ByteSpans& parts) {
     send(parts);
-    consume(text_size_ + kQueryFramingSize);
+    consume(statement_size_ + kQueryFramingSize);
     finish_request();
   }
 
@@ -205,8 +205,8 @@
       classifier_;  ///< Null: none. A reload replaces it.
   StatementRewriter rewriter_;
   Phase phase_ = Phase::AwaitingStartup;
-  std::size_t text_size_ = 0;  ///< Of the pending statement.
-  DeadlineField deadline_;     ///< In the text of the pending statement.
+  std::size_t statement_size_ = 0;  ///< Of the pending statement.
+  DeadlineField deadline_;          ///< In the text of the pending statement.
 };
 
 }  // namespace
--- a/src/postgres/statement_rewriter.cpp
+++ b/src/postgres/statement_rewriter.cpp
@@ -7,8 +7,8 @@
 
 proxy::ByteSpans StatementRewriter::rewrite(std::string_view text, const DeadlineField& deadline,
                                             Duration time_left) {
-  remaining_ms_ = std::to_string(std::max<Duration::rep>(time_left / 1ms, 1));
-  return {text.substr(0, deadline.offset), remaining_ms_,
+  deadline_text_ = std::to_string(std::max<Duration::rep>(time_left / 1ms, 1));
+  return {text.substr(0, deadline.offset), deadline_text_,
           text.substr(deadline.offset + deadline.size)};
 }
 
--- a/src/postgres/statement_rewriter.h
+++ b/src/postgres/statement_rewriter.h
@@ -18,7 +18,7 @@
                            Duration time_left);
 
 private:
-  std::string remaining_ms_;
+  std::string deadline_text_;
 };
 
 }  // namespace gorsebeam::postgres
--- a/tests/mongo_replies_test.cpp
+++ b/tests/mongo_replies_test.cpp
@@ -50,15 +50,15 @@
 TEST(MongoReplies, EncodeExactBytes) {
   const std::string ok = "\1ok\0\0\0\0\0\0\0\xf0\x3f"s;
   const std::string not_ok = "\1ok\0\0\0\0\0\0\0\0\0"s;
-  const std::string refused = not_ok + "\2errmsg\0\x13\0\0\0refused: try again\0"s +
-                              "\x10"
-                              "code\0\xce\1\0\0"s +
-                              "\2codeName\0\x20\0\0\0IngressRequestRateLimitExceeded\0"s +
-                              "\4errorLabels\0\x3d\0\0\0"s +
-                              "\2"
-                              "0\0\x14\0\0\0RetryableWriteError\0"s +
-                              "\2"
-                              "1\0\x16\0\0\0SystemOverloadedError\0\0"s;
+  const std::string rejection = not_ok + "\2errmsg\0\x13\0\0\0refused: try again\0"s +
+                                "\x10"
+                                "code\0\xce\1\0\0"s +
+                                "\2codeName\0\x20\0\0\0IngressRequestRateLimitExceeded\0"s +
+                                "\4errorLabels\0\x3d\0\0\0"s +
+                                "\2"
+                                "0\0\x14\0\0\0RetryableWriteError\0"s +
+                                "\2"
+                                "1\0\x16\0\0\0SystemOverloadedError\0\0"s;
   EXPECT_EQ(encode_ok_reply(), "\x11\0\0\0"s + ok + '\0');
   EXPECT_EQ(encode_build_info_reply(), "\x24\0\0\0\2version\0\6\0\0\0"
                                        "6.0.0\0"s +
@@ -68,9 +68,9 @@
                 "\2errmsg\0\4\0\0\0bad\0\x10"
                 "code\0\x09\0\0\0"s +
                 "\2codeName\0\x0e\0\0\0FailedToParse\0\0"s);
-  EXPECT_EQ(encode_rejection_reply(0ms), "\xb2\0\0\0"s + refused + '\0');
+  EXPECT_EQ(encode_rejection_reply(0ms), "\xb2\0\0\0"s + rejection + '\0');
   EXPECT_EQ(encode_rejection_reply(7900us),
-            "\xc8\0\0\0"s + refused + "\x12retryAfterMS\0\7\0\0\0\0\0\0\0\0"s);
+            "\xc8\0\0\0"s + rejection + "\x12retryAfterMS\0\7\0\0\0\0\0\0\0\0"s);
 }
 
 TEST(MongoErrorCode, HasTheServersName) {
--- a/tests/postgres_upstream_protocol_test.cpp
+++ b/tests/postgres_upstream_protocol_test.cpp
@@ -34,19 +34,19 @@
 }
 
 TEST(PostgresUpstreamProtocol, ReadsReportPositionsInSecondsOrMilliseconds) {
-  const auto at = std::chrono::floor<std::chrono::milliseconds>(net::now()) - 150ms;
-  const std::string ms = std::to_string(at.time_since_epoch().count());
-  const LoadReport seconds =
-      parse_health_check_report("x0=" + ms.substr(0, 10) + "." + ms.substr(10) + ",x1=1");
-  ASSERT_TRUE(seconds.replication_position);
-  EXPECT_NEAR(to_double(seconds.replication_position->time_since_epoch()),
-              to_double(at.time_since_epoch()), 1e6);
-  EXPECT_TRUE(seconds.is_primary.value_or(false));
-  const LoadReport milliseconds = parse_health_check_report("x0=" + ms + ",x1=0");
-  ASSERT_TRUE(milliseconds.replication_position);
-  EXPECT_NEAR(to_double(milliseconds.replication_position->time_since_epoch()),
-              to_double(at.time_since_epoch()), 1e6);
-  EXPECT_FALSE(milliseconds.is_primary.value_or(true));
+  const auto written_at = std::chrono::floor<std::chrono::milliseconds>(net::now()) - 150ms;
+  const std::string unix_ms = std::to_string(written_at.time_since_epoch().count());
+  const LoadReport seconds_report =
+      parse_health_check_report("x0=" + unix_ms.substr(0, 10) + "." + unix_ms.substr(10) + ",x1=1");
+  ASSERT_TRUE(seconds_report.replication_position);
+  EXPECT_NEAR(to_double(seconds_report.replication_position->time_since_epoch()),
+              to_double(written_at.time_since_epoch()), 1e6);
+  EXPECT_TRUE(seconds_report.is_primary.value_or(false));
+  const LoadReport milliseconds_report = parse_health_check_report("x0=" + unix_ms + ",x1=0");
+  ASSERT_TRUE(milliseconds_report.replication_position);
+  EXPECT_NEAR(to_double(milliseconds_report.replication_position->time_since_epoch()),
+              to_double(written_at.time_since_epoch()), 1e6);
+  EXPECT_FALSE(milliseconds_report.is_primary.value_or(true));
 }
 
 TEST(PostgresUpstreamProtocol, IgnoresReportOfZeros) {
