--- a/src/mongo/bson.cpp
+++ b/src/mongo/bson.cpp
@@ -12,9 +12,9 @@
 constexpr std::size_t kObjectIdSize = 12;
 constexpr std::size_t kDecimal128Size = 16;
 constexpr std::size_t kSubtypeSize = 1;
-constexpr double kMaxExactDouble = 9e15;  // integers up to about here are exact in a double
+constexpr double kMaxExactDouble = 9e15;  // below 2^53, up to which a double holds every integer
 
-/// Removes `size` bytes from the front of `rest` and returns them; nothing if there are fewer.
+/// Removes `size` bytes from the front of `rest` and returns them, or nothing if `rest` is shorter.
 OptionalBytes read_bytes(std::string_view& rest, std::size_t size) {
   if (size > rest.size())
     return std::nullopt;
@@ -24,6 +24,7 @@
 }
 
 /// Removes a zero-terminated text from the front of `rest` and returns it without the zero byte.
+/// Returns nothing if `rest` has no zero byte.
 OptionalBytes read_cstring(std::string_view& rest) {
   const std::size_t end = rest.find('\0');
   if (end == std::string_view::npos)
@@ -33,7 +34,7 @@
   return text;
 }
 
-/// The length field at the front of `rest`; nothing if it exceeds the bytes that there are.
+/// Returns the length field at the front of `rest`, or nothing if it exceeds the size of `rest`.
 std::optional<std::size_t> peek_length(std::string_view rest) {
   if (rest.size() < kLengthSize)
     return std::nullopt;
@@ -43,13 +44,14 @@
   return length;
 }
 
-/// A value whose length field counts only what follows it; `trailing_size` more bytes belong to it.
-OptionalBytes read_length_prefixed(std::string_view& rest, std::size_t trailing_size) {
+/// Removes a value from the front of `rest`. Its length field counts neither itself nor
+/// `uncounted_size` other bytes of the value.
+OptionalBytes read_length_prefixed(std::string_view& rest, std::size_t uncounted_size) {
   const std::optional<std::size_t> length = peek_length(rest);
-  return length ? read_bytes(rest, kLengthSize + *length + trailing_size) : std::nullopt;
+  return length ? read_bytes(rest, kLengthSize + *length + uncounted_size) : std::nullopt;
 }
 
-/// A value whose length field counts itself, as a document's does.
+/// Removes a document from the front of `rest`. Its length field counts the whole document.
 OptionalBytes read_document(std::string_view& rest) {
   const std::optional<std::size_t> length = peek_length(rest);
   if (!length || *length < kMinDocumentSize)
@@ -57,7 +59,8 @@
   return read_bytes(rest, *length);
 }
 
-/// The text of a string. Its length field counts the zero byte at its end.
+/// Removes a string from the front of `rest` and returns its text. The length field counts the text
+/// and the zero byte at its end.
 OptionalBytes read_string(std::string_view& rest) {
   const OptionalBytes bytes = read_length_prefixed(rest, 0);
   if (!bytes || bytes->size() < kLengthSize + 1 || bytes->back() != '\0')
@@ -65,7 +68,8 @@
   return bytes->substr(kLengthSize, bytes->size() - kLengthSize - 1);
 }
 
-/// The pattern of a regular expression; its options are skipped.
+/// Removes a regular expression from the front of `rest` and returns its pattern without its
+/// options.
 OptionalBytes read_regex(std::string_view& rest) {
   const OptionalBytes pattern = read_cstring(rest);
   if (!pattern || !read_cstring(rest))
@@ -73,8 +77,8 @@
   return pattern;
 }
 
-/// Removes a value of `type` from the front of `rest`; nothing if it is malformed or the type is
-/// unknown.
+/// Removes a value of `type` from the front of `rest` and returns it, or nothing if it is malformed
+/// or the type is unknown.
 OptionalBytes read_value(std::string_view& rest, ElementType type) {
   switch (type) {
   case ElementType::Double:
--- a/src/mongo/bson.h
+++ b/src/mongo/bson.h
@@ -1,6 +1,6 @@
-/// Reads BSON documents in place and writes new ones, as far as the gateway needs them. Each read
-/// is checked against the end of the document. Pure. Source: BSON specification, version 1.1
-/// (bsonspec.org).
+/// Reads BSON documents without copying them, and writes the element types that the gateway sends.
+/// No read goes beyond the end of the document. Does no I/O and reads no clock.
+/// Source: BSON specification, version 1.1 (bsonspec.org).
 #pragma once
 
 #include "wire/integers.h"
@@ -13,7 +13,7 @@
 
 namespace gorsebeam::mongo {
 
-/// The type byte of an element. A received byte need not be one of these values.
+/// The type byte of an element. A received byte can be a value that is not listed here.
 enum class ElementType : unsigned char {
   Double = 0x01,
   String = 0x02,
@@ -53,25 +53,28 @@
   return wire::encode_u32_little_endian(value);
 }
 
-/// One element of a document. The views borrow from the document.
+/// One element of a document. The views point into the document.
 struct Element {
   ElementType type = ElementType::Null;
   std::string_view name;
-  std::string_view value;    ///< Of a string: its text. Of a document: with its length field.
-  std::string_view encoded;  ///< The whole element: type, name and value.
+  /// The encoded value. For a string it is the text alone, and for a regular expression the pattern
+  /// alone; for a document or an array it includes the length field and the final zero byte.
+  std::string_view value;
+  std::string_view encoded;  ///< The bytes of the whole element: type, name and value.
 };
 
 /// Iterates over the elements of one document without entering nested documents.
 class Reader {
 public:
-  /// `document` is one whole document: its length field, its elements and a zero byte. Anything
-  /// else is malformed and has no elements.
+  /// `document` must be exactly one document: its length field, its elements and a zero byte. Any
+  /// other bytes are malformed, and `next` returns nothing for them.
   explicit Reader(std::string_view document);
 
-  /// The next element; nothing at the end of the document and if the next element is malformed.
+  /// Returns the next element, or nothing at the end of the document or if that element is
+  /// malformed.
   std::optional<Element> next();
 
-  /// Whether the document, as far as it was read, is malformed.
+  /// Whether the part of the document that was read so far is malformed.
   [[nodiscard]] bool is_malformed() const { return is_malformed_; }
 
 private:
@@ -79,30 +82,34 @@
   bool is_malformed_ = false;
 };
 
-/// The largest number of nested levels that `is_well_formed` accepts.
+/// The default limit of `is_well_formed` for the nesting of documents and arrays.
 constexpr int kMaxNestingDepth = 32;
 
-/// Whether every element of a document and of its nested documents and arrays can be read.
-/// `max_depth` is the number of nested levels that are permitted.
+/// Whether every element of a document and of its nested documents and arrays can be read. A
+/// document whose nested documents and arrays have more than `max_depth` levels is not well formed.
 bool is_well_formed(std::string_view document, int max_depth = kMaxNestingDepth);
 
-/// The first element called `name`; nothing if there is none before the document's end or fault.
+/// Returns the first element named `name`, or nothing if there is none before the end of the
+/// document or before a malformed element.
 std::optional<Element> find(std::string_view document, std::string_view name);
 
-/// The value of an int32, an int64, or a double without a fraction.
+/// Returns the value of an int32, an int64 or a double without a fraction, or nothing for any other
+/// element.
 std::optional<std::int64_t> to_integer(const Element& element);
 
-/// The value of a boolean, or whether a number is not zero.
+/// Returns the value of a boolean, whether a number that `to_integer` accepts is not zero, or
+/// nothing for any other element.
 std::optional<bool> to_bool(const Element& element);
 
-/// The text of a string, or the decimal digits of a number without a fraction; empty for any other
-/// element.
+/// Returns the text of a string, the decimal digits of a number without a fraction, or an empty
+/// text for any other element.
 std::string to_text(const Element& element);
 
-/// The value of a date, in milliseconds of Unix time.
+/// Returns the value of a date in milliseconds of Unix time, or nothing for any other element.
 std::optional<std::int64_t> to_date(const Element& element);
 
-/// The seconds of a timestamp, which are Unix time. Its other half is a counter within the second.
+/// Returns the Unix time of a timestamp in seconds, or nothing for any other element. The other
+/// half of a timestamp, a counter within the second, is ignored.
 std::optional<std::int64_t> to_timestamp_seconds(const Element& element);
 
 /// Builds a document from the elements that are appended to it.
@@ -111,7 +118,7 @@
   Writer& append_string(std::string_view name, std::string_view value);
   Writer& append_document(std::string_view name, std::string_view document);
 
-  /// `array` is a document whose elements are named "0", "1" and so on.
+  /// `array` must be a document whose elements are named "0", "1" and so on.
   Writer& append_array(std::string_view name, std::string_view array);
   Writer& append_bool(std::string_view name, bool value);
   Writer& append_int32(std::string_view name, std::int32_t value);
@@ -123,7 +130,7 @@
   Writer& append_timestamp(std::string_view name, std::uint32_t unix_seconds,
                            std::uint32_t counter);
 
-  /// The elements appended so far, without the length field and the zero byte of a document.
+  /// The elements appended so far, without the length field and the final zero byte of a document.
   [[nodiscard]] const std::string& elements() const { return elements_; }
 
   /// The document with all elements appended so far.
--- a/src/mongo/client_connection.cpp
+++ b/src/mongo/client_connection.cpp
@@ -23,7 +23,8 @@
   return {ErrorCode::IngressRequestRateLimitExceeded, "too many connections"};
 }
 
-/// Connects a client's stream with the pure modules that parse its commands and encode replies.
+/// The connection of one MongoDB client. Moves bytes between the client's stream and the modules
+/// that parse commands and encode replies, which do no I/O.
 class MongoClientConnection : public frontend::ClientConnection {
 public:
   MongoClientConnection(frontend::Frontend& frontend, net::SocketHandle socket,
@@ -31,7 +32,7 @@
       : ClientConnection(frontend, std::move(socket)),
         admission_(contracts, frontend.broker().settings()) {}
 
-  // The message stays in the input until its request is complete.
+  // Reads the message from the input again, where it stays until its request is complete.
   proxy::ByteSpans body(Duration time_left) override {
     const wire::FramingResult<Message> message = read_pending_message();
     const OpMsg op_msg = message ? read_op_msg(message.value().payload).value_or(OpMsg{}) : OpMsg{};
@@ -84,8 +85,8 @@
       handle_command(command.value());
   }
 
-  // Drivers send their first hello as OP_QUERY, and change to OP_MSG when its reply says that
-  // OP_MSG is served.
+  /// Replies to an OP_QUERY. Drivers send their first hello as OP_QUERY, and change to OP_MSG when
+  /// the reply says that the server supports it.
   void handle_query(const Command& command) {
     const std::string document = command.kind == CommandKind::Hello
                                      ? hello_reply(command.document)
@@ -122,6 +123,7 @@
     close_when_written(frontend::CloseReason::ErrorSent);
   }
 
+  /// Returns the reply to a hello, and takes the client's team from its application name.
   std::string hello_reply(std::string_view hello) {
     if (is_over_limit())
       return encode_error_reply(too_many_connections_error());
@@ -130,7 +132,7 @@
     return encode_hello_reply(max_message_bytes(), net::now());
   }
 
-  /// Begins the request of `command`, or returns why it is rejected.
+  /// Begins a request for `command`, or returns why the command is rejected.
   std::optional<CommandError> begin_command(const Command& command) {
     auto parsed = parse_request(command, admission_.classes());
     if (!parsed)
@@ -153,13 +155,13 @@
 
   void consume_message() { consume(message_size_); }
 
-  /// Replies to a message that began no request.
+  /// Sends the reply to a message that began no request.
   void reply(const std::string& document) {
     send_reply(document);
     consume_message();
   }
 
-  /// Ends the pending request, whose response was written.
+  /// Ends the pending request after its response was written.
   void complete_request() {
     consume_message();
     finish_request();
@@ -184,9 +186,9 @@
   frontend::RequestAdmission admission_;
   CommandRewriter rewriter_;
   std::uint32_t last_sent_id_ = 0;
-  std::uint32_t message_id_ = 0;  ///< Of the client's message that is being handled.
-  std::size_t message_size_ = 0;  ///< Of the same message.
-  CommandKind pending_command_kind_ = CommandKind::Read;  ///< Of the pending request.
+  std::uint32_t message_id_ = 0;  ///< The request id of the client's message being handled.
+  std::size_t message_size_ = 0;  ///< The size of that message in bytes.
+  CommandKind pending_command_kind_ = CommandKind::Read;  ///< The command of the pending request.
 };
 
 }  // namespace
--- a/src/mongo/client_connection.h
+++ b/src/mongo/client_connection.h
@@ -1,4 +1,4 @@
-/// Serves MongoDB clients: the server's side of the wire protocol, as a router (mongos) has it.
+/// Serves MongoDB clients over the wire protocol. To drivers the gateway is a router (mongos).
 /// Source: MongoDB wire protocol specification.
 #pragma once
 
@@ -8,7 +8,8 @@
 
 namespace gorsebeam::mongo {
 
-/// `contracts` outlives the frontend.
+/// Creates the connections of a frontend for MongoDB clients. `contracts` must outlive the
+/// frontend.
 frontend::Frontend::ConnectionFactory make_connection_factory(proxy::ContractEnforcer& contracts);
 
 }  // namespace gorsebeam::mongo
--- a/src/mongo/codec.cpp
+++ b/src/mongo/codec.cpp
@@ -14,16 +14,17 @@
 constexpr std::size_t kChecksumSize = 4;
 constexpr std::size_t kLengthSize = 4;
 constexpr std::size_t kSkipAndReturnSize = 8;  // numberToSkip and numberToReturn
-constexpr std::size_t kReplyFieldsSize = 20;   // the fields of OP_REPLY before its documents
+constexpr std::size_t kReplyFieldsSize = 20;   // the fields of OP_REPLY that precede its documents
 constexpr char kBodySection = 0;
 constexpr char kDocumentSequenceSection = 1;
 
-/// Whether `in` begins with a whole document; `size` is what its length field says.
+/// Whether `size`, the length field of the document at the front of `in`, is large enough for a
+/// document and does not exceed the size of `in`.
 bool is_valid_document_size(std::string_view in, std::size_t size) {
   return size >= kMinDocumentSize && size <= in.size();
 }
 
-/// The well-formed document at the front of `in`; nothing if there is none.
+/// Returns the document at the front of `in`, or nothing if it is incomplete or malformed.
 std::optional<std::string_view> read_document(std::string_view in) {
   if (in.size() < kMinDocumentSize)
     return std::nullopt;
@@ -33,7 +34,8 @@
   return in.substr(0, size);
 }
 
-/// Whether the content of a section of kind 1 is a name and well-formed documents.
+/// Whether `content`, that of a section of kind 1 after its length field, is a name followed by
+/// well-formed documents.
 bool is_document_sequence(std::string_view content) {
   const std::size_t name_end = content.find('\0');
   if (name_end == std::string_view::npos)
@@ -51,10 +53,11 @@
 /// One section of an OP_MSG.
 struct Section {
   char kind = kBodySection;
-  std::string_view content;  ///< A document, or the length field, name and documents of a sequence.
+  /// For kind 0 a document; for kind 1 the length field, name and documents of a sequence.
+  std::string_view content;
 };
 
-/// Reads the section at the front of `sections`; nothing if it is malformed.
+/// Reads the section at the front of `sections`, or returns nothing if it is malformed.
 std::optional<Section> read_section(std::string_view sections) {
   const std::string_view rest = sections.substr(1);
   if (rest.size() < kMinDocumentSize)
@@ -70,7 +73,8 @@
   return is_well_formed_section ? std::optional(section) : std::nullopt;
 }
 
-/// Reads all sections of a message; nothing if one is malformed or there is not exactly one body.
+/// Reads all sections of a message. Returns nothing if one of them is malformed, or if the message
+/// does not have exactly one section of kind 0.
 std::optional<OpMsg> read_sections(std::string_view sections) {
   OpMsg message;
   message.sections = sections;
--- a/src/mongo/command_parser.cpp
+++ b/src/mongo/command_parser.cpp
@@ -45,7 +45,7 @@
   return is_one_of(name, kUnsupportedCommands) ? CommandKind::Unsupported : CommandKind::Unknown;
 }
 
-/// A command is named by the first element of its document.
+/// Returns the command in `document`. The name of the first element is the name of the command.
 Command read_command(std::string_view document) {
   const std::optional<Element> first = Reader(document).next();
   if (!first)
@@ -57,7 +57,7 @@
   return {ErrorCode::FailedToParse, text};
 }
 
-/// Why commands of this kind are rejected; nothing for those that are forwarded.
+/// Returns why a command of this kind is rejected, or nothing if it is forwarded.
 std::optional<CommandError> check_kind(const Command& command) {
   const std::string name(command.name);
   if (command.kind == CommandKind::Unsupported)
@@ -67,7 +67,8 @@
   return std::nullopt;
 }
 
-/// The number of a replica group; nothing if the text is not one.
+/// Returns the replica group with the number in `text`, or nothing if `text` is not the number of a
+/// group.
 std::optional<GroupId> parse_group(const std::string& text) {
   char* end = nullptr;
   const unsigned long long group = std::strtoull(text.c_str(), &end, 10);
@@ -76,7 +77,7 @@
   return static_cast<GroupId>(group);
 }
 
-/// The document that names the session of a command; nothing if there is none.
+/// Returns the document lsid, which names the session of a command, or nothing if there is none.
 std::optional<std::string_view> find_session(std::string_view command) {
   const std::optional<Element> session = find(command, "lsid");
   if (!session || session->type != ElementType::Document)
@@ -93,14 +94,15 @@
   return find(command, "startTransaction") || find(command, "autocommit");
 }
 
-/// A retryable write is identified by its session and its number within the session, and needs no
-/// other key.
+/// Whether a command has a key in its comment or is a retryable write. MongoDB identifies a
+/// retryable write by its session and its number within the session, so it needs no other key.
 bool has_idempotency_key(std::string_view command, const CommandComment& comment) {
   const bool is_retryable_write = find_session(command) && find(command, "txnNumber");
   return !comment.idempotency_key.empty() || is_retryable_write;
 }
 
-/// Checks that a command provides what its request class requires.
+/// Returns why a command does not meet the requirements of its request class, or nothing if it
+/// does.
 std::optional<CommandError> check_class(const Command& command, const CommandComment& comment,
                                         const RequestClass& settings) {
   if (frontend::is_write(settings) != (command.kind == CommandKind::Write))
@@ -113,7 +115,7 @@
   return std::nullopt;
 }
 
-/// How long the client waits: its own limit, else the deadline of the class.
+/// Returns how long the client waits: the time in maxTimeMS, or else the deadline of the class.
 common::Result<Duration, CommandError> parse_time_limit(std::string_view command,
                                                         const RequestClass& settings) {
   const std::optional<Element> limit = find(command, "maxTimeMS");
@@ -122,7 +124,7 @@
   const std::optional<std::int64_t> limit_ms = to_integer(*limit);
   if (!limit_ms || *limit_ms < 0 || *limit_ms > kMaxDeadlineMs)
     return parse_error("maxTimeMS is out of range");
-  if (*limit_ms == 0)  // means no limit in the protocol
+  if (*limit_ms == 0)  // to MongoDB, 0 means no limit
     return settings.deadline;
   return Duration(std::chrono::milliseconds(*limit_ms));
 }
--- a/src/mongo/command_parser.h
+++ b/src/mongo/command_parser.h
@@ -1,4 +1,5 @@
-/// Parses the messages of MongoDB clients into commands, and commands into requests. Pure.
+/// Parses the messages of MongoDB clients into commands, and commands into requests.
+/// Does no I/O and reads no clock.
 /// Source: MongoDB manual, chapter "Database Commands".
 #pragma once
 
@@ -12,42 +13,42 @@
 
 namespace gorsebeam::mongo {
 
-/// What the gateway does with a command.
+/// The kinds of commands that the gateway handles differently.
 enum class CommandKind {
-  Empty,         ///< A document without elements: rejected.
-  Hello,         ///< The handshake.
-  BuildInfo,     ///< Answered by the gateway.
-  Acknowledged,  ///< Answered by the gateway with success alone: ping, endSessions.
-  Read,          ///< Forwarded.
-  Write,         ///< Forwarded.
-  Unsupported,   ///< Rejected: a command of MongoDB's that the gateway does not serve.
-  Unknown,       ///< Rejected.
+  Empty,         ///< A document without elements, which is rejected.
+  Hello,         ///< The handshake, which the gateway answers itself.
+  BuildInfo,     ///< buildInfo, which the gateway answers itself.
+  Acknowledged,  ///< ping and endSessions, which the gateway answers itself with success.
+  Read,          ///< A command that only reads, which is forwarded.
+  Write,         ///< A command that writes, which is forwarded.
+  Unsupported,   ///< A command of MongoDB that the gateway does not support, which is rejected.
+  Unknown,       ///< Any other command, which is rejected.
 };
 
-/// One command of a client. The views borrow from its message.
+/// One command of a client. The views point into the client's message.
 struct Command {
   CommandKind kind = CommandKind::Unknown;
   std::string_view name;
   std::string_view document;
 };
 
-/// Why a message ends its connection.
+/// The reasons why the gateway closes a connection after a message.
 enum class ProtocolError {
-  MalformedFrame,     ///< Its length is out of bounds.
-  UnsupportedOpcode,  ///< It is neither OP_MSG nor OP_QUERY.
-  MalformedMessage,
-  MalformedQuery,
-  ReplyForbidden,  ///< It asks for no reply, while each request gets a final one.
+  MalformedFrame,     ///< The length of the message is out of bounds.
+  UnsupportedOpcode,  ///< The message is neither OP_MSG nor OP_QUERY.
+  MalformedMessage,   ///< The message is a malformed OP_MSG.
+  MalformedQuery,     ///< The message is a malformed OP_QUERY.
+  ReplyForbidden,     ///< It forbids a reply (moreToCome), but each request gets a final answer.
 };
 
-/// The text that the client gets; for `ReplyForbidden` it gets none.
+/// Returns the error text for the client. It is not sent for `ReplyForbidden`.
 const char* describe(ProtocolError error);
 
 /// Reads the command that a message carries.
 common::Result<Command, ProtocolError> parse_command(const Message& message);
 
-/// Reads the request that a `Read` or `Write` command makes. A command of another kind is rejected
-/// as unsupported or unknown.
+/// Parses a `Read` or `Write` command into a request, or returns why the command is rejected. A
+/// command of another kind is rejected as unsupported or unknown.
 common::Result<frontend::ParsedRequest, CommandError>
 parse_request(const Command& command, const frontend::RequestClasses& classes);
 
--- a/src/mongo/command_rewriter.cpp
+++ b/src/mongo/command_rewriter.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kFlagsSize = 4;
-constexpr std::size_t kBodyHeaderSize = 5;  // the section's kind and the document's length field
+constexpr std::size_t kBodyHeaderSize = 5;  // kind of the section, length field of the document
 
 bool is_adjacent(std::string_view first, std::string_view second) {
   return first.data() + first.size() == second.data();
@@ -18,7 +18,8 @@
   return name == "maxTimeMS" || (kind == CommandKind::Read && name == "$readPreference");
 }
 
-/// The elements of a command that are forwarded unchanged; adjacent ones are joined to one part.
+/// Returns the elements of a command that are forwarded unchanged. Adjacent elements share a
+/// part.
 proxy::ByteSpans unchanged_elements(std::string_view command, CommandKind kind) {
   proxy::ByteSpans parts;
   Reader reader(command);
@@ -33,7 +34,7 @@
   return parts;
 }
 
-/// The elements that are added behind the unchanged ones.
+/// Returns the elements that take the place of the removed ones, after the unchanged elements.
 Writer replacement_elements(CommandKind kind, Duration time_left) {
   Writer replacements;
   replacements.append_int64("maxTimeMS", std::max<Duration::rep>(time_left / 1ms, 1));
--- a/src/mongo/command_rewriter.h
+++ b/src/mongo/command_rewriter.h
@@ -1,4 +1,4 @@
-/// Rewrites a client's command for an endpoint. Pure.
+/// Rewrites a client's command for an endpoint. Does no I/O and reads no clock.
 #pragma once
 
 #include "codec.h"
@@ -12,14 +12,15 @@
 
 class CommandRewriter {
 public:
-  /// The payload of an OP_MSG that carries the command in `message`, a read or a write, to an
-  /// endpoint that is to finish within `time_left`. It is the client's payload except for
-  ///  - the deadline, maxTimeMS, which is replaced;
-  ///  - the $readPreference of a read, which is replaced, as replicas serve only reads that permit
-  ///    them to;
-  ///  - the checksum, which is removed, as it counts the header, and that is another one.
+  /// Returns the payload of an OP_MSG that carries the command in `message`, which is a read or a
+  /// write, to an endpoint that must finish it within `time_left`. It is the client's payload with
+  /// these changes:
+  ///  - The deadline, maxTimeMS, is replaced.
+  ///  - The $readPreference of a read is replaced, as a replica serves only reads that permit
+  ///    replicas.
+  ///  - The checksum is removed, as it covers the header of the message, which is replaced.
   ///
-  /// The parts borrow from `message` and, until the next call, from this object.
+  /// The parts point into `message` and into this object; the latter are valid until the next call.
   proxy::ByteSpans rewrite(const OpMsg& message, CommandKind kind, Duration time_left);
 
 private:
--- a/src/mongo/error_code.h
+++ b/src/mongo/error_code.h
@@ -1,5 +1,5 @@
-/// The error codes of MongoDB replies that the gateway sends or interprets.
-/// Source: the server's public list of error codes.
+/// Defines the error codes of MongoDB replies that the gateway sends or interprets.
+/// Source: MongoDB's public list of error codes.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace gorsebeam::mongo {
 
-/// A received code need not be one of these.
+/// The number of an error. A received number can be one that is not listed here.
 enum class ErrorCode : std::int32_t {
   FailedToParse = 9,
   Unauthorized = 13,
@@ -23,10 +23,10 @@
   NotPrimaryOrSecondary = 13436,
 };
 
-/// The text of the field `codeName` in an error reply.
+/// Returns the text of the field codeName in an error reply.
 const char* name_of(ErrorCode code);
 
-/// Why a command is rejected. Its connection continues.
+/// The error with which a command is rejected. The connection stays open.
 struct CommandError {
   ErrorCode code;
   std::string text;
--- a/src/mongo/hello.cpp
+++ b/src/mongo/hello.cpp
@@ -5,8 +5,8 @@
 namespace gorsebeam::mongo {
 namespace {
 
-// The wire versions of servers 4.4 to 6.0: with these, drivers recognize retryable writes by the
-// labels on errors.
+// The highest wire version is that of MongoDB 6.0. With the wire versions of MongoDB 4.4 and later,
+// drivers decide by the labels of an error whether they retry a write.
 constexpr std::int32_t kMinWireVersion = 0;
 constexpr std::int32_t kMaxWireVersion = 17;
 constexpr std::int32_t kMaxWriteBatchSize = 1000;
@@ -31,7 +31,8 @@
   reply.append_bool("helloOk", true);
   reply.append_bool("ismaster", true);
   reply.append_bool("isWritablePrimary", true);
-  reply.append_string("msg", "isdbgrid");  // a router: drivers do not select servers by themselves
+  // "isdbgrid" marks the gateway as a router, so that drivers do not select servers themselves.
+  reply.append_string("msg", "isdbgrid");
   reply.append_int32("maxBsonObjectSize", max_size);
   reply.append_int32("maxMessageSizeBytes", max_size);
   reply.append_int32("maxWriteBatchSize", kMaxWriteBatchSize);
--- a/src/mongo/replies.cpp
+++ b/src/mongo/replies.cpp
@@ -29,8 +29,8 @@
 }
 
 std::string encode_rejection_reply(Duration retry_after) {
-  // Drivers retry a write because of the first label, which is harmless; newer ones back off
-  // because of the second.
+  // The first label makes drivers retry a write, which is harmless as the request did not run. The
+  // second label makes newer drivers wait before the retry.
   const std::string labels = Writer()
                                  .append_string("0", "RetryableWriteError")
                                  .append_string("1", "SystemOverloadedError")
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -34,8 +34,9 @@
   return static_cast<ErrorCode>(code ? to_integer(*code).value_or(0) : 0);
 }
 
-/// `Misdirected` (no primary, or too far behind) and `Rejected` mean that the endpoint did not
-/// apply the command.
+/// Returns the status of an attempt that failed with `code`. `Misdirected` and `Rejected` mean that
+/// the endpoint did not apply the command; with `Misdirected` it is not the primary or is too far
+/// behind.
 AttemptStatus attempt_status_for(ErrorCode code) {
   switch (code) {
   case ErrorCode::NotWritablePrimary:
@@ -50,7 +51,8 @@
   }
 }
 
-/// The time of the last write that a hello reply reports; nothing if it reports none.
+/// Returns the time of the last write that a hello reply reports, or nothing if it is absent or out
+/// of range.
 std::optional<ReplicationPosition> last_write_date(std::string_view hello) {
   const auto last_write = find(hello, "lastWrite");
   if (!last_write || last_write->type != ElementType::Document)
@@ -62,7 +64,7 @@
   return ReplicationPosition(std::chrono::milliseconds(*unix_ms));
 }
 
-/// Interprets the reply to a health check.
+/// Interprets the hello reply with which an endpoint answers a health check.
 UpstreamResponse interpret_hello_reply(std::string_view document) {
   UpstreamResponse response;
   const bool is_primary =
@@ -78,7 +80,8 @@
   return response;
 }
 
-/// The Unix time in a reply's operationTime; nothing if it is absent or out of range.
+/// Returns the Unix time in the operationTime of a reply, or nothing if it is absent or out of
+/// range.
 std::optional<std::int64_t> operation_time_seconds(std::string_view document) {
   const auto element = find(document, "operationTime");
   const auto seconds = element ? to_timestamp_seconds(*element) : std::nullopt;
@@ -87,13 +90,14 @@
   return seconds;
 }
 
-/// Interprets the reply to a client's command. `sections` are those of the reply.
+/// Interprets the reply to a client's command. `document` is the body of the reply, and `sections`
+/// are all of its sections.
 UpstreamResponse interpret_command_reply(std::string_view document, std::string_view sections) {
   UpstreamResponse response;
-  // The endpoint has applied all writes up to the second in operationTime; the commit of a write
-  // lies somewhere within that second, so a read that must see it requires the next one. Otherwise
-  // a demoted primary could pass as more current than it is, and a session could read a state from
-  // before its own write.
+  // The endpoint has applied all writes up to the start of the second in operationTime. The commit
+  // of a write lies somewhere within that second, so a read that must see the write requires an
+  // endpoint that has reached the next second. Otherwise a demoted primary could be taken for more
+  // current than it is, and a session could read a state from before its own write.
   if (const auto seconds = operation_time_seconds(document)) {
     response.replication_position = ReplicationPosition(std::chrono::seconds(*seconds));
     response.commit_position = ReplicationPosition(std::chrono::seconds(*seconds + 1));
@@ -112,7 +116,7 @@
   return response;
 }
 
-/// The document that names the gateway to an endpoint.
+/// Returns the document with which the gateway identifies itself to an endpoint.
 std::string client_metadata() {
   const std::string application = Writer().append_string("name", "gorsebeam").finish();
   const std::string driver =
@@ -174,14 +178,15 @@
   }
 
 private:
-  /// The views borrow from the received bytes.
+  /// A reply of the endpoint. The views point into the received bytes.
   struct Reply {
     std::string_view document;
-    std::string_view sections;  ///< Without a checksum: the client gets them under a new header.
-    std::size_t size = 0;       ///< Of the whole message.
+    /// All sections without the checksum, which covers the header: the client gets another header.
+    std::string_view sections;
+    std::size_t size = 0;  ///< The size of the whole message in bytes.
   };
 
-  /// Reads a reply to the last message that was sent.
+  /// Reads the reply to the last message that was sent. A reply to any other message is malformed.
   [[nodiscard]] wire::FramingResult<Reply> read_reply(std::string_view in) const {
     const wire::FramingResult<Message> framed = read_message(in, kMaxMessageSize);
     if (!framed)
@@ -193,12 +198,12 @@
     if (!op_msg)
       return FramingError::Malformed;
     if ((op_msg->flags & kMoreToCome) != 0)
-      return FramingError::Malformed;  // announces replies to no request
+      return FramingError::Malformed;  // announces further replies that answer no request
     return Reply{op_msg->body, op_msg->sections, message.size};
   }
 
   std::uint32_t last_sent_id_ = 0;
-  std::string header_;  ///< The last message's parts borrow from it.
+  std::string header_;  ///< The parts of the last message that was sent point into it.
 };
 
 }  // namespace
--- a/src/mongo/upstream_protocol.h
+++ b/src/mongo/upstream_protocol.h
@@ -1,4 +1,4 @@
-/// The client's side of the MongoDB wire protocol, towards the endpoints.
+/// The client side of the MongoDB wire protocol, which the gateway uses with MongoDB endpoints.
 /// Source: MongoDB wire protocol specification.
 #pragma once
 
