--- a/src/postgres/client_connection.cpp
+++ b/src/postgres/client_connection.cpp
@@ -21,11 +21,12 @@
 using wire::FramingError;
 
 constexpr std::size_t kMaxStartupSize = 10'000;
-constexpr std::size_t kQueryHeaderSize = 5;                      // type and length
-constexpr std::size_t kQueryFramingSize = kQueryHeaderSize + 1;  // and the zero byte at the end
+constexpr std::size_t kQueryHeaderSize = 5;                      // type byte and length field
+constexpr std::size_t kQueryFramingSize = kQueryHeaderSize + 1;  // header and final zero byte
 constexpr std::string_view kReadyForQuery("Z\0\0\0\5I", 6);
 
-/// Connects a client's stream with the pure modules that parse its messages and encode replies.
+/// The connection of one PostgreSQL client. Moves bytes between the client's stream and the modules
+/// that parse messages and encode replies, which do no I/O.
 class PostgresClientConnection : public frontend::ClientConnection {
 public:
   PostgresClientConnection(frontend::Frontend& frontend, net::SocketHandle socket,
@@ -34,7 +35,7 @@
       : ClientConnection(frontend, std::move(socket)),
         admission_(contracts, frontend.broker().settings()), classifier_(classifier) {}
 
-  // The statement stays in the input until its request is complete.
+  // Reads the statement from the input again, where it stays until its request is complete.
   proxy::ByteSpans body(Duration time_left) override {
     const std::string_view text = input().substr(kQueryHeaderSize, statement_size_);
     return rewriter_.rewrite(text, deadline_, time_left);
@@ -61,7 +62,7 @@
   enum class Phase {
     AwaitingStartup,
     Serving,
-    SkippingToSync,  ///< After an error in the extended query protocol.
+    SkippingToSync,  ///< Messages are skipped up to Sync, after an error in an extended query.
   };
 
   void parse() override {
@@ -100,7 +101,7 @@
     }
   }
 
-  /// Begins the session of a client that presents itself as `user`, or returns why it is rejected.
+  /// Begins the session of a client with the user name `user`, or returns why it is rejected.
   std::optional<SqlError> begin_session(std::string_view user) {
     if (is_over_limit())
       return SqlError{kTooManyConnections, "too many connections"};
@@ -121,13 +122,13 @@
     switch (kind) {
     case MessageKind::Query:
       return handle_query(message);
-    case MessageKind::Terminate:  // a response may still be on its way to the client
+    case MessageKind::Terminate:  // a response may not have been sent yet
       return close_when_written(frontend::CloseReason::ClientEnded);
     case MessageKind::Sync:
       phase_ = Phase::Serving;
       return reply(message, {kReadyForQuery});
     case MessageKind::ExtendedQuery:
-      // The error is sent once; then all messages are skipped until the client sends Sync.
+      // The error is sent once. All later messages are skipped until the client sends Sync.
       phase_ = Phase::SkippingToSync;
       return reply(message, {encode_error(Severity::Error, simple_queries_only_error())});
     case MessageKind::FunctionCall:
@@ -151,7 +152,7 @@
       reject_message(message, *error);
   }
 
-  /// Begins the request of the statement in `text`, or returns why it is rejected.
+  /// Begins a request for the statement in `text`, or returns why the statement is rejected.
   std::optional<SqlError> begin_statement(std::string_view text, std::size_t message_size) {
     auto parsed = parse_request(text, admission_.classes(), classifier_.get());
     if (!parsed)
@@ -173,7 +174,7 @@
 
   void discard_message(const Message& message) { consume(message.encoded.size()); }
 
-  /// Replies to a message that began no request.
+  /// Sends the reply to a message that began no request.
   void reply(const Message& message, const proxy::ByteSpans& parts) {
     send(parts);
     discard_message(message);
@@ -183,7 +184,7 @@
     reply(message, {encode_error(Severity::Error, error), kReadyForQuery});
   }
 
-  /// Sends the response to the pending request, which ends it.
+  /// Sends the response to the pending request and ends the request.
   void complete_request(const proxy::ByteSpans& parts) {
     send(parts);
     consume(statement_size_ + kQueryFramingSize);
@@ -201,12 +202,12 @@
   }
 
   frontend::RequestAdmission admission_;
-  const std::shared_ptr<const sql_classifier::SqlClassifier>&
-      classifier_;  ///< Null: none. A reload replaces it.
+  /// Null if statements are not classified. A reload can replace the classifier.
+  const std::shared_ptr<const sql_classifier::SqlClassifier>& classifier_;
   StatementRewriter rewriter_;
   Phase phase_ = Phase::AwaitingStartup;
-  std::size_t statement_size_ = 0;  ///< Of the pending statement.
-  DeadlineField deadline_;          ///< In the text of the pending statement.
+  std::size_t statement_size_ = 0;  ///< The size in bytes of the pending statement's text.
+  DeadlineField deadline_;          ///< The place of the deadline in that text.
 };
 
 }  // namespace
--- a/src/postgres/client_connection.h
+++ b/src/postgres/client_connection.h
@@ -1,4 +1,4 @@
-/// Serves PostgreSQL clients: the backend's side of the protocol, simple queries only.
+/// Serves PostgreSQL clients: the server side of the protocol, limited to simple queries.
 /// Source: PostgreSQL 15 documentation, chapter "Frontend/Backend Protocol" (version 3.0).
 #pragma once
 
@@ -11,8 +11,9 @@
 
 namespace gorsebeam::postgres {
 
-/// `contracts` and `classifier` outlive the frontend. While `classifier` is not null, statements
-/// are parsed: one that is not known to read only is forwarded under a writing class alone.
+/// Creates the connections of a frontend for PostgreSQL clients. `contracts` and `classifier` must
+/// outlive the frontend. While `classifier` is not null, it classifies each statement, and a
+/// statement that is not known to only read is forwarded only if its request class writes.
 frontend::Frontend::ConnectionFactory
 make_connection_factory(proxy::ContractEnforcer& contracts,
                         const std::shared_ptr<const sql_classifier::SqlClassifier>& classifier);
--- a/src/postgres/client_message.h
+++ b/src/postgres/client_message.h
@@ -1,4 +1,5 @@
-/// The messages of PostgreSQL clients after the startup message. Pure.
+/// Classifies and reads the messages that PostgreSQL clients send after the startup message.
+/// Does no I/O and reads no clock.
 /// Source: PostgreSQL 15 documentation, section "Message Formats".
 #pragma once
 
@@ -21,7 +22,7 @@
 
 MessageKind kind_of(const Message& message);
 
-/// The text of a Query, which borrows from `message`, or the error that ends the connection.
+/// Returns the text of a Query, which points into `message`, or the error that ends the connection.
 common::Result<std::string_view, SqlError> read_query(const Message& message);
 
 }  // namespace gorsebeam::postgres
--- a/src/postgres/codec.cpp
+++ b/src/postgres/codec.cpp
@@ -11,13 +11,15 @@
 
 constexpr std::size_t kTypeSize = 1;
 constexpr std::size_t kLengthSize = 4;
-constexpr std::size_t kStartupHeaderSize = 8;  // the length field and the code
+constexpr std::size_t kStartupHeaderSize = 8;  // length field and code
 
+/// Returns the bytes of `in` before its first zero byte, or all of `in` if it has none.
 std::string_view cstring_at_front(std::string_view in) {
   return in.substr(0, in.find('\0'));
 }
 
-/// Removes a text and its zero byte from the front of `rest` and returns the text.
+/// Removes a text and the zero byte after it from the front of `rest`, and returns the text.
+/// Without a zero byte, the text is all of `rest`.
 std::string_view read_cstring(std::string_view& rest) {
   const std::string_view text = cstring_at_front(rest);
   rest.remove_prefix(std::min(rest.size(), text.size() + 1));
--- a/src/postgres/codec.h
+++ b/src/postgres/codec.h
@@ -1,4 +1,5 @@
-/// Messages of PostgreSQL's protocol, read in place. Pure.
+/// Reads messages of the PostgreSQL protocol without copying them, and encodes new ones.
+/// Does no I/O and reads no clock.
 /// Source: PostgreSQL 15 documentation, chapter "Frontend/Backend Protocol" (version 3.0), sections
 /// "Message Formats" and "Error and Notice Message Fields"; appendix "PostgreSQL Error Codes".
 #pragma once
@@ -13,7 +14,7 @@
 
 namespace gorsebeam::postgres {
 
-/// The protocol number or request code of a startup message.
+/// The values of the first field of a startup message: a protocol number, or the code of a request.
 constexpr std::uint32_t kProtocolVersion3 = 196608;
 constexpr std::uint32_t kCancelRequest = 80877102;
 constexpr std::uint32_t kSslRequest = 80877103;
@@ -34,46 +35,50 @@
 constexpr const char* kSnapshotTooOld = "72000";
 constexpr const char* kInternalError = "XX000";
 
-/// A message with a type byte. The views borrow from the bytes that were read.
+/// A message that begins with a type byte. The views point into the bytes that were read.
 struct Message {
   char type = 0;
-  std::string_view body;     ///< Without the type and the length field.
+  std::string_view body;     ///< What follows the type byte and the length field.
   std::string_view encoded;  ///< The whole message, as it was received.
 };
 
-/// Reads the first message of `in`; its length field may be at most `max_length`.
+/// Reads the message at the beginning of `in`. It is malformed if its length field, which does not
+/// count the type byte, exceeds `max_length`.
 wire::FramingResult<Message> read_message(std::string_view in, std::size_t max_length);
 
 /// The first message of a connection, which has no type byte.
 struct StartupMessage {
-  std::uint32_t code = 0;       ///< The protocol number, or a request code.
-  std::string_view parameters;  ///< What follows the code; borrows from the bytes that were read.
-  std::size_t size = 0;         ///< Of the whole message.
+  std::uint32_t code = 0;       ///< The protocol number, or the code of a request.
+  std::string_view parameters;  ///< What follows the code; points into the bytes that were read.
+  std::size_t size = 0;         ///< The size of the whole message in bytes.
 };
 
+/// Reads the startup message at the beginning of `in`. A message with more than `max_length` bytes
+/// is malformed.
 wire::FramingResult<StartupMessage> read_startup(std::string_view in, std::size_t max_length);
 
-/// The value of the parameter `name` of a startup message; nothing if it is absent.
+/// Returns the value of the parameter `name` of a startup message, or nothing if it is absent.
 std::optional<std::string_view> startup_parameter(std::string_view parameters,
                                                   std::string_view name);
 
 std::string encode_message(char type, std::string_view body);
 
 enum class Severity {
-  Error,  ///< The connection continues.
-  Fatal,  ///< The connection is closed after it.
+  Error,  ///< The connection stays open.
+  Fatal,  ///< The connection is closed after the error.
 };
 
-/// An error, as clients get it in an ErrorResponse.
+/// An error that is sent to a client in an ErrorResponse.
 struct SqlError {
   const char* sqlstate;
   std::string text;
 };
 
-/// An ErrorResponse; `detail` is omitted if it is empty.
+/// Encodes an ErrorResponse. The field for `detail` is omitted if `detail` is empty.
 std::string encode_error(Severity severity, const SqlError& error, const std::string& detail = "");
 
-/// The field of type `field` in the body of an ErrorResponse; nothing if it is absent.
+/// Returns the value of the field of type `field` in the body of an ErrorResponse, or nothing if it
+/// is absent.
 std::optional<std::string_view> error_field(std::string_view body, char field);
 
 struct ParameterStatus {
@@ -81,7 +86,7 @@
   std::string_view value;
 };
 
-/// Reads the body of a ParameterStatus; nothing if it is malformed.
+/// Reads the body of a ParameterStatus, or returns nothing if it is malformed.
 std::optional<ParameterStatus> read_parameter_status(std::string_view body);
 
 }  // namespace gorsebeam::postgres
--- a/src/postgres/load_report.cpp
+++ b/src/postgres/load_report.cpp
@@ -11,7 +11,7 @@
 constexpr Duration kMaxClockSkew = 2s;
 constexpr double kNanosPerMs = 1e6;
 constexpr double kMsPerSecond = 1000;
-constexpr double kMaxPositionSeconds = 1e11;  // a report's position below this is in seconds
+constexpr double kMaxPositionSeconds = 1e11;  // a position in a report below this is in seconds
 constexpr std::size_t kMaxNumberSize = 64;
 
 std::optional<double> parse_number(std::string_view text) {
@@ -23,23 +23,26 @@
   return value;
 }
 
+/// Returns the position at `unix_ms`, or nothing if it is negative or too far ahead of `now`.
 std::optional<ReplicationPosition> position_from_unix_ms(double unix_ms, TimePoint now) {
   if (unix_ms < 0 || unix_ms * kNanosPerMs > to_double((now + kMaxClockSkew).time_since_epoch()))
     return std::nullopt;
   return ReplicationPosition(to_duration(std::floor(unix_ms * kNanosPerMs)));
 }
 
-/// The position in a report is a Unix time in seconds, while the one in a response is in
-/// milliseconds. A value too large to be seconds is read as milliseconds.
+/// Returns the position in a report. A report has it as Unix time in seconds, while a response has
+/// it in milliseconds; so a value that is too large for seconds is read as milliseconds.
 std::optional<ReplicationPosition> position_from_report(double value, TimePoint now) {
   return position_from_unix_ms(value < kMaxPositionSeconds ? value * kMsPerSecond : value, now);
 }
 
-/// Reads one value into `report`; returns false if the whole report is to be ignored.
+/// Sets the field of `report` that the value `name` stands for. Returns false if the whole report
+/// must be ignored.
 bool apply_value(std::string_view name, double value, TimePoint now, LoadReport& report) {
   if (name == "x0") {
-    // An endpoint that has not made its first report sends zeros. Read as a report, they would tell
-    // each gateway that starts that no group has a primary, and they prove no position.
+    // An endpoint that has not made its first report sends zeros. If they were read as a report,
+    // each gateway that starts would conclude that no group has a primary. They also prove no
+    // position.
     if (value == 0)
       return false;
     report.replication_position = position_from_report(value, now);
--- a/src/postgres/load_report.h
+++ b/src/postgres/load_report.h
@@ -1,4 +1,5 @@
-/// Reads the replication positions and load reports that endpoints send in parameters. Pure.
+/// Reads the replication positions and load reports that endpoints send as texts. Does no I/O and
+/// reads no clock.
 #pragma once
 
 #include "proxy/interfaces.h"
@@ -8,11 +9,12 @@
 
 namespace gorsebeam::postgres {
 
-/// A replication position in Unix milliseconds; nothing if it is no number, negative, or too far
-/// ahead of `now`.
+/// Reads a replication position in Unix milliseconds. Returns nothing if `text` is no number, is
+/// negative, or is further ahead of `now` than clocks may differ.
 std::optional<ReplicationPosition> parse_position(std::string_view text, TimePoint now);
 
-/// Reads a report such as "x0=1767225600.123,x1=0". Nothing if it is malformed, or if its endpoint
+/// Reads a report such as "x0=1767225600.123,x1=0": x0 is the replication position, and x1 is 1 on
+/// a primary. Returns nothing if the report is malformed or if its x0 is 0, as then the endpoint
 /// has not made its first report.
 std::optional<LoadReport> parse_load_report(std::string_view text, TimePoint now);
 
--- a/src/postgres/startup.h
+++ b/src/postgres/startup.h
@@ -1,4 +1,5 @@
-/// The handshake of a PostgreSQL client: its startup message and the reply. Pure.
+/// Handles the handshake of a PostgreSQL client: its startup message and the reply. Does no I/O and
+/// reads no clock.
 /// Source: PostgreSQL 15 documentation, section "Start-up" of "Message Flow".
 #pragma once
 
@@ -9,22 +10,23 @@
 
 namespace gorsebeam::postgres {
 
-/// What a startup message asks for.
+/// What a startup message requests.
 enum class StartupKind {
   Session,
-  Encryption,          ///< SSL or GSS encryption; another startup message follows the reply.
-  Cancel,              ///< To cancel the query of another connection.
-  UnsupportedVersion,  ///< A session in another version of the protocol.
+  Encryption,          ///< SSL or GSS encryption. Another startup message follows the reply.
+  Cancel,              ///< The cancellation of a query of another connection.
+  UnsupportedVersion,  ///< A session in an unsupported version of the protocol.
 };
 
 struct Startup {
   StartupKind kind = StartupKind::Session;
-  std::string_view user;  ///< Of a session; empty if it names none. Borrows from the message.
+  /// The user name of a session; empty if the message has none. Points into the message.
+  std::string_view user;
 };
 
 Startup parse_startup(const StartupMessage& message);
 
-/// The reply that accepts a session, without the ReadyForQuery at its end.
+/// Encodes the reply that accepts a session, without the ReadyForQuery that must follow it.
 std::string encode_startup_reply();
 
 }  // namespace gorsebeam::postgres
--- a/src/postgres/statement.cpp
+++ b/src/postgres/statement.cpp
@@ -42,7 +42,8 @@
     statement.retry = value;
 }
 
-/// Sets the terms that the text of a comment holds; a later one replaces an earlier one.
+/// Sets the fields of `statement` that the text of a comment holds. A field that occurs again
+/// replaces the earlier one.
 void read_comment_fields(std::string_view comment, Statement& statement) {
   while (!comment.empty()) {
     const std::size_t comma = comment.find(',');
@@ -54,8 +55,8 @@
   }
 }
 
-/// The position of the quote that ends a literal whose content begins at `begin`; npos if it does
-/// not end. A quote within the literal is doubled.
+/// Returns the position of the quote that ends a literal whose content begins at `begin`, or npos
+/// if the literal does not end. A doubled quote belongs to the content.
 std::size_t find_closing_quote(std::string_view text, std::size_t begin) {
   std::size_t quote = text.find('\'', begin);
   while (quote != std::string_view::npos && text.compare(quote, 2, "''") == 0)
@@ -69,7 +70,7 @@
          g_ascii_strncasecmp(word.data(), kSelect.data(), kSelect.size()) == 0;
 }
 
-/// Scans the text of a statement once.
+/// Reads the text of a statement in one pass.
 class StatementScanner {
 public:
   explicit StatementScanner(std::string_view text) : text_(text) {}
@@ -83,7 +84,8 @@
   }
 
 private:
-  /// Returns false if a comment or a literal does not end.
+  /// Reads the next comment, literal, first word or character. Returns false if a comment or a
+  /// literal does not end.
   bool scan_next() {
     if (text_.compare(position_, 2, "/*") == 0)
       return scan_comment();
@@ -132,7 +134,7 @@
   std::string_view text_;
   std::size_t position_ = 0;
   std::string_view first_word_;
-  bool has_seen_semicolon_ = false;  ///< A semicolon was scanned.
+  bool has_seen_semicolon_ = false;  ///< A semicolon outside of comments and literals was read.
   Statement statement_;
 };
 
--- a/src/postgres/statement_request.cpp
+++ b/src/postgres/statement_request.cpp
@@ -21,7 +21,8 @@
 constexpr std::uint64_t kMaxGroup = 0xffffffffU;
 constexpr std::size_t kMaxSessionDigits = 16;
 
-/// A key of up to 16 hexadecimal digits is the number of the session; any other is hashed.
+/// Returns the number of the session with the key `key`: a key of up to 16 hexadecimal digits is
+/// the number itself, and any other key is hashed.
 std::uint64_t session_from_key(std::string_view key) {
   std::uint64_t number = 0;
   bool is_hexadecimal = !key.empty() && key.size() <= kMaxSessionDigits;
@@ -32,6 +33,8 @@
   return is_hexadecimal ? number : frontend::hash_session_name(key);
 }
 
+/// Classifies a statement. Without a classifier, a SELECT is a read and any other statement a
+/// write.
 Classification classify(const Statement& statement, std::string_view text,
                         const SqlClassifier* classifier) {
   if (classifier)
@@ -39,8 +42,9 @@
   return {statement.is_select ? Effect::Read : Effect::Write, ""};
 }
 
-/// Checks that a statement fits its request class, which the client names: a write under a class
-/// that reads would go to a replica, and would be retried as if it changed nothing.
+/// Returns why a statement does not fit its request class, or nothing if it does. The client names
+/// the class: a write in a class that reads would be sent to a replica, and would be retried as if
+/// it changed nothing.
 std::optional<SqlError> check_class(const Statement& statement,
                                     const Classification& classification,
                                     const SqlClassifier* classifier, const RequestClass& settings) {
--- a/src/postgres/statement_request.h
+++ b/src/postgres/statement_request.h
@@ -1,4 +1,4 @@
-/// Parses the statement of a PostgreSQL client into a request. Pure.
+/// Parses the statement of a PostgreSQL client into a request. Does no I/O and reads no clock.
 #pragma once
 
 #include "codec.h"
@@ -13,7 +13,7 @@
 
 namespace gorsebeam::postgres {
 
-/// The position of the deadline in the text of a statement.
+/// The place of the deadline in the text of a statement, in bytes.
 struct DeadlineField {
   std::size_t offset = 0;
   std::size_t size = 0;
@@ -22,12 +22,13 @@
 struct StatementRequest {
   frontend::ParsedRequest parsed;
   DeadlineField deadline;
-  std::optional<TimePoint> last_write_at;  ///< The session's last commit, as the client reports it.
+  /// The time of the session's last commit; nothing if the client does not report it.
+  std::optional<TimePoint> last_write_at;
 };
 
-/// Reads the request that the statement in `text` makes, or why the statement is rejected. While
-/// `classifier` is not null, a statement that is not known to read only is rejected under a class
-/// that reads.
+/// Parses the statement in `text` into a request, or returns why the statement is rejected. If
+/// `classifier` is not null, a statement that is not known to only read is rejected if its request
+/// class reads.
 common::Result<StatementRequest, SqlError>
 parse_request(std::string_view text, const frontend::RequestClasses& classes,
               const sql_classifier::SqlClassifier* classifier);
--- a/src/postgres/statement_rewriter.h
+++ b/src/postgres/statement_rewriter.h
@@ -1,4 +1,4 @@
-/// Rewrites a client's statement for an endpoint. Pure.
+/// Rewrites a client's statement for an endpoint. Does no I/O and reads no clock.
 #pragma once
 
 #include "statement_request.h"
@@ -12,8 +12,9 @@
 
 class StatementRewriter {
 public:
-  /// The statement in `text` for an endpoint that is to finish within `time_left`: only its
-  /// deadline is replaced. The parts borrow from `text` and, until the next call, from this object.
+  /// Returns the statement in `text` for an endpoint that must finish it within `time_left`: only
+  /// the deadline is replaced. The parts point into `text` and into this object; the latter are
+  /// valid until the next call.
   proxy::ByteSpans rewrite(std::string_view text, const DeadlineField& deadline,
                            Duration time_left);
 
--- a/src/postgres/upstream_protocol.cpp
+++ b/src/postgres/upstream_protocol.cpp
@@ -21,21 +21,21 @@
 using wire::FramingError;
 using wire::FramingResult;
 
-constexpr std::size_t kMaxMessageLength = 128 * 1024;  // a value holds at most 64 KiB
+constexpr std::size_t kMaxMessageLength = 128 * 1024;  // a value in a row has at most 64 KiB
 constexpr std::size_t kMessageHeaderSize = 5;
 constexpr std::size_t kLengthSize = 4;
-constexpr std::size_t kRowHeaderSize = 6;  // the number of columns, and the length of the first
+constexpr std::size_t kRowHeaderSize = 6;  // number of columns, length of the first column
 constexpr std::uint32_t kNullLength = 0xffffffffU;
 constexpr std::string_view kHandshakeMessageTypes = "RSKZEN";
 constexpr std::string_view kResponseMessageTypes = "TDCESNZ";
 
-/// Whether a number of columns, as two bytes, is one.
+/// Whether the number of columns, encoded in the first two bytes of `count`, is one.
 bool is_one_column(std::string_view count) {
   return count[0] == 0 && count[1] == 1;
 }
 
-/// Whether the body of a DataRow, which has `size` bytes and begins with `header`, is one column
-/// that fills it.
+/// Whether the body of a DataRow holds exactly one column, which fills the body. The body has
+/// `size` bytes, and begins with `header`.
 bool is_single_column_row(std::string_view header, std::size_t size) {
   if (!is_one_column(header))
     return false;
@@ -44,9 +44,9 @@
   return size == kRowHeaderSize + value_size;
 }
 
-/// Whether the incomplete bytes in `in` cannot become a message of one of `types`. Bytes that
-/// belong to no protocol are rejected in this way at once, without waiting for the length that they
-/// seem to announce.
+/// Whether the incomplete message in `in` cannot become a message of one of `types`, whatever
+/// follows. Bytes that do not follow the protocol are thus rejected at once: otherwise the
+/// connection would wait for as many bytes as their supposed length field announces.
 bool cannot_become_message(std::string_view in, std::string_view types) {
   if (in.empty())
     return false;
@@ -58,16 +58,17 @@
   return !is_single_column_row(in.substr(kMessageHeaderSize), body_size);
 }
 
-/// Reads the first message of `in`, which is to be one of `types`.
-FramingResult<Message> read_message_of_type(std::string_view in, std::string_view types) {
+/// Reads the message at the beginning of `in`. A complete message is returned whatever its type is.
+/// An incomplete one is malformed if it cannot become a message of one of `types`.
+FramingResult<Message> read_expected_message(std::string_view in, std::string_view types) {
   FramingResult<Message> message = read_message(in, kMaxMessageLength);
   if (!message && message.error() == FramingError::Incomplete && cannot_become_message(in, types))
     return FramingError::Malformed;
   return message;
 }
 
-/// The value of a DataRow of one column; nothing if it has another number of columns or its length
-/// is wrong.
+/// Returns the value of a DataRow with one column, or nothing if the row has another number of
+/// columns or the length of the value is wrong.
 std::optional<std::string_view> read_single_column_row(std::string_view body) {
   if (body.size() < kRowHeaderSize || !is_single_column_row(body, body.size()))
     return std::nullopt;
@@ -78,7 +79,8 @@
   return body.size() >= sizeof(std::uint32_t) && wire::read_u32_big_endian(body.data()) == 0;
 }
 
-/// `Misdirected` and `Rejected` mean that the endpoint did not execute the statement.
+/// Returns the status of an attempt that failed with `sqlstate`. `Misdirected` and `Rejected` mean
+/// that the endpoint did not execute the statement.
 AttemptStatus attempt_status_for(std::string_view sqlstate) {
   if (sqlstate == kReadOnlyTransaction || sqlstate == kSnapshotTooOld)
     return AttemptStatus::Misdirected;
@@ -92,7 +94,7 @@
 public:
   explicit ResponseParser(RequestKind kind) : kind_(kind) {}
 
-  /// Returns false if the message cannot belong to a response.
+  /// Adds the next message. Returns false if it cannot belong to a response.
   bool add(const Message& message) {
     switch (message.type) {
     case 'T':
@@ -119,11 +121,12 @@
     }
   }
 
-  /// Whether ReadyForQuery, which ends a response, was added.
+  /// Whether ReadyForQuery was added, which is the last message of a response.
   [[nodiscard]] bool is_ready() const { return is_ready_; }
 
-  /// What the messages so far, which have `size` bytes together, amount to. Without ReadyForQuery a
-  /// response is complete only if the connection ended after its result, as after a fatal error.
+  /// Returns the response in the messages that were added, which have `size` bytes together.
+  /// Without ReadyForQuery a response is complete only if it has a result or an error and the
+  /// connection ended after that, as it does after a fatal error.
   ParsedResponse finish(InputState input, std::size_t size) {
     using Status = ParsedResponse::Status;
     const bool has_result = !sqlstate_.empty() || !command_complete_.empty();
@@ -157,8 +160,8 @@
       add_load_report(*value);
   }
 
-  /// Returns false if the error does not end as the protocol says: its SQLSTATE proves nothing
-  /// then.
+  /// Returns false if the error does not end with a zero byte, as the protocol requires. The
+  /// SQLSTATE of such an error proves nothing.
   bool add_error(const Message& message) {
     if (message.body.empty() || message.body.back() != '\0')
       return false;
@@ -166,7 +169,7 @@
     return true;
   }
 
-  /// A malformed status is ignored, and the response counts without it.
+  /// Ignores a malformed status; the response stays valid.
   void add_parameter_status(const Message& message) {
     const std::optional<ParameterStatus> status = read_parameter_status(message.body);
     if (!status)
@@ -191,7 +194,7 @@
   std::string_view row_description_;
   std::string_view row_;
   std::string_view command_complete_;
-  std::string_view sqlstate_;  ///< Of the last error; empty: none.
+  std::string_view sqlstate_;  ///< The SQLSTATE of the last error; empty if there was none.
   bool has_invalid_rows_ = false;
   bool is_ready_ = false;
 };
@@ -212,7 +215,7 @@
     std::size_t offset = 0;
     while (true) {
       const FramingResult<Message> framed =
-          read_message_of_type(in.substr(offset), kHandshakeMessageTypes);
+          read_expected_message(in.substr(offset), kHandshakeMessageTypes);
       if (!framed)
         return {framed.error() == FramingError::Incomplete ? Status::Incomplete : Status::Failed};
       const Message& message = framed.value();
@@ -229,7 +232,7 @@
   }
 
   proxy::ByteSpans frame_request(const proxy::ByteSpans& body) override {
-    // The zero byte at the end of the text counts too.
+    // The length field also counts the zero byte that ends the text.
     const std::size_t length = kLengthSize + wire::total_size(body) + 1;
     header_ = 'Q' + wire::encode_u32_big_endian(static_cast<std::uint32_t>(length));
     proxy::ByteSpans parts{header_};
@@ -249,7 +252,7 @@
     std::size_t offset = 0;
     while (!parser.is_ready()) {
       const FramingResult<Message> message =
-          read_message_of_type(in.substr(offset), kResponseMessageTypes);
+          read_expected_message(in.substr(offset), kResponseMessageTypes);
       if (!message && message.error() == FramingError::Incomplete)
         break;
       if (!message || !parser.add(message.value()))
@@ -260,7 +263,7 @@
   }
 
 private:
-  std::string header_;  ///< The last message's parts borrow from it.
+  std::string header_;  ///< The parts of the last message that was sent point into it.
 };
 
 }  // namespace
--- a/src/postgres/upstream_protocol.h
+++ b/src/postgres/upstream_protocol.h
@@ -1,4 +1,5 @@
-/// The frontend's side of PostgreSQL's protocol, towards the endpoints: simple queries only.
+/// The client side of the PostgreSQL protocol, which the gateway uses with PostgreSQL endpoints.
+/// Sends only simple queries.
 /// Source: PostgreSQL 15 documentation, chapter "Frontend/Backend Protocol" (version 3.0).
 #pragma once
 
