--- a/tests/mongo_bson_test.cpp
+++ b/tests/mongo_bson_test.cpp
@@ -16,7 +16,8 @@
 }
 
 TEST(BsonWriter, EncodesEachType) {
-  const std::string nested = "\x06\0\0\0x\0"s;  // the writer does not look into it
+  // The writer does not check nested documents, and this one is malformed.
+  const std::string nested = "\x06\0\0\0x\0"s;
 
   struct Case {
     Writer writer;
@@ -60,16 +61,16 @@
 TEST(BsonReader, RejectsMalformedDocuments) {
   const std::vector<std::string> malformed = {
       "",
-      "\4\0\0\0"s,
-      "\6\0\0\0\0"s,                            // longer than its bytes
+      "\4\0\0\0"s,                              // shorter than an empty document
+      "\6\0\0\0\0"s,                            // a length field beyond the last byte
       "\5\0\0\0\1"s,                            // no zero byte at the end
-      document_of("\x10i"s),                    // no end of the name
+      document_of("\x10i"s),                    // no zero byte after an element's name
       document_of("\x10i\0\1\0\0"s),            // an int32 of three bytes
       document_of("\x02s\0\3\0\0\0xyz"s),       // a string without its zero byte
-      document_of("\x02s\0\xff\xff\xff\x7f"s),  // a length beyond the document
-      document_of("\x02s\0\0\0\0\0"s),          // a string shorter than its zero byte
-      document_of("\3n\0\4\0\0\0\0"s),          // a document shorter than its frame
-      document_of("\x20u\0"s),                  // an unknown type
+      document_of("\x02s\0\xff\xff\xff\x7f"s),  // a string's length beyond the document
+      document_of("\x02s\0\0\0\0\0"s),          // a string's length that omits its zero byte
+      document_of("\3n\0\4\0\0\0\0"s),          // a nested document shorter than an empty one
+      document_of("\x20u\0"s),                  // an element of an unknown type
   };
   for (const std::string& document : malformed) {
     Reader reader(document);
--- a/tests/mongo_command_parser_test.cpp
+++ b/tests/mongo_command_parser_test.cpp
@@ -1,4 +1,4 @@
-// Commands and requests of MongoDB clients, from bytes.
+// Tests how messages of MongoDB clients are parsed into commands, and commands into requests.
 #include "mongo/command_parser.h"
 
 #include "frontend/session_hash.h"
@@ -32,7 +32,7 @@
         .append_string("cluster", "7");
   }
 
-  /// A command with a comment.
+  /// Returns the command `name` with a comment.
   static Writer command(const std::string& name, const Writer& comment) {
     return Writer().append_string(name, "facts").append_document("comment", comment.finish());
   }
@@ -115,7 +115,8 @@
   EXPECT_EQ(parsed.value().time_limit, 1500ms);
   EXPECT_FALSE(parsed.value().is_single_attempt);
 
-  // The class sets the limit where the client sets none, and only some classes have sessions.
+  // The time limit is that of the class if the client sets none. Requests of the class "any" belong
+  // to no session.
   for (const Writer& unlimited : {command("find", comment("any")),
                                   command("find", comment("any")).append_int32("maxTimeMS", 0)}) {
     const auto result = parse(unlimited);
--- a/tests/mongo_replies_test.cpp
+++ b/tests/mongo_replies_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of the documents with which the gateway itself replies to MongoDB clients.
+// Tests the exact bytes of the documents with which the gateway itself replies to MongoDB clients.
 #include "mongo/bson.h"
 #include "mongo/hello.h"
 #include "mongo/replies.h"
--- a/tests/mongo_upstream_protocol_test.cpp
+++ b/tests/mongo_upstream_protocol_test.cpp
@@ -14,7 +14,7 @@
 using connection_pool::ParsedResponse;
 using connection_pool::RequestKind;
 
-constexpr std::uint32_t kFirstRequestId = 1;  // of the first message of a connection
+constexpr std::uint32_t kFirstRequestId = 1;  // the request id of a connection's first message
 
 std::string encode_reply(const Writer& document, std::uint32_t response_to = kFirstRequestId) {
   return encode_op_msg(document.finish(), 77, response_to);
--- a/tests/postgres_handshake_test.cpp
+++ b/tests/postgres_handshake_test.cpp
@@ -1,4 +1,5 @@
-// The startup message of PostgreSQL clients, the bytes of its reply, and the messages after it.
+// Tests the startup message of PostgreSQL clients, the exact bytes of its reply and of errors, and
+// the messages that follow.
 #include "postgres/client_message.h"
 #include "postgres/startup.h"
 
--- a/tests/postgres_statement_request_test.cpp
+++ b/tests/postgres_statement_request_test.cpp
@@ -1,4 +1,4 @@
-// Statements of PostgreSQL clients: the request that they make, and how they are forwarded.
+// Tests how statements of PostgreSQL clients are parsed into requests and rewritten for endpoints.
 #include "postgres/statement_request.h"
 #include "postgres/statement_rewriter.h"
 
--- a/tests/postgres_upstream_protocol_test.cpp
+++ b/tests/postgres_upstream_protocol_test.cpp
@@ -1,4 +1,4 @@
-// Handshakes, errors and load reports in the responses of PostgreSQL endpoints.
+// Tests how handshakes, errors and load reports in the responses of PostgreSQL endpoints are read.
 #include "postgres/codec.h"
 #include "postgres/upstream_protocol.h"
 
@@ -18,6 +18,8 @@
 using connection_pool::ParsedResponse;
 using connection_pool::RequestKind;
 
+/// Returns the load report in an endpoint's response to a health check. `gauges` is the
+/// text of the report.
 LoadReport parse_health_check_report(const std::string& gauges) {
   const std::string column = std::string("\0\1gauges\0", 9) + std::string(18, '\0');
   const std::string row = std::string("\0\1", 2) +
@@ -52,7 +54,8 @@
 TEST(PostgresUpstreamProtocol, IgnoresReportOfZeros) {
   const LoadReport zero_report = parse_health_check_report("x0=0.000,x1=0");
   EXPECT_FALSE(zero_report.replication_position);
-  // Otherwise each gateway that starts would take each primary as replaced.
+  // If it were read as "not the primary", each gateway that starts would conclude that no group has
+  // a primary.
   EXPECT_FALSE(zero_report.is_primary);
 }
 
