--- a/tests/integration/client_admission_test.cpp
+++ b/tests/integration/client_admission_test.cpp
@@ -112,8 +112,8 @@
 TEST_P(ClientAdmission, ServesActiveClientsDespiteIdleAndFloodingClients) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
-  const auto usual = harness.connect_client();
-  ASSERT_EQ(usual->send_and_await(read_request("usual")), ClientResult::Served);
+  const auto active = harness.connect_client();
+  ASSERT_EQ(active->send_and_await(read_request("active")), ClientResult::Served);
   {
     const Clients idle_clients = connect_idle_clients(harness);
     int served_count = 0;
@@ -148,8 +148,8 @@
 TEST_P(ClientAdmission, DeliversErrorToClientThatKeepsWriting) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
-  const auto usual = harness.connect_client();
-  ASSERT_EQ(usual->send_and_await(read_request("usual")), ClientResult::Served);
+  const auto active = harness.connect_client();
+  ASSERT_EQ(active->send_and_await(read_request("active")), ClientResult::Served);
   // More clients than may linger at the same time.
   for (int i = 0; i < 20; ++i) {
     const auto client = harness.connect_client();
--- a/tests/integration/client_disconnects_test.cpp
+++ b/tests/integration/client_disconnects_test.cpp
@@ -10,32 +10,32 @@
 class ClientDisconnects : public GatewayIntegrationTest {
 protected:
   [[nodiscard]] static std::string encode_requests(std::size_t min_bytes) {
-    std::string bytes = protocol().encode_request(read_request("left-0"));
+    std::string bytes = protocol().encode_request(read_request("abandoned-0"));
     for (int i = 1; bytes.size() < min_bytes; ++i)
-      bytes += protocol().encode_request(read_request("left-" + std::to_string(i)));
+      bytes += protocol().encode_request(read_request("abandoned-" + std::to_string(i)));
     return bytes;
   }
 
   static void expect_drops_waiting_requests(std::size_t min_bytes, DisconnectKind kind) {
     WarmGateway warm(protocol(), 2, 8, long_connect_timeout());
     warm.harness.pause_handshakes();
-    const auto leaving = warm.harness.connect_client();
-    leaving->write(encode_requests(min_bytes));
+    const auto disconnecting = warm.harness.connect_client();
+    disconnecting->write(encode_requests(min_bytes));
     static_cast<void>(warm.harness.await_paused_handshake());
-    leaving->await_flushed();
+    disconnecting->await_flushed();
 
     if (kind == DisconnectKind::ShutDownWriting) {
-      leaving->shut_down_writing();
-      leaving->await_close("the gateway to end its side");
+      disconnecting->shut_down_writing();
+      disconnecting->await_close("the gateway to end its side");
     } else {
-      leaving->close();
+      disconnecting->close();
       await_gateway_loop_iterations(*warm.client, "u");
     }
 
     warm.harness.resume_handshakes();
     expect_reads_served(*warm.client, "b", 12);
-    ASSERT_EQ(warm.harness.attempt_count_with_prefix("left-"), 0);
-    ASSERT_TRUE(leaving->responses.empty());
+    ASSERT_EQ(warm.harness.attempt_count_with_prefix("abandoned-"), 0);
+    ASSERT_TRUE(disconnecting->responses.empty());
     warm.harness.expect_invariants_and_running();
   }
 
@@ -44,7 +44,7 @@
   connect_burst(GatewayHarness& harness, int round) {
     std::vector<std::unique_ptr<TestClient>> clients;
     for (int i = 0; i < 60; ++i) {
-      const std::string id = "left-" + std::to_string(round * 1000 + i);
+      const std::string id = "abandoned-" + std::to_string(round * 1000 + i);
       std::string bytes = protocol().encode_request(read_request(id));
       if (i % 10 == 1)
         bytes.resize(bytes.size() / 2);
@@ -76,11 +76,11 @@
     SCOPED_TRACE(was_attempted ? "before a retry" : "before the first attempt");
     WarmGateway warm(protocol(), 2, 8);
     GatewayHarness& harness = warm.harness;
-    const auto leaving = harness.connect_client();
+    const auto disconnecting = harness.connect_client();
     if (was_attempted) {
       harness.script = {ScriptedResponse::NoResponse};
-      leaving->send_request(read_request("left-0"));
-      harness.await_first_attempt("left-0");
+      disconnecting->send_request(read_request("abandoned-0"));
+      harness.await_first_attempt("abandoned-0");
     }
     harness.set_listed_status(ListedStatus::Draining);
     harness.publish_inventory();
@@ -88,20 +88,20 @@
       for (const auto& endpoint : harness.endpoints)
         endpoint->close_connections();
     else
-      leaving->send_request(read_request("left-0"));
+      disconnecting->send_request(read_request("abandoned-0"));
     await_gateway_loop_iterations(*warm.client, "u");
-    ASSERT_TRUE(leaving->responses.empty());
+    ASSERT_TRUE(disconnecting->responses.empty());
 
-    leaving->close();
+    disconnecting->close();
     await_gateway_loop_iterations(*warm.client, "v");
 
     harness.set_listed_status(ListedStatus::Up);
     harness.publish_inventory();
     expect_reads_served(*warm.client, "b", 12);
-    ASSERT_EQ(harness.attempt_count("left-0"), was_attempted ? 1 : 0);
-    harness.sent_requests.erase("left-0");
+    ASSERT_EQ(harness.attempt_count("abandoned-0"), was_attempted ? 1 : 0);
+    harness.sent_requests.erase("abandoned-0");
     if (was_attempted)
-      harness.sent_requests["left-0"] = 0;  // it was sent and gets no response
+      harness.sent_requests["abandoned-0"] = 0;  // it was sent and gets no response
     harness.expect_invariants_and_running();
   }
 }
@@ -129,7 +129,7 @@
     harness.resume_handshakes();
     expect_reads_served(*warm.client, "b" + round_suffix, 12);
   }
-  ASSERT_EQ(harness.attempt_count_with_prefix("left-"), 0);
+  ASSERT_EQ(harness.attempt_count_with_prefix("abandoned-"), 0);
 
   std::vector<std::unique_ptr<TestClient>> next_clients;
   for (int i = 0; i < 60; ++i) {
--- a/tests/integration/config_commands_test.cpp
+++ b/tests/integration/config_commands_test.cpp
@@ -33,7 +33,7 @@
   ASSERT_EQ(output, "");
 
   const std::string changed = write_text_file(
-      folder, "turned.textproto",
+      folder, "changed.textproto",
       "contracts { team { name: 'b' class { name: 'x' } } team { name: 'a' class { name: 'y' "
       "tries: 4 } class { name: 'x' } group: 1 group: 2 budget { per_second: 200 } } "
       "team { name: 'c' class { name: 'x' } } }");
--- a/tests/integration/configuration_files_test.cpp
+++ b/tests/integration/configuration_files_test.cpp
@@ -91,11 +91,11 @@
 
 void expect_json_errors(const std::string& folder) {
   std::string output;
-  const std::string cut = write_text_file(folder, "c.json",
-                                          R"({"name":"n0",)"
-                                          "\n"
-                                          R"("listen":)");
-  ASSERT_EQ(run_program({"check", "--config", cut}, output), 1);
+  const std::string truncated = write_text_file(folder, "c.json",
+                                                R"({"name":"n0",)"
+                                                "\n"
+                                                R"("listen":)");
+  ASSERT_EQ(run_program({"check", "--config", truncated}, output), 1);
   expect_contains(output, "c.json: line 2");
   const std::string wrong_type = write_text_file(folder, "d.json",
                                                  R"({"name":"n0",)"
--- a/tests/integration/contracts_test.cpp
+++ b/tests/integration/contracts_test.cpp
@@ -32,7 +32,7 @@
   std::unique_ptr<TestClient> client_;
 };
 
-TEST_P(Contracts, BoundRateAttemptsWaitAndClasses) {
+TEST_P(Contracts, LimitRateAttemptsWaitAndClasses) {
   ASSERT_EQ(client_->send_and_await(read_request("one")), ClientResult::Served);
   harness_.script = {ScriptedResponse::Fail};
   ASSERT_EQ(client_->send_and_await(read_request("two")), ClientResult::Rejected);
--- a/tests/integration/control_plane_test_support.cpp
+++ b/tests/integration/control_plane_test_support.cpp
@@ -6,13 +6,13 @@
 
 constexpr std::size_t kSubscriptionCount = 3;  // endpoints, contracts, limits
 
-google::protobuf::RepeatedPtrField<pb::Member>& endpoint_list(pb::Members& members,
-                                                              const Protocol& protocol) {
+google::protobuf::RepeatedPtrField<pb::Member>& mutable_endpoints(pb::Members& members,
+                                                                  const Protocol& protocol) {
   return &protocol == &mongo() ? *members.mutable_mongo() : *members.mutable_postgres();
 }
 
-std::string control_service_file(const std::vector<std::string>& addresses,
-                                 const std::string& operator_text) {
+std::string control_service_operator_text(const std::vector<std::string>& addresses,
+                                          const std::string& operator_text) {
   std::string text =
       "control_service { node: 'gw-1' cluster: 'palermo' reconnect_most_ms: 100 silence_ms: 500 "
       "hold_ms: 400 ";
@@ -26,7 +26,7 @@
 
 void ControlledGateway::start(const std::vector<std::string>& addresses,
                               const std::string& operator_text) {
-  harness.write_operator_file(control_service_file(addresses, operator_text));
+  harness.write_operator_file(control_service_operator_text(addresses, operator_text));
   harness.start();
 }
 
@@ -36,7 +36,7 @@
   for (const auto& endpoint : harness.endpoints) {
     if (endpoint->listed_status == ListedStatus::Removed)
       continue;
-    pb::Member& member = *endpoint_list(members, harness.protocol).Add();
+    pb::Member& member = *mutable_endpoints(members, harness.protocol).Add();
     member.set_name(endpoint->name);
     member.set_address(endpoint->address);
     member.set_role(endpoint->listed_as_primary ? pb::Member::PRIMARY : pb::Member::REPLICA);
--- a/tests/integration/control_plane_test_support.h
+++ b/tests/integration/control_plane_test_support.h
@@ -16,12 +16,12 @@
 namespace pb = gorsebeam::config::v1;
 
 /// The MongoDB or PostgreSQL endpoints of a resource.
-google::protobuf::RepeatedPtrField<pb::Member>& endpoint_list(pb::Members& members,
-                                                              const Protocol& protocol);
+google::protobuf::RepeatedPtrField<pb::Member>& mutable_endpoints(pb::Members& members,
+                                                                  const Protocol& protocol);
 
 /// The operators' file that names control services, followed by `operator_text`.
-std::string control_service_file(const std::vector<std::string>& addresses,
-                                 const std::string& operator_text = "");
+std::string control_service_operator_text(const std::vector<std::string>& addresses,
+                                          const std::string& operator_text = "");
 
 /// A gateway that gets its configuration from control services.
 class ControlledGateway {
--- a/tests/integration/control_snapshot_test.cpp
+++ b/tests/integration/control_snapshot_test.cpp
@@ -90,8 +90,8 @@
   const std::string& folder = folder_;
   const auto loaded = gorsebeam::snapshot_store::load_snapshot(folder);
   ASSERT_TRUE(loaded) << loaded.error().message;
-  const gorsebeam::state::v1::LastGood& good = loaded.value();
-  const std::string bytes = gorsebeam::snapshot_store::encode_snapshot(good);
+  const gorsebeam::state::v1::LastGood& last_good = loaded.value();
+  const std::string bytes = gorsebeam::snapshot_store::encode_snapshot(last_good);
   overwrite_snapshot(bytes.substr(0, bytes.size() - 3));
   expect_start_from_snapshot(ClientResult::Served, "snapshot_rejected");
   std::string flipped = bytes;
@@ -99,15 +99,15 @@
   overwrite_snapshot(flipped);
   expect_start_from_snapshot(ClientResult::Served,
                              "the snapshot is damaged: its checksum does not match its content");
-  auto newer = good;
+  auto newer = last_good;
   newer.set_schema(99);
   overwrite_snapshot(gorsebeam::snapshot_store::encode_snapshot(newer));
   expect_start_from_snapshot(
       ClientResult::Served,
       "the snapshot has schema 99, but the newest schema that this program reads is 1");
-  auto unfit = good;
-  unfit.mutable_contracts_value()->mutable_team(0)->mutable_class_(0)->set_name("gone");
-  overwrite_snapshot(gorsebeam::snapshot_store::encode_snapshot(unfit));
+  auto incompatible = last_good;
+  incompatible.mutable_contracts_value()->mutable_team(0)->mutable_class_(0)->set_name("gone");
+  overwrite_snapshot(gorsebeam::snapshot_store::encode_snapshot(incompatible));
   expect_start_from_snapshot(ClientResult::Served,
                              "the snapshot is not valid with the current configuration");
 
--- a/tests/integration/control_stream_test.cpp
+++ b/tests/integration/control_stream_test.cpp
@@ -138,7 +138,7 @@
   gateway.harness.expect_invariants();
 }
 
-struct BrokenPeer {
+struct FaultyPeerCase {
   std::string bytes;
   const char* log_text;
 };
@@ -154,7 +154,7 @@
   return http2_frame(Http2FrameType::Data, kNoFlags, kFirstStream, payload);
 }
 
-std::vector<BrokenPeer> broken_peers() {
+std::vector<FaultyPeerCase> faulty_peer_cases() {
   const std::string start = http2_settings_frame() + http2_grpc_headers_frame();
   const std::string pings =
       repeat(http2_frame(Http2FrameType::Ping, kNoFlags, kConnectionStream, "12345678"), 3000);
@@ -189,7 +189,7 @@
 // The gateway closes the connection to a peer that breaks the protocol or floods, and connects
 // again. Requests are not affected.
 TEST_P(ControlStream, EndsConnectionOfPeerThatBreaksProtocol) {
-  for (const BrokenPeer& peer : broken_peers()) {
+  for (const FaultyPeerCase& peer : faulty_peer_cases()) {
     SCOPED_TRACE(peer.log_text);
     ControlledGateway gateway(protocol(), 2);
     const ScriptedPeer scripted_peer(peer.bytes);
--- a/tests/integration/control_versions_test.cpp
+++ b/tests/integration/control_versions_test.cpp
@@ -44,13 +44,13 @@
   void expect_bad_resources_rejected();
   void expect_unknown_resources_rejected();
   void expect_older_generation_rejected_unless_rolled_back();
-  StubEndpoint& expect_removal_under_request_in_flight();
+  StubEndpoint& expect_removal_with_request_in_flight();
   void expect_readded_endpoint_used_at_new_address(const StubEndpoint& removed);
   void expect_moved_endpoint_used_at_new_address(StubEndpoint& moved);
-  void expect_requests_follow_removed_class_team_and_group();
+  void expect_removal_of_class_team_and_group_applied();
   void expect_burst_of_versions_answered();
   void expect_limits_applied();
-  void expect_size_bounded();
+  void expect_message_size_limit_enforced();
 
   ControlledGateway gateway_;
   ControlService service_;
@@ -59,12 +59,12 @@
 
 void ControlPlaneVersions::expect_bad_resources_rejected() {
   pb::Members duplicate_name = gateway_.members(2);
-  auto& list = endpoint_list(duplicate_name, protocol());
+  auto& list = mutable_endpoints(duplicate_name, protocol());
   list.at(1).set_name(list.at(0).name());
   expect_contains(push_under_load(duplicate_name, "bad"), "[1].name: 'm0' stands twice; keep one");
-  pb::Members nobody;
-  nobody.set_generation(2);
-  expect_contains(push_under_load(nobody, "nobody"), "set may_be_empty if that is meant");
+  pb::Members empty_list;
+  empty_list.set_generation(2);
+  expect_contains(push_under_load(empty_list, "empty"), "set may_be_empty if that is meant");
   pb::Contracts below_range = ControlledGateway::contracts(2);
   below_range.mutable_team(0)->mutable_budget()->set_per_second(-1);
   expect_contains(push_under_load(below_range, "below"),
@@ -106,7 +106,7 @@
 
 // An endpoint with a request in flight is removed: the request still gets its one response, and the
 // endpoint gets no new requests. Returns the removed endpoint.
-StubEndpoint& ControlPlaneVersions::expect_removal_under_request_in_flight() {
+StubEndpoint& ControlPlaneVersions::expect_removal_with_request_in_flight() {
   GatewayHarness& harness = gateway_.harness;
   const auto waiting = harness.connect_client();
   load_->pause();
@@ -156,7 +156,7 @@
 
 // The class is removed, then the team, then the whole group: each request fails or is rejected
 // once, until the group is listed again.
-void ControlPlaneVersions::expect_requests_follow_removed_class_team_and_group() {
+void ControlPlaneVersions::expect_removal_of_class_team_and_group_applied() {
   ASSERT_EQ(push_under_load(gateway_.contracts(6, {"save"}), "c6"), "");
   load_->await_result(ClientResult::Failed);
   pb::Contracts other_team = ControlledGateway::contracts(7);
@@ -209,9 +209,9 @@
 
 // The gateway accepts 10,000 more endpoints in other groups; a message over the limit ends the
 // stream.
-void ControlPlaneVersions::expect_size_bounded() {
+void ControlPlaneVersions::expect_message_size_limit_enforced() {
   pb::Members many = gateway_.members(11);
-  auto& list = endpoint_list(many, protocol());
+  auto& list = mutable_endpoints(many, protocol());
   for (int i = 0; i < 10'000; ++i) {
     pb::Member& member = *list.Add();
     member.set_name("extra-" + std::to_string(i));
@@ -240,15 +240,15 @@
   expect_bad_resources_rejected();
   expect_unknown_resources_rejected();
   expect_older_generation_rejected_unless_rolled_back();
-  StubEndpoint& removed = expect_removal_under_request_in_flight();
+  StubEndpoint& removed = expect_removal_with_request_in_flight();
   StubEndpoint& second = *gateway_.harness.endpoints[1];
   StubEndpoint& third = *gateway_.harness.endpoints[2];
   expect_readded_endpoint_used_at_new_address(removed);
   expect_moved_endpoint_used_at_new_address(&removed == &third ? second : third);
-  expect_requests_follow_removed_class_team_and_group();
+  expect_removal_of_class_team_and_group_applied();
   expect_burst_of_versions_answered();
   expect_limits_applied();
-  expect_size_bounded();
+  expect_message_size_limit_enforced();
   load_->pause();
   gateway_.harness.expect_invariants_and_running();
 }
--- a/tests/integration/discovery_watch_test.cpp
+++ b/tests/integration/discovery_watch_test.cpp
@@ -12,11 +12,11 @@
 
 class DiscoveryWatch : public GatewayIntegrationTest {
 protected:
-  DiscoveryWatch() : watched_(protocol()) {}
+  DiscoveryWatch() : gateway_(protocol()) {}
 
-  GatewayHarness& harness() { return watched_.harness; }
+  GatewayHarness& harness() { return gateway_.harness; }
 
-  DiscoveryAgent& agent() { return watched_.agent; }
+  DiscoveryAgent& agent() { return gateway_.agent; }
 
   StubEndpoint& endpoint(std::size_t index) { return *harness().endpoints[index]; }
 
@@ -58,7 +58,7 @@
   }
 
 private:
-  WatchedGateway watched_;
+  GatewayWithDiscoveryAgent gateway_;
 };
 
 // The gateway opens a new watch after a malformed line, a connection that breaks and a watch that
@@ -134,7 +134,7 @@
     removed().listed_status = status_of_removed;
   }
 
-  void expect_indented_list_without_end_applied();
+  void expect_indented_list_without_final_newline_applied();
   void expect_older_list_ignored();
   void expect_list_survives_broken_watches();
   void expect_newer_list_applied();
@@ -144,7 +144,7 @@
   std::string list_with_both_up_;
 };
 
-void DiscoveryWatchDisruption::expect_indented_list_without_end_applied() {
+void DiscoveryWatchDisruption::expect_indented_list_without_final_newline_applied() {
   agent().await_watch_request();
   agent().stream->write({"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n",
                          indent(DiscoveryAgent::encode_list(harness(), 41))});
@@ -208,7 +208,7 @@
 }
 
 TEST_P(DiscoveryWatchDisruption, AppliesNewestList) {
-  expect_indented_list_without_end_applied();
+  expect_indented_list_without_final_newline_applied();
   expect_older_list_ignored();
   expect_list_survives_broken_watches();
   expect_newer_list_applied();
--- a/tests/integration/endpoint_lifecycle_test.cpp
+++ b/tests/integration/endpoint_lifecycle_test.cpp
@@ -35,23 +35,23 @@
 
 // Endpoints reset idle connections much earlier than the settings say. After a few resets the
 // gateway replaces such connections instead of using them.
-TEST_P(EndpointLifecycle, ReplacesConnectionsThatEndpointsResetWhenIdle) {
+TEST_P(EndpointLifecycle, ReplacesConnectionsThatEndpointsCloseWhenIdle) {
   WarmGateway warm(protocol(), 3, 12);
   for (const auto& endpoint : warm.harness.endpoints)
-    endpoint->idle_reset_ms = 40;
+    endpoint->idle_close_ms = 40;
 
   for (int i = 0; i < 60; ++i) {
     run_main_loop_for(std::chrono::milliseconds(60));
     expect_reads_served(*warm.client, "b" + std::to_string(i) + "-", 1);
   }
 
-  int reset_count = 0;
+  int close_count = 0;
   for (const auto& endpoint : warm.harness.endpoints)
-    reset_count += endpoint->idle_reset_count;
-  ASSERT_GT(reset_count, 0);
+    close_count += endpoint->idle_close_count;
+  ASSERT_GT(close_count, 0);
   // The gateway learns from eight resets per range of idle times; on a busy machine the idle times
   // may fall into several ranges.
-  ASSERT_LE(reset_count, 30);
+  ASSERT_LE(close_count, 30);
   warm.harness.expect_invariants_and_running();
 }
 
--- a/tests/integration/endpoint_watch_after_stall_test.cpp
+++ b/tests/integration/endpoint_watch_after_stall_test.cpp
@@ -20,7 +20,7 @@
 
 class EndpointWatchAfterStall : public GatewayIntegrationTest {
 protected:
-  EndpointWatchAfterStall() : watched_(protocol(), settings()) {}
+  EndpointWatchAfterStall() : gateway_(protocol(), settings()) {}
 
   // Lets the agent send a list and each client be served.
   void SetUp() override {
@@ -32,9 +32,9 @@
     }
   }
 
-  GatewayHarness& harness() { return watched_.harness; }
+  GatewayHarness& harness() { return gateway_.harness; }
 
-  DiscoveryAgent& agent() { return watched_.agent; }
+  DiscoveryAgent& agent() { return gateway_.agent; }
 
   // Makes the watch's connection newer than those of the clients.
   void reopen_watch() {
@@ -82,7 +82,7 @@
 
   StubEndpoint& draining() { return *harness().endpoints[2]; }
 
-  WatchedGateway watched_;
+  GatewayWithDiscoveryAgent gateway_;
   std::vector<std::unique_ptr<TestClient>> clients_;
   int requests_before_ = 0;
 };
--- a/tests/integration/event_loop_stall_test.cpp
+++ b/tests/integration/event_loop_stall_test.cpp
@@ -18,7 +18,7 @@
 constexpr milliseconds kBeyondConnectTimeout{1600};   // 1.5 s, as the test sets it
 constexpr milliseconds kBeyondRequestDeadline{2600};  // 2.5 s
 constexpr milliseconds kBeyondKeepalive{2200};        // 2 s, as the test sets it
-constexpr milliseconds kLongPause{1000};
+constexpr milliseconds kStallDuration{1000};
 
 class EventLoopStall : public GatewayIntegrationTest {};
 
@@ -67,14 +67,14 @@
   warm.harness.gateway.freeze();
   warm.client->send_request(read_request("late", kTimeoutMs));
   warm.client->await_flushed();
-  run_main_loop_for(kLongPause);
+  run_main_loop_for(kStallDuration);
 
   warm.harness.gateway.resume();
 
   ASSERT_EQ(warm.client->await_response(), ClientResult::Served);
   ASSERT_EQ(warm.harness.attempts.back().request.id, "late");
   ASSERT_LE(warm.harness.attempts.back().request.timeout_ms,
-            kTimeoutMs - kLongPause.count() + kSlackMs);
+            kTimeoutMs - kStallDuration.count() + kSlackMs);
   warm.harness.expect_invariants_and_running();
 }
 
@@ -129,24 +129,24 @@
   for (const auto& endpoint : harness.endpoints)
     endpoint->close_connections();
   ASSERT_EQ(client->send_and_await(keyed_write("reopen")), ClientResult::Served);
-  StubEndpoint& former = *harness.endpoints[0];
+  StubEndpoint& former_primary = *harness.endpoints[0];
   harness.script = {ScriptedResponse::NoResponse};
   client->send_request(keyed_write("first"));
   harness.await_first_attempt("first");
   harness.gateway.freeze();
-  former.replication.is_primary = false;
+  former_primary.replication.is_primary = false;
   harness.endpoints[1]->replication.is_primary = true;
-  former.respond_to_open_attempts(ScriptedResponse::RejectNotPrimary);
+  former_primary.respond_to_open_attempts(ScriptedResponse::RejectNotPrimary);
   later->send_request(keyed_write("later"));
   later->await_flushed();
   run_main_loop_for(kBeyondDrainGrace);
-  const int requests_before = former.request_count;
+  const int requests_before = former_primary.request_count;
 
   harness.gateway.resume();
 
   ASSERT_EQ(client->await_response(), ClientResult::Served);
   ASSERT_EQ(later->await_response(), ClientResult::Served);
-  ASSERT_EQ(former.request_count, requests_before);
+  ASSERT_EQ(former_primary.request_count, requests_before);
   harness.expect_invariants_and_running();
 }
 
@@ -157,7 +157,7 @@
   settings.keepalive_ms = 2000;
   WarmGateway warm(protocol(), 2, 8, settings);
   for (const auto& endpoint : warm.harness.endpoints)
-    endpoint->idle_reset_ms = settings.keepalive_ms;
+    endpoint->idle_close_ms = settings.keepalive_ms;
   warm.harness.gateway.freeze();
   warm.client->send_request(keyed_write("after-idle"));
   warm.client->await_flushed();
@@ -167,7 +167,7 @@
 
   ASSERT_EQ(warm.client->await_response(), ClientResult::Served);
   for (const auto& endpoint : warm.harness.endpoints)
-    ASSERT_EQ(endpoint->idle_reset_count, 0) << endpoint->name;
+    ASSERT_EQ(endpoint->idle_close_count, 0) << endpoint->name;
   warm.harness.expect_invariants_and_running();
 }
 
--- a/tests/integration/event_wait.cpp
+++ b/tests/integration/event_wait.cpp
@@ -48,10 +48,10 @@
 
 void wait_until(const std::function<bool()>& condition, const std::string& awaited) {
   const gint64 deadline = g_get_monotonic_time() + kMaxWaitMicroseconds;
-  gorsebeam::net::Timer tick([&tick] {
-    tick.after(kPollInterval);
+  gorsebeam::net::Timer poll_timer([&poll_timer] {
+    poll_timer.after(kPollInterval);
   });
-  tick.after(kPollInterval);
+  poll_timer.after(kPollInterval);
   while (!condition()) {
     throw_pending_callback_failure(awaited);
     require(g_get_monotonic_time() <= deadline, "timed out waiting for: " + awaited);
--- a/tests/integration/gateway_integration_test.h
+++ b/tests/integration/gateway_integration_test.h
@@ -33,8 +33,9 @@
 };
 
 /// A running gateway that gets its endpoint list from a scripted discovery agent over a watch.
-struct WatchedGateway {
-  explicit WatchedGateway(const Protocol& protocol, const PlatformSettings& settings = {})
+struct GatewayWithDiscoveryAgent {
+  explicit GatewayWithDiscoveryAgent(const Protocol& protocol,
+                                     const PlatformSettings& settings = {})
       : harness(protocol, 3, 0) {
     harness.set_platform_settings(settings);
     harness.use_discovery(agent.listener.address());
--- a/tests/integration/gateway_process.cpp
+++ b/tests/integration/gateway_process.cpp
@@ -100,8 +100,9 @@
 }
 
 void GatewayProcess::shrink_log_pipe() const {
-  constexpr int kPage = 4096;
-  require(fcntl(log_descriptor_, F_SETPIPE_SZ, kPage) == kPage, "the log's pipe cannot be shrunk");
+  constexpr int kPageBytes = 4096;
+  require(fcntl(log_descriptor_, F_SETPIPE_SZ, kPageBytes) == kPageBytes,
+          "the log's pipe cannot be shrunk");
 }
 
 void GatewayProcess::read_log() {
--- a/tests/integration/mongo_protocol.cpp
+++ b/tests/integration/mongo_protocol.cpp
@@ -47,7 +47,7 @@
          encode_little_endian(operation);
 }
 
-std::string mongo_message(const std::string& document, std::uint32_t response_to) {
+std::string encode_op_msg(const std::string& document, std::uint32_t response_to) {
   constexpr std::uint32_t kMessageId = 77;
   constexpr std::uint32_t kNoFlagBits = 0;
   constexpr char kBodySection = '\0';
@@ -120,7 +120,7 @@
         .append_document("comment", annotations.finish());
     command.append_document("$readPreference", Writer().append_string("mode", "primary").finish());
     command.append_document("lsid", Writer().append_string("id", "session-1").finish());
-    return mongo_message(command.finish(), 0);
+    return encode_op_msg(command.finish(), 0);
   }
 
   std::optional<ClientResponse> decode_response(std::string& input) const override {
@@ -181,7 +181,7 @@
     case ScriptedResponse::Duplicate:
       return encode_value(value) + encode_value("a copy");
     case ScriptedResponse::MalformedReport:
-      return mongo_message(Writer()
+      return encode_op_msg(Writer()
                                .append_double("ok", 1)
                                .append_string("value", value)
                                .append_string("operationTime", "nonsense")
@@ -198,7 +198,7 @@
   std::string encode_hello_reply(const ReplicationStatus& replication) const {
     const std::string last =
         Writer().append_date("lastWriteDate", now_ms() - replication.lag_ms).finish();
-    return mongo_message(Writer()
+    return encode_op_msg(Writer()
                              .append_bool("isWritablePrimary", replication.is_primary)
                              .append_bool("secondary", !replication.is_primary)
                              .append_document("lastWrite", last)
@@ -208,7 +208,7 @@
   }
 
   std::string encode_error(int code) const {
-    return mongo_message(Writer()
+    return encode_op_msg(Writer()
                              .append_double("ok", 0)
                              .append_string("errmsg", "scripted")
                              .append_int32("code", code)
@@ -217,13 +217,13 @@
   }
 
   std::string encode_value(const std::string& value) const {
-    return mongo_message(Writer().append_double("ok", 1).append_string("value", value).finish(),
+    return encode_op_msg(Writer().append_double("ok", 1).append_string("value", value).finish(),
                          last_message_id_);
   }
 
   std::string encode_success(const ReplicationStatus& replication, const std::string& value) const {
     const std::int64_t seconds = (now_ms() - replication.lag_ms) / 1000;
-    return mongo_message(
+    return encode_op_msg(
         Writer()
             .append_double("ok", 1)
             .append_string("value", value)
--- a/tests/integration/postgres_protocol.cpp
+++ b/tests/integration/postgres_protocol.cpp
@@ -41,63 +41,65 @@
   return value;
 }
 
-std::string with_length(const std::string& body) {
+std::string prepend_length(const std::string& body) {
   return encode_big_endian(static_cast<std::uint32_t>(body.size() + 4)) + body;
 }
 
-std::string pg_message(char type, const std::string& body) {
-  return type + with_length(body);
+std::string encode_message(char type, const std::string& body) {
+  return type + prepend_length(body);
 }
 
-std::string pg_ready() {
-  return pg_message(kReadyForQuery, "I");
+std::string encode_ready_for_query() {
+  return encode_message(kReadyForQuery, "I");
 }
 
-std::string pg_row(const std::string& value) {
+std::string encode_row_result(const std::string& value) {
   const std::string column = std::string("data\0", 5) + encode_big_endian(0) +
                              std::string(2, '\0') + encode_big_endian(17) + std::string(2, '\xff') +
                              encode_big_endian(0xffffffff) + std::string("\0\1", 2);
-  return pg_message(kRowDescription, std::string("\0\1", 2) + column) +
-         pg_message(kDataRow, std::string("\0\1", 2) +
-                                  encode_big_endian(static_cast<std::uint32_t>(value.size())) +
-                                  value) +
-         pg_message(kCommandComplete, std::string("SELECT 1\0", 9));
+  return encode_message(kRowDescription, std::string("\0\1", 2) + column) +
+         encode_message(kDataRow, std::string("\0\1", 2) +
+                                      encode_big_endian(static_cast<std::uint32_t>(value.size())) +
+                                      value) +
+         encode_message(kCommandComplete, std::string("SELECT 1\0", 9));
 }
 
 // The fields of an error or a notice: severity, SQLSTATE and text.
-std::string pg_fields(const std::string& severity, const std::string& sql_state) {
+std::string encode_error_fields(const std::string& severity, const std::string& sql_state) {
   const std::string end(1, '\0');
   return "S" + severity + end + "C" + sql_state + end + "Mscripted" + end + end;
 }
 
-std::string pg_error(const std::string& sql_state) {
-  return pg_message(kErrorResponse, pg_fields("ERROR", sql_state)) + pg_ready();
+std::string encode_error(const std::string& sql_state) {
+  return encode_message(kErrorResponse, encode_error_fields("ERROR", sql_state)) +
+         encode_ready_for_query();
 }
 
-std::string pg_status(const std::string& name, const std::string& value) {
-  return pg_message(kParameterStatus, name + '\0' + value + '\0');
+std::string encode_parameter_status(const std::string& name, const std::string& value) {
+  return encode_message(kParameterStatus, name + '\0' + value + '\0');
 }
 
-std::string pg_replication_status(const ReplicationStatus& replication) {
-  return pg_status("part", replication.is_primary ? "master" : "replica") +
-         pg_status("caught_up_to", std::to_string(now_ms() - replication.lag_ms));
+std::string encode_replication_status(const ReplicationStatus& replication) {
+  return encode_parameter_status("part", replication.is_primary ? "master" : "replica") +
+         encode_parameter_status("caught_up_to", std::to_string(now_ms() - replication.lag_ms));
 }
 
 // A successful response with statuses that are out of range or malformed.
-std::string pg_malformed_report(const ReplicationStatus& replication, const std::string& value) {
-  return pg_row(value) + pg_replication_status(replication) +
-         pg_message(kParameterStatus, std::string("gauges\0x0=nonsense,x1=7q\0\0", 26)) +
-         pg_message(kParameterStatus, std::string("caught_up_to\0"
-                                                  "99999999999999\0",
-                                                  28)) +
-         pg_message(kParameterStatus, "no end") + pg_ready();
+std::string encode_malformed_report(const ReplicationStatus& replication,
+                                    const std::string& value) {
+  return encode_row_result(value) + encode_replication_status(replication) +
+         encode_message(kParameterStatus, std::string("gauges\0x0=nonsense,x1=7q\0\0", 26)) +
+         encode_message(kParameterStatus, std::string("caught_up_to\0"
+                                                      "99999999999999\0",
+                                                      28)) +
+         encode_message(kParameterStatus, "no end") + encode_ready_for_query();
 }
 
-std::string pg_unbounded_response(const std::string& value) {
+std::string encode_unbounded_response(const std::string& value) {
   constexpr std::size_t kMinBytes = 400'000;
-  std::string response = pg_row(value);
+  std::string response = encode_row_result(value);
   while (response.size() < kMinBytes)
-    response += pg_status("part", "and so on");
+    response += encode_parameter_status("part", "and so on");
   return response;
 }
 
@@ -161,8 +163,8 @@
   [[nodiscard]] const char* name() const override { return "postgres"; }
 
   [[nodiscard]] std::string client_handshake() const override {
-    return with_length(encode_big_endian(kProtocolVersion3) +
-                       std::string("user\0portal\0database\0crm\0\0", 26));
+    return prepend_length(encode_big_endian(kProtocolVersion3) +
+                          std::string("user\0portal\0database\0crm\0\0", 26));
   }
 
   [[nodiscard]] std::string encode_request(const Request& request) const override {
@@ -171,12 +173,12 @@
                                     (request.is_write ? ",k=" + request.idempotency_key : "") +
                                     ",cluster=0 */";
     if (!request.statement.empty())
-      return pg_message(kQuery, request.statement + annotations + '\0');
-    return pg_message(kQuery,
-                      (request.is_write
-                           ? "INSERT INTO facts (code, data) VALUES ('7f', '\\x9f') RETURNING data"
-                           : "SELECT data FROM facts WHERE code = '7f'") +
-                          annotations + '\0');
+      return encode_message(kQuery, request.statement + annotations + '\0');
+    return encode_message(
+        kQuery,
+        (request.is_write ? "INSERT INTO facts (code, data) VALUES ('7f', '\\x9f') RETURNING data"
+                          : "SELECT data FROM facts WHERE code = '7f'") +
+            annotations + '\0');
   }
 
   std::optional<ClientResponse> decode_response(std::string& input) const override {
@@ -208,8 +210,8 @@
         return std::nullopt;
       input.erase(0, decode_big_endian(input, 0));
       return EndpointMessage{std::nullopt,
-                             pg_message(kAuthentication, encode_big_endian(kAuthenticationOk)) +
-                                 pg_ready()};
+                             encode_message(kAuthentication, encode_big_endian(kAuthenticationOk)) +
+                                 encode_ready_for_query()};
     }
     const std::size_t size = kTypeBytes + decode_big_endian(input, kTypeBytes);
     if (input.size() < size)
@@ -220,41 +222,42 @@
       return EndpointMessage{decode_request(statement), ""};
     const std::string seconds =
         std::to_string(static_cast<double>(now_ms() - replication.lag_ms) / 1000);
-    return EndpointMessage{std::nullopt,
-                           pg_row("x0=" + seconds + ",x1=" + (replication.is_primary ? "1" : "0")) +
-                               pg_ready()};
+    return EndpointMessage{std::nullopt, encode_row_result("x0=" + seconds + ",x1=" +
+                                                           (replication.is_primary ? "1" : "0")) +
+                                             encode_ready_for_query()};
   }
 
   [[nodiscard]] std::string encode_response(ScriptedResponse response,
                                             const ReplicationStatus& replication,
                                             const std::string& value) const override {
-    const std::string status = pg_replication_status(replication);
+    const std::string status = encode_replication_status(replication);
     switch (response) {
     case ScriptedResponse::RejectNotPrimary:
-      return status + pg_error("25006");
+      return status + encode_error("25006");
     case ScriptedResponse::Fail:
-      return pg_error("XX000");
+      return encode_error("XX000");
     case ScriptedResponse::RejectOverloaded:
-      return pg_error("53300");
+      return encode_error("53300");
     case ScriptedResponse::Garbage:
       return "no protocol at all, and more of it than a head";
     case ScriptedResponse::Truncated:
-      return pg_row(value).substr(0, 60);
+      return encode_row_result(value).substr(0, 60);
     case ScriptedResponse::OversizedLength:
-      return pg_row(value).substr(0, 31) + "D\xc0" + std::string(3, '\0') + "and so on";
+      return encode_row_result(value).substr(0, 31) + "D\xc0" + std::string(3, '\0') + "and so on";
     case ScriptedResponse::UnboundedResponse:
-      return pg_unbounded_response(value);
+      return encode_unbounded_response(value);
     case ScriptedResponse::Duplicate:
-      return pg_row(value) + status + pg_ready() + pg_row("a copy") + pg_ready();
+      return encode_row_result(value) + status + encode_ready_for_query() +
+             encode_row_result("a copy") + encode_ready_for_query();
     case ScriptedResponse::MalformedReport:
-      return pg_malformed_report(replication, value);
+      return encode_malformed_report(replication, value);
     default:
-      return pg_row(value) + status + pg_ready();
+      return encode_row_result(value) + status + encode_ready_for_query();
     }
   }
 
   [[nodiscard]] std::string encode_unsolicited_message() const override {
-    return pg_message(kNoticeResponse, pg_fields("NOTICE", "00000"));
+    return encode_message(kNoticeResponse, encode_error_fields("NOTICE", "00000"));
   }
 };
 
--- a/tests/integration/request_outcomes_test.cpp
+++ b/tests/integration/request_outcomes_test.cpp
@@ -85,7 +85,7 @@
   }
 
   // Sends reads until a replica serves one: the gateway knows then that it has all writes so far.
-  static void await_current_replica(TestClient& client, const std::string& primary_value) {
+  static void await_caught_up_replica(TestClient& client, const std::string& primary_value) {
     int read_count = 0;
     do {
       const std::string id = "t" + std::to_string(read_count);
@@ -142,7 +142,7 @@
 }
 
 // Requests are written right after the handshake, several at once.
-TEST_P(RequestOutcomes, AreOnePerPipelinedRequest) {
+TEST_P(RequestOutcomes, GiveOneResponsePerPipelinedRequest) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
   const auto client = harness.connect_client();
@@ -163,7 +163,7 @@
   const auto client = harness.connect_client();
   const auto writer = harness.connect_client();
   establish_session(*client);
-  await_current_replica(*client, "by m0");
+  await_caught_up_replica(*client, "by m0");
   // The replicas get no further writes.
   harness.endpoints[1]->replication.lag_ms = 60'000;
   harness.endpoints[2]->replication.lag_ms = 60'000;
--- a/tests/integration/stub_endpoint.cpp
+++ b/tests/integration/stub_endpoint.cpp
@@ -19,7 +19,7 @@
       : endpoint(owner), stream(Stream::adopt(std::move(socket), *this)) {}
 
   void received() override {
-    if (resets_after_idle_time())
+    if (close_after_idle_time())
       return;
     input.append(stream->input().view());
     stream->input().consume(stream->input().size());
@@ -29,12 +29,12 @@
 
   void ended(const std::string&) override { end_attempt(); }
 
-  bool resets_after_idle_time() {
+  bool close_after_idle_time() {
     const gint64 now = g_get_monotonic_time();
     const gint64 idle_time = now - std::exchange(last_used_at, now);
-    if (endpoint.idle_reset_ms == 0 || idle_time < endpoint.idle_reset_ms * gint64{1000})
+    if (endpoint.idle_close_ms == 0 || idle_time < endpoint.idle_close_ms * gint64{1000})
       return false;
-    ++endpoint.idle_reset_count;
+    ++endpoint.idle_close_count;
     stream->close();
     return true;
   }
--- a/tests/integration/stub_endpoint.h
+++ b/tests/integration/stub_endpoint.h
@@ -49,9 +49,9 @@
   int health_check_count = 0;       ///< Without the handshakes that open connections.
   std::size_t min_value_bytes = 0;  ///< Values are padded to this length.
   bool pauses_handshakes = false;   ///< No new connection gets a handshake reply meanwhile.
-  int idle_reset_ms = 0;            ///< Resets a connection at the first message after this idle
+  int idle_close_ms = 0;            ///< Closes a connection at the first message after this idle
                                     ///< time; 0: never.
-  int idle_reset_count = 0;
+  int idle_close_count = 0;
 
 private:
   struct Connection;
--- a/tests/integration/test_harness.cpp
+++ b/tests/integration/test_harness.cpp
@@ -237,7 +237,7 @@
 }
 
 Request unknown_class_request(const std::string& id) {
-  return {id, "unheard-of", "", 2000, false, ""};
+  return {id, "undefined", "", 2000, false, ""};
 }
 
 Request keyed_write(const std::string& id) {
