--- a/src/postgres/client_connection.cpp
+++ b/src/postgres/client_connection.cpp
@@ -21,11 +21,12 @@
 using wire::FramingError;
 
 constexpr std::size_t kMaxStartupSize = 10'000;
-constexpr std::size_t kQueryHeaderSize = 5;                      // type and length
-constexpr std::size_t kQueryFramingSize = kQueryHeaderSize + 1;  // and the zero byte at the end
+constexpr std::size_t kQueryHeaderSize = 5;                      // type byte and length field
+constexpr std::size_t kQueryFramingSize = kQueryHeaderSize + 1;  // header and final zero byte
 constexpr std::string_view kReadyForQuery("Z\0\0\0\5I", 6);
 
-/// Connects a client's stream with the pure modules that parse its messages and encode replies.
+/// The connection of one PostgreSQL client. Moves bytes between the client's stream and the modules
+/// that parse messages and encode replies, which do no I/O.
 class PostgresClientConnection : public frontend::ClientConnection {
 public:
   PostgresClientConnection(frontend::Frontend& frontend, net::SocketHandle socket,
@@ -34,10 +35,10 @@
       : ClientConnection(frontend, std::move(socket)),
         admission_(contracts, frontend.broker().settings()), classifier_(classifier) {}
 
-  // The statement stays in the input until its request is complete.
-  proxy::ByteSpans body(Duration left) override {
-    const std::string_view text = input().substr(kQueryHeaderSize, text_size_);
-    return rewriter_.rewrite(text, deadline_, left);
+  // Reads the statement from the input again, where it stays until its request is complete.
+  proxy::ByteSpans body(Duration time_left) override {
+    const std::string_view text = input().substr(kQueryHeaderSize, statement_size_);
+    return rewriter_.rewrite(text, deadline_, time_left);
   }
 
   void respond(const proxy::ByteSpans& body) override {
@@ -61,7 +62,7 @@
   enum class Phase {
     AwaitingStartup,
     Serving,
-    SkippingToSync,  ///< After an error in the extended query protocol.
+    SkippingToSync,  ///< Messages are skipped up to Sync, after an error in an extended query.
   };
 
   void parse() override {
@@ -71,7 +72,7 @@
     if (message)
       handle_message(message.value());
     else if (message.error() == FramingError::Malformed)
-      end_with_error({kProtocolViolation, "a message is malformed or too long"});
+      close_with_error({kProtocolViolation, "a message is malformed or too long"});
   }
 
   void parse_startup_message() {
@@ -79,7 +80,7 @@
     if (message)
       handle_startup(message.value());
     else if (message.error() == FramingError::Malformed)
-      end_with_error({kProtocolViolation, "the startup message is malformed"});
+      close_with_error({kProtocolViolation, "the startup message is malformed"});
   }
 
   void handle_startup(const StartupMessage& message) {
@@ -91,16 +92,16 @@
       send({"N"});
       return consume(message.size);
     case StartupKind::UnsupportedVersion:
-      return end_with_error({kFeatureNotSupported, "only version 3 of the protocol is served"});
+      return close_with_error({kFeatureNotSupported, "only version 3 of the protocol is served"});
     case StartupKind::Session:
       if (const std::optional<SqlError> error = begin_session(startup.user))
-        return end_with_error(*error);
+        return close_with_error(*error);
       send({encode_startup_reply(), kReadyForQuery});
       return consume(message.size);
     }
   }
 
-  /// Begins the session of a client that presents itself as `user`, or returns why it is rejected.
+  /// Begins the session of a client with the user name `user`, or returns why it is rejected.
   std::optional<SqlError> begin_session(std::string_view user) {
     if (is_over_limit())
       return SqlError{kTooManyConnections, "too many connections"};
@@ -117,41 +118,41 @@
     const MessageKind kind = kind_of(message);
     const bool ends_skipping = kind == MessageKind::Sync || kind == MessageKind::Terminate;
     if (phase_ == Phase::SkippingToSync && !ends_skipping)
-      return drop(message);
+      return discard_message(message);
     switch (kind) {
     case MessageKind::Query:
       return handle_query(message);
-    case MessageKind::Terminate:  // a response may still be on its way to the client
+    case MessageKind::Terminate:  // a response may not have been sent yet
       return close_when_written(frontend::CloseReason::ClientEnded);
     case MessageKind::Sync:
       phase_ = Phase::Serving;
       return reply(message, {kReadyForQuery});
     case MessageKind::ExtendedQuery:
-      // The error is sent once; then all messages are skipped until the client sends Sync.
+      // The error is sent once. All later messages are skipped until the client sends Sync.
       phase_ = Phase::SkippingToSync;
-      return reply(message, {encode_error(Severity::Error, simple_queries_only())});
+      return reply(message, {encode_error(Severity::Error, simple_queries_only_error())});
     case MessageKind::FunctionCall:
-      return reject_message(message, simple_queries_only());
+      return reject_message(message, simple_queries_only_error());
     case MessageKind::Unknown:
-      return end_with_error({kProtocolViolation, "unknown message type"});
+      return close_with_error({kProtocolViolation, "unknown message type"});
     }
   }
 
-  static SqlError simple_queries_only() {
+  static SqlError simple_queries_only_error() {
     return {kFeatureNotSupported, "only simple queries are served"};
   }
 
   void handle_query(const Message& message) {
     const common::Result<std::string_view, SqlError> text = read_query(message);
     if (!text)
-      return end_with_error(text.error());
+      return close_with_error(text.error());
     if (is_blank(text.value()))
       return reply(message, {encode_message('I', ""), kReadyForQuery});
     if (const auto error = begin_statement(text.value(), message.encoded.size()))
       reject_message(message, *error);
   }
 
-  /// Begins the request of the statement in `text`, or returns why it is rejected.
+  /// Begins a request for the statement in `text`, or returns why the statement is rejected.
   std::optional<SqlError> begin_statement(std::string_view text, std::size_t message_size) {
     auto parsed = parse_request(text, admission_.classes(), classifier_.get());
     if (!parsed)
@@ -164,49 +165,49 @@
     auto request = admission_.admit(std::move(statement.parsed), earliest_arrival(), now);
     if (!request)
       return SqlError{kInsufficientPrivilege, proxy::describe(request.error())};
-    text_size_ = text.size();
+    statement_size_ = text.size();
     deadline_ = statement.deadline;
     if (!begin_request(std::move(request.value()), message_size))
       return SqlError{kDuplicateObject, frontend::kUnacceptedIdText};
     return std::nullopt;
   }
 
-  void drop(const Message& message) { consume(message.encoded.size()); }
+  void discard_message(const Message& message) { consume(message.encoded.size()); }
 
-  /// Replies to a message that began no request.
+  /// Sends the reply to a message that began no request.
   void reply(const Message& message, const proxy::ByteSpans& parts) {
     send(parts);
-    drop(message);
+    discard_message(message);
   }
 
   void reject_message(const Message& message, const SqlError& error) {
     reply(message, {encode_error(Severity::Error, error), kReadyForQuery});
   }
 
-  /// Sends the response to the pending request, which ends it.
+  /// Sends the response to the pending request and ends the request.
   void complete_request(const proxy::ByteSpans& parts) {
     send(parts);
-    consume(text_size_ + kQueryFramingSize);
+    consume(statement_size_ + kQueryFramingSize);
     finish_request();
   }
 
-  void end_with_error(const SqlError& error) {
+  void close_with_error(const SqlError& error) {
     send({encode_error(Severity::Fatal, error)});
     close_when_written(frontend::CloseReason::ErrorSent);
   }
 
   void send_closing_error(frontend::RejectReason reason) override {
     const char* code = is_over_limit() ? kTooManyConnections : kQueryCanceled;
-    end_with_error({code, frontend::text_of(reason)});
+    close_with_error({code, frontend::text_of(reason)});
   }
 
   frontend::RequestAdmission admission_;
-  const std::shared_ptr<const sql_classifier::SqlClassifier>&
-      classifier_;  ///< Null: none. A reload replaces it.
+  /// Null if statements are not classified. A reload can replace the classifier.
+  const std::shared_ptr<const sql_classifier::SqlClassifier>& classifier_;
   StatementRewriter rewriter_;
   Phase phase_ = Phase::AwaitingStartup;
-  std::size_t text_size_ = 0;  ///< Of the pending statement.
-  DeadlineField deadline_;     ///< In the text of the pending statement.
+  std::size_t statement_size_ = 0;  ///< The size in bytes of the pending statement's text.
+  DeadlineField deadline_;          ///< The place of the deadline in that text.
 };
 
 }  // namespace
