--- a/tests/integration/client_admission_test.cpp
+++ b/tests/integration/client_admission_test.cpp
@@ -1,4 +1,5 @@
-// Clients that send malformed input, keep connections open, or write without reading.
+// How the gateway treats clients that send malformed input, keep connections open without using
+// them, or write without reading the responses.
 #include "gateway_integration_test.h"
 
 #include <algorithm>
@@ -24,7 +25,7 @@
     return inputs;
   }
 
-  // 250 clients that send nothing, and 25 that send half a request.
+  // Connects 250 clients that send nothing and 25 that send half a request.
   [[nodiscard]] static Clients connect_idle_clients(GatewayHarness& harness) {
     const std::string half_request = protocol().encode_request(read_request("half")).substr(0, 30);
     Clients clients;
@@ -38,8 +39,8 @@
     return clients;
   }
 
-  // Returns false if the gateway rejects the client: on an overloaded machine its handshake may
-  // arrive too late.
+  // Returns whether a new client's read is served. On an overloaded machine the gateway may reject
+  // the client, because its handshake arrives too late.
   [[nodiscard]] static bool serves_new_client(GatewayHarness& harness, const std::string& id) {
     const auto client = harness.connect_client();
     client->send_request(read_request(id));
@@ -57,13 +58,14 @@
 
   static void expect_idle_clients_closed(GatewayHarness& harness, const Clients& clients) {
     for (const auto& client : clients)
-      client->await_close("an idle client to be closed");
-    // They sent no request, so the errors that they received do not count as responses.
+      client->await_close("the connection of an idle client to be closed");
+    // They completed no request, so the errors that they received do not count as responses.
     for (const auto& client : clients)
       harness.response_count -= static_cast<int>(client->responses.size());
   }
 
-  // Clients that stay connected after one request are closed after 2 s to free capacity.
+  // Clients that stay connected after one request use up the capacity of others: while more than a
+  // quarter of the capacity is in use, the gateway closes connections that have been idle for 2 s.
   static void expect_surplus_clients_evicted(GatewayHarness& harness) {
     Clients clients;
     for (int i = 0; i < 60; ++i) {
@@ -77,7 +79,7 @@
                    return !client->closed_by_gateway;
                  }) <= 45;
         },
-        "surplus clients to be closed");
+        "all but 45 connections of idle clients to be closed");
   }
 };
 
@@ -95,10 +97,10 @@
   const auto oversized = harness.connect_client();
   oversized->write(protocol().encode_request(read_request("big")).substr(0, 1) +
                    std::string(1 << 20, 'x'));
-  oversized->await_close("an oversized message to be rejected");
+  oversized->await_close("the connection of an oversized message to be closed");
 
-  // An unknown class, and a write under a class for reads, fail with an error; the connection stays
-  // open.
+  // A request of an unknown class and a write in a class for reads fail with an error; the
+  // connection stays open.
   const auto client = harness.connect_client();
   ASSERT_EQ(client->send_and_await(unknown_class_request("unknown-class")), ClientResult::Failed);
   Request write_in_read_class = keyed_write("read-class");
@@ -124,8 +126,8 @@
   }
   expect_surplus_clients_evicted(harness);
 
-  // A request whose id is in flight fails, even from another client; requests with other ids are
-  // served.
+  // A request fails if its id is in flight already, even for another client; requests with other
+  // ids are served.
   const auto other = harness.connect_client();
   const auto flooding = harness.connect_client();
   harness.script = {ScriptedResponse::NoResponse};
@@ -143,22 +145,23 @@
   harness.expect_invariants_and_running();
 }
 
-// The error that the gateway sends before it closes a connection reaches a client that keeps
-// writing: no reset discards it.
+// A client that keeps writing receives the error that the gateway sends before it closes the
+// connection. A socket that is closed with unread input resets the connection, and a reset may
+// discard the error.
 TEST_P(ClientAdmission, DeliversErrorToClientThatKeepsWriting) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
   const auto active = harness.connect_client();
   ASSERT_EQ(active->send_and_await(read_request("active")), ClientResult::Served);
-  // More clients than may linger at the same time.
+  // 20 clients exceed the number of connections that may linger at the same time.
   for (int i = 0; i < 20; ++i) {
     const auto client = harness.connect_client();
-    // The gateway rejects the first bytes while the others are unread.
+    // The gateway rejects the first bytes while the rest of the 64 KiB is unread.
     client->write(std::string(64 * 1024, '\xff'));
-    client->await_close("a client with malformed input to be closed");
+    client->await_close("the connection of a client with malformed input to be closed");
     ASSERT_EQ(client->close_reason, "closed by the peer");
     ASSERT_GT(client->unparsed_input.size() + client->responses.size(), 0U);
-    // It sent no request, so the error that it received does not count as a response.
+    // It sent no valid request, so the error that it received does not count as a response.
     harness.response_count -= static_cast<int>(client->responses.size());
   }
   harness.expect_invariants_and_running();
--- a/tests/integration/client_disconnects_test.cpp
+++ b/tests/integration/client_disconnects_test.cpp
@@ -1,4 +1,5 @@
-// Clients that disconnect while their requests wait for a connection or an endpoint.
+// Clients that disconnect while their requests wait for a connection to an endpoint, or for an
+// endpoint that may be used.
 #include "gateway_integration_test.h"
 
 using namespace test_harness;
@@ -9,6 +10,7 @@
 
 class ClientDisconnects : public GatewayIntegrationTest {
 protected:
+  // Encodes one read, and further reads until all have at least `min_bytes` bytes.
   [[nodiscard]] static std::string encode_requests(std::size_t min_bytes) {
     std::string bytes = protocol().encode_request(read_request("abandoned-0"));
     for (int i = 1; bytes.size() < min_bytes; ++i)
@@ -26,7 +28,7 @@
 
     if (kind == DisconnectKind::ShutDownWriting) {
       disconnecting->shut_down_writing();
-      disconnecting->await_close("the gateway to end its side");
+      disconnecting->await_close("the gateway to close its side of the connection");
     } else {
       disconnecting->close();
       await_gateway_loop_iterations(*warm.client, "u");
@@ -39,7 +41,8 @@
     warm.harness.expect_invariants_and_running();
   }
 
-  // 60 clients: most with a request, some with half a request or with many bytes behind it.
+  // Connects 60 clients that send one request each. For every tenth the request is cut in half, and
+  // for another tenth 100,000 further bytes follow it.
   [[nodiscard]] static std::vector<std::unique_ptr<TestClient>>
   connect_burst(GatewayHarness& harness, int round) {
     std::vector<std::unique_ptr<TestClient>> clients;
@@ -57,8 +60,8 @@
   }
 };
 
-// The gateway detects the disconnect at once and sends none of the client's requests, for any
-// number of bytes behind the first request and either kind of disconnect.
+// The gateway detects the disconnect at once and sends none of the client's requests, whichever way
+// the client disconnects and however many bytes follow its first request.
 TEST_P(ClientDisconnects, DropsRequestThatWaitsForConnection) {
   for (const std::size_t min_bytes : {0, 20'000, 300'000}) {
     for (const DisconnectKind kind : {DisconnectKind::Close, DisconnectKind::ShutDownWriting}) {
@@ -69,8 +72,8 @@
   }
 }
 
-// The request waits, before its first attempt or before a retry, because all endpoints drain. The
-// gateway does not send it when they are up again.
+// A client disconnects while its request waits for its first attempt, or for a retry, because all
+// endpoints drain. The gateway does not send the request when they are up again.
 TEST_P(ClientDisconnects, DropsRequestThatWaitsForEndpoint) {
   for (const bool was_attempted : {false, true}) {
     SCOPED_TRACE(was_attempted ? "before a retry" : "before the first attempt");
@@ -101,16 +104,17 @@
     ASSERT_EQ(harness.attempt_count("abandoned-0"), was_attempted ? 1 : 0);
     harness.sent_requests.erase("abandoned-0");
     if (was_attempted)
-      harness.sent_requests["abandoned-0"] = 0;  // it was sent and gets no response
+      harness.sent_requests["abandoned-0"] = 0;  // a client sent it, and it gets no response
     harness.expect_invariants_and_running();
   }
 }
 
-// The gateway sends none of their requests, and clients that connect later find capacity.
+// Many clients disconnect at once while their requests wait. The gateway sends none of the
+// requests, and clients that connect later are served.
 TEST_P(ClientDisconnects, DropsRequestsOfBurstAndFreesCapacity) {
   WarmGateway warm(protocol(), 2, 8, long_connect_timeout());
   GatewayHarness& harness = warm.harness;
-  // The rounds together have more clients than may be connected at the same time.
+  // The 240 clients of all rounds are more than may be connected at the same time.
   for (int round = 0; round < 4; ++round) {
     const std::string round_suffix = std::to_string(round) + "-";
     harness.pause_handshakes();
--- a/tests/integration/config_commands_test.cpp
+++ b/tests/integration/config_commands_test.cpp
@@ -1,4 +1,4 @@
-// The commands that check, format, compare and show operators' files.
+// The `config` sub-commands, which check, format, compare and show operators' files.
 #include "test_harness.h"
 #include "text_file.h"
 
@@ -10,11 +10,13 @@
 
 std::string format_file(const std::string& path) {
   std::string output;
-  require(run_program({"config", "fmt", path}, output) == 0, "config fmt fails: " + output);
+  const int exit_code = run_program({"config", "fmt", path}, output);
+  require(exit_code == 0,
+          "config fmt " + path + " exits with " + std::to_string(exit_code) + ": " + output);
   return output;
 }
 
-// Files with the same content do not differ, and the formatter does not change the content.
+// `config diff` compares content and not text, and `config fmt` does not change the content.
 TEST(ConfigCommands, FormatAndCompareFilesByContent) {
   const std::string folder = make_temporary_folder();
   const std::string original = write_text_file(
--- a/tests/integration/configuration_files_test.cpp
+++ b/tests/integration/configuration_files_test.cpp
@@ -1,5 +1,5 @@
-// The platform's configuration and the operators' file: each error is one message that names file,
-// line and field.
+// Errors in the platform configuration and in the operators' file: the message for each names the
+// file, the line and the field.
 #include "test_harness.h"
 #include "text_file.h"
 
@@ -15,10 +15,11 @@
 
 namespace {
 
+/// An operators' file with one error, and two texts that the error message must contain.
 struct BadOperatorFile {
   const char* text;
   const char* line;
-  const char* field;
+  const char* field;  ///< Or the value, if it cannot be parsed.
 };
 
 std::vector<BadOperatorFile> bad_operator_files() {
@@ -55,7 +56,7 @@
   };
 }
 
-/// A replacement in a good configuration that puts one setting out of its range.
+/// A replacement in a valid configuration that puts the setting `field` out of its range.
 struct BadSetting {
   const char* good_text;
   const char* bad_text;
@@ -91,22 +92,22 @@
 
 void expect_json_errors(const std::string& folder) {
   std::string output;
-  const std::string truncated = write_text_file(folder, "c.json",
+  const std::string truncated = write_text_file(folder, "truncated.json",
                                                 R"({"name":"n0",)"
                                                 "\n"
                                                 R"("listen":)");
   ASSERT_EQ(run_program({"check", "--config", truncated}, output), 1);
-  expect_contains(output, "c.json: line 2");
-  const std::string wrong_type = write_text_file(folder, "d.json",
+  expect_contains(output, "truncated.json: line 2");
+  const std::string wrong_type = write_text_file(folder, "wrong_type.json",
                                                  R"({"name":"n0",)"
                                                  "\n"
                                                  R"("listen":7})");
   ASSERT_EQ(run_program({"check", "--config", wrong_type}, output), 1);
-  expect_contains(output, "d.json: line 2: ");
+  expect_contains(output, "wrong_type.json: line 2: ");
   expect_contains(output, "'listen'");
 }
 
-// Each prevents the start before anything is created from the settings.
+// A setting out of its range prevents the start, before anything is created from the settings.
 void expect_setting_errors(const std::string& folder, const std::string& config) {
   std::ifstream good_file(config);
   const std::string good{std::istreambuf_iterator<char>(good_file), {}};
@@ -116,9 +117,9 @@
     ASSERT_NE(position, std::string::npos) << setting.good_text;
     bad.replace(position, std::strlen(setting.good_text), setting.bad_text);
     std::string output;
-    const std::string path = write_text_file(folder, "e.json", bad);
+    const std::string path = write_text_file(folder, "bad_setting.json", bad);
     ASSERT_EQ(run_program({"serve", "--config", path}, output), 1) << setting.bad_text;
-    expect_contains(output, "e.json: line 1: ");
+    expect_contains(output, "bad_setting.json: line 1: ");
     expect_contains(output, setting.field);
     expect_single_line(output);
   }
--- a/tests/integration/contracts_test.cpp
+++ b/tests/integration/contracts_test.cpp
@@ -1,4 +1,4 @@
-// Team contracts and the classification of SQL statements, both set in the operators' file.
+// Team contracts and the classification of SQL statements, which the operators' file configures.
 #include "gateway_integration_test.h"
 
 #include <memory>
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Allows only reads, with one attempt and at most 700 ms each, and three requests before the budget
-// is exhausted.
+// Allows only requests of class `any`, each with one attempt and at most 700 ms. The budget admits
+// three requests at once, and then one in 100 s.
 constexpr const char* kBudgetedContract =
     "contracts { team { name: 'portal' budget { per_second: 0.01 burst: 3 } "
     "class { name: 'any' tries: 1 longest_wait_ms: 700 } } }";
@@ -66,8 +66,8 @@
   harness_.write_operator_file("contracts { team { name: 'others' class { name: 'any' } } }");
   harness_.publish_inventory();
   ASSERT_EQ(client_->send_and_await(keyed_write("no-contract")), ClientResult::Failed);
-  ASSERT_EQ(waiting->await_response(), ClientResult::Rejected);  // after its 900 ms
-  if (is_mongo()) {  // the groups of PostgreSQL's discovery are not known beforehand
+  ASSERT_EQ(waiting->await_response(), ClientResult::Rejected);  // at the end of its 900 ms
+  if (is_mongo()) {  // for PostgreSQL the file is invalid: the inventory has no group 7
     publish_portal_contract("class { name: 'any' } group: 7");
     ASSERT_EQ(client_->send_and_await(read_request("other-group")), ClientResult::Failed);
   }
@@ -121,7 +121,7 @@
   harness_.expect_invariants_and_running();
 }
 
-// The gateway does not retry a statement whose effect it cannot determine.
+// The gateway does not retry a write whose effect it cannot determine.
 TEST_P(SqlClassification, AttemptsWriteOfUnknownEffectOnce) {
   expect_reads_served(*client_, "warm", 2);
   const Request unknown_effect = write_statement("INSERT INTO facts (code) VALUES (mystery())");
--- a/tests/integration/control_plane_test_support.cpp
+++ b/tests/integration/control_plane_test_support.cpp
@@ -4,7 +4,7 @@
 
 namespace test_harness {
 
-constexpr std::size_t kSubscriptionCount = 3;  // endpoints, contracts, limits
+constexpr std::size_t kSubscriptionCount = 3;  // to endpoints, contracts and limits
 
 google::protobuf::RepeatedPtrField<pb::Member>& mutable_endpoints(pb::Members& members,
                                                                   const Protocol& protocol) {
@@ -62,7 +62,7 @@
       [&] {
         return service.received_requests().size() >= kSubscriptionCount;
       },
-      "the gateway to subscribe");
+      "the gateway to subscribe to " + std::to_string(kSubscriptionCount) + " resource types");
 }
 
 BackgroundLoad::BackgroundLoad(GatewayHarness& harness, int client_count) {
@@ -108,7 +108,7 @@
       [&] {
         return service.received_requests().size() >= kSubscriptionCount;
       },
-      "the gateway to subscribe");
+      "the gateway to subscribe to " + std::to_string(kSubscriptionCount) + " resource types");
 }
 
 void BackgroundLoad::await_new_stream(const fake_control_plane::ControlService& service,
--- a/tests/integration/control_plane_test_support.h
+++ b/tests/integration/control_plane_test_support.h
@@ -1,5 +1,5 @@
-/// The common set-up of the control-plane tests: a gateway with a control service, the resources
-/// that the service sends, and clients that send requests meanwhile.
+/// Common set-up of the control-plane tests: a gateway with a control service, the resources that
+/// the service sends, and clients that send requests meanwhile.
 #pragma once
 
 #include "gateway_integration_test.h"
@@ -15,11 +15,12 @@
 
 namespace pb = gorsebeam::config::v1;
 
-/// The MongoDB or PostgreSQL endpoints of a resource.
+/// Returns the list in `members` that holds the endpoints of `protocol`.
 google::protobuf::RepeatedPtrField<pb::Member>& mutable_endpoints(pb::Members& members,
                                                                   const Protocol& protocol);
 
-/// The operators' file that names control services, followed by `operator_text`.
+/// Returns the text of an operators' file that names control services at `addresses`, followed by
+/// `operator_text`.
 std::string control_service_operator_text(const std::vector<std::string>& addresses,
                                           const std::string& operator_text = "");
 
@@ -32,9 +33,9 @@
 
   bool has_logged(const std::string& text) { return harness.gateway.has_logged(text); }
 
-  /// The harness's endpoints with their current listed status.
+  /// Returns the endpoints of the harness with their current listed status, as a resource.
   [[nodiscard]] pb::Members members(std::uint64_t generation) const;
-  /// A contract of team `portal` for `classes`.
+  /// Returns a resource with one contract, which allows team `portal` to use `classes`.
   [[nodiscard]] static pb::Contracts
   contracts(std::uint64_t generation, const std::vector<std::string>& classes = {"any", "save"});
 
@@ -44,7 +45,8 @@
 /// Waits until the gateway has subscribed to each of the service's resource types.
 void await_subscriptions(const fake_control_plane::ControlService& service);
 
-/// Clients that each send the next request once the last one has its response.
+/// Clients that each send a request as soon as the previous one has its response. Every fourth
+/// request is a write.
 class BackgroundLoad {
 public:
   BackgroundLoad(GatewayHarness& harness, int client_count);
@@ -54,15 +56,16 @@
   void await_subscriptions(const fake_control_plane::ControlService& service);
   void await_new_stream(const fake_control_plane::ControlService& service,
                         int earlier_stream_count);
+  /// Waits for `count` further responses.
   void await_responses(int count);
-  /// Waits until a client gets `result`, counted from now.
+  /// Waits until a client gets a response with `result`. Forgets the results of earlier responses.
   void await_result(ClientResult result);
   /// Stops sending and waits for the responses to the requests in flight.
   void pause();
 
   void resume() { paused_ = false; }
 
-  /// Asserts that there were responses, all of them Served.
+  /// Asserts that there were responses since the last await_result(), all of them Served.
   void expect_all_served() const;
 
 private:
--- a/tests/integration/control_snapshot_test.cpp
+++ b/tests/integration/control_snapshot_test.cpp
@@ -21,11 +21,13 @@
         operator_text_("state_folder: '" + folder_ + "'\n") {}
 
   // Lets a gateway accept contracts that allow only class `save`, and waits until it has written
-  // them.
+  // the snapshot.
   void write_snapshot_of_accepted_version() const;
-  // Starts a gateway that cannot reach a control service, and expects `log_text` and the result of
-  // a read.
+  // Starts a gateway that cannot reach its control service. Asserts that it logs `log_text` and
+  // that a read ends with `read_result`.
   void expect_start_from_snapshot(ClientResult read_result, const char* log_text) const;
+  // Removes the state folder. Asserts that a gateway logs the failed write of its snapshot and
+  // serves requests.
   void expect_serves_without_folder() const;
 
   void overwrite_snapshot(const std::string& bytes) const {
@@ -67,7 +69,7 @@
 
 void ControlSnapshot::expect_serves_without_folder() const {
   unlink(path_.c_str());
-  unlink((path_ + ".new").c_str());  // left by a program that was killed during a write
+  unlink((path_ + ".new").c_str());  // left by a program that was killed while it wrote a snapshot
   ASSERT_EQ(rmdir(folder_.c_str()), 0);
   ControlledGateway gateway(protocol());
   ControlService service;
@@ -80,8 +82,9 @@
   gateway.harness.expect_invariants();
 }
 
-// The gateway logs and ignores a snapshot that is damaged, newer or not valid here, and serves
-// requests without the folder.
+// The gateway restores the accepted version from its snapshot. It logs and ignores a snapshot that
+// is damaged, that has a newer schema, or that is not valid with its configuration, and it serves
+// requests without the state folder.
 TEST_P(ControlSnapshot, RestoresAcceptedVersionAndIgnoresUnusableSnapshot) {
   write_snapshot_of_accepted_version();
   // The restored contract allows no reads.
@@ -114,7 +117,8 @@
   expect_serves_without_folder();
 }
 
-// The gateway connects to no service and writes nothing, although a state folder is configured.
+// The operators' file names a state folder but no control service: the gateway connects to no
+// service and writes no snapshot.
 TEST_P(ControlSnapshot, WritesNothingWithoutControlService) {
   GatewayHarness harness(protocol(), 2, 0, operator_text_);
   harness.start();
@@ -124,13 +128,15 @@
   ASSERT_EQ(client->send_and_await(read_request("last")), ClientResult::Served);
   for (const char* event : {"control_stream", "config_version", "snapshot_"})
     ASSERT_EQ(harness.gateway.log.find(event), std::string::npos) << event;
-  ASSERT_EQ(rmdir(folder_.c_str()), 0) << "the state folder is not empty";
+  ASSERT_EQ(rmdir(folder_.c_str()), 0)
+      << "the state folder " << folder_ << " is not empty, or cannot be removed";
   harness.expect_invariants();
 }
 
 class ListenerReload : public GatewayIntegrationTest {};
 
-// The listener's address changes while a request is in flight; the log format becomes JSON.
+// A reload changes the listener's address while a request is in flight, whose connection stays
+// open. A second reload changes the log format to JSON.
 TEST_P(ListenerReload, MovesListenerAndKeepsConnections) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
--- a/tests/integration/control_stream_test.cpp
+++ b/tests/integration/control_stream_test.cpp
@@ -1,5 +1,5 @@
 // The stream to the control service: its loss and recovery, two services of which one lags, and
-// peers that break the protocol.
+// peers that violate the protocol.
 #include "control_plane_test_support.h"
 
 #include "fake_control_plane/faulty_proxy.h"
@@ -15,7 +15,7 @@
 
 class ControlStream : public GatewayIntegrationTest {};
 
-// A gateway whose connection to the control service passes a faulty proxy, under load.
+// A gateway under load, whose connection to the control service passes through a faulty proxy.
 class ControlStreamRecovery : public GatewayIntegrationTest {
 protected:
   ControlStreamRecovery() : gateway_(protocol()), proxy_(service_.address()) {}
@@ -44,7 +44,8 @@
   std::uint64_t generation_ = 0;
 };
 
-// Cuts the connection within the push of two resource types that belong to one change.
+// Cuts the connection after `byte_count` bytes of a push of two resource types that belong to one
+// change.
 void ControlStreamRecovery::expect_recovery_from_cut(std::size_t byte_count) {
   SCOPED_TRACE("cut after " + std::to_string(byte_count) + " bytes");
   const int stream_count = service_.stream_count();
@@ -73,7 +74,7 @@
       [&] {
         return gateway_.has_logged("the control service is silent");
       },
-      "the gateway to notice the silence");
+      "the gateway to log that the control service is silent");
   proxy_.resume_forwarding();
   load_->await_new_stream(service_, stream_count);
   expect_next_contracts_accepted("again");
@@ -95,7 +96,7 @@
                gateway_.has_logged("closed by the peer") ||
                gateway_.has_logged("the peer sent GOAWAY");
       },
-      "the gateway to notice the service's end");
+      "the gateway to log the end of its connection to the service");
   load_->await_responses(50);
   load_->expect_all_served();
 }
@@ -138,6 +139,7 @@
   gateway.harness.expect_invariants();
 }
 
+// What a peer sends in place of a valid stream, and what the gateway logs about it.
 struct FaultyPeerCase {
   std::string bytes;
   const char* log_text;
@@ -160,7 +162,8 @@
       repeat(http2_frame(Http2FrameType::Ping, kNoFlags, kConnectionStream, "12345678"), 3000);
   const std::string many_settings =
       repeat(http2_frame(Http2FrameType::Settings, kNoFlags, kConnectionStream, ""), 3000);
-  // HPACK literals without indexing, of 300 bytes each.
+  // In HPACK, status 200 and 50 literal header fields without indexing, each with a value of 300
+  // bytes.
   const std::string header =
       std::string("\x00\x03", 2) + "abc" + std::string("\x7f\xad\x01", 3) + std::string(300, 'v');
   const std::string headers = std::string("\x88", 1) + repeat(header, 50);
@@ -181,14 +184,14 @@
        "the peer sent GOAWAY"},
       {"HTTP/1.1 400 Bad Request\r\n\r\n", "control_stream_lost"},
       {std::string(20000, '\xff'), "control_stream_lost"},
-      {http2_settings_frame() + http2_frame(Http2FrameType::Data, kNoFlags, 3, "nobody's"),
+      {http2_settings_frame() + http2_frame(Http2FrameType::Data, kNoFlags, 3, "payload"),
        "violated the HTTP/2 protocol"},
   };
 }
 
-// The gateway closes the connection to a peer that breaks the protocol or floods, and connects
-// again. Requests are not affected.
-TEST_P(ControlStream, EndsConnectionOfPeerThatBreaksProtocol) {
+// The gateway closes the connection to a peer that violates the protocol, ends the call or floods
+// it with frames, and connects again. Requests are not affected.
+TEST_P(ControlStream, EndsConnectionOfPeerThatViolatesProtocol) {
   for (const FaultyPeerCase& peer : faulty_peer_cases()) {
     SCOPED_TRACE(peer.log_text);
     ControlledGateway gateway(protocol(), 2);
--- a/tests/integration/control_versions_test.cpp
+++ b/tests/integration/control_versions_test.cpp
@@ -17,7 +17,7 @@
     load_->await_subscriptions(service_);
   }
 
-  // Returns the error of the gateway's NACK, empty for an ACK.
+  // Pushes `resource` as `version`. Returns the error of the gateway's NACK, empty for an ACK.
   std::string push_under_load(const google::protobuf::Message& resource,
                               const std::string& version) {
     const std::string nonce = service_.push(resource, version);
@@ -25,7 +25,7 @@
     return service_.await_ack(nonce);
   }
 
-  // Adds a replica with a new address.
+  // Adds a replica to the harness, which listens at a new address.
   StubEndpoint& add_replica(const std::string& name) {
     auto& endpoints = gateway_.harness.endpoints;
     endpoints.push_back(std::make_unique<StubEndpoint>(
@@ -74,7 +74,7 @@
   bad.mutable_team(0)->set_name("other");
   expect_contains(service_.await_ack(service_.push({&good, &bad}, "one-bad")),
                   "'nothing' is no class of the settings");
-  expect_contains(push_under_load(ControlledGateway::contracts(0), "old"), "no generation");
+  expect_contains(push_under_load(ControlledGateway::contracts(0), "none"), "no generation");
 }
 
 void ControlPlaneVersions::expect_unknown_resources_rejected() {
@@ -104,8 +104,8 @@
   load_->expect_all_served();
 }
 
-// An endpoint with a request in flight is removed: the request still gets its one response, and the
-// endpoint gets no new requests. Returns the removed endpoint.
+// Removes the endpoint with a request in flight, or another one if that is the primary: the request
+// still gets its one response, and the endpoint gets no new requests. Returns the removed endpoint.
 StubEndpoint& ControlPlaneVersions::expect_removal_with_request_in_flight() {
   GatewayHarness& harness = gateway_.harness;
   const auto waiting = harness.connect_client();
@@ -118,17 +118,19 @@
     removed = harness.endpoints[1].get();  // the group keeps its primary
   removed->listed_status = ListedStatus::Removed;
   const std::string error = service_.push_and_await_ack(gateway_.members(6), "m6");
-  require(error.empty(), "version m6 is rejected: " + error);
+  require(error.empty(), "version m6 was rejected: " + error);
   run_main_loop_for(std::chrono::milliseconds(250));
   const int request_count = removed->request_count;
   load_->resume();
   load_->await_responses(60);
-  // The harness checks that no second attempt was in flight meanwhile.
+  // The stub endpoints check that no second attempt was in flight meanwhile.
   const ClientResult result = waiting->await_response();
   require(result == ClientResult::Rejected,
-          "the request in flight ends as " + testing::PrintToString(result));
+          "the request in flight ended as " + testing::PrintToString(result) + ", not as Rejected");
   require(removed->request_count == request_count,
-          "the removed endpoint " + removed->name + " gets requests");
+          "endpoint " + removed->name + " got " +
+              std::to_string(removed->request_count - request_count) +
+              " requests after its removal");
   return *removed;
 }
 
@@ -154,8 +156,8 @@
   ASSERT_EQ(moved.request_count, request_count);
 }
 
-// The class is removed, then the team, then the whole group: each request fails or is rejected
-// once, until the group is listed again.
+// Removes the class, then the team and then the whole group. Each request fails or is rejected
+// once, and requests are served again when the group is listed again.
 void ControlPlaneVersions::expect_removal_of_class_team_and_group_applied() {
   ASSERT_EQ(push_under_load(gateway_.contracts(6, {"save"}), "c6"), "");
   load_->await_result(ClientResult::Failed);
@@ -184,7 +186,7 @@
     ASSERT_EQ(service_.await_ack(nonce), "");
 }
 
-// New limits apply to requests that arrive after them.
+// A new limit on the size of a message applies to requests that arrive after it.
 void ControlPlaneVersions::expect_limits_applied() {
   pb::Limits limits;
   limits.set_generation(1);
@@ -193,13 +195,14 @@
   Request large = keyed_write("large");
   large.idempotency_key.assign(80 * 1024, 'k');
   const auto sender = gateway_.harness.connect_client();
-  run_main_loop_for(std::chrono::milliseconds(60));  // the gateway applies at most once in 50 ms
+  run_main_loop_for(
+      std::chrono::milliseconds(60));  // the gateway applies versions at most once in 50 ms
   sender->write(protocol().encode_request(large));
   load_->wait_until(
       [&] {
         return sender->closed_by_gateway;
       },
-      "the oversized request to be rejected");
+      "the connection of the oversized request to be closed");
   // It was never accepted as a request, so the error does not count as a response.
   gateway_.harness.response_count -= static_cast<int>(sender->responses.size());
   limits.set_generation(2);
@@ -207,7 +210,7 @@
   expect_contains(push_under_load(limits, "l2"), "message_kib: is out of range; give 64 to 16384");
 }
 
-// The gateway accepts 10,000 more endpoints in other groups; a message over the limit ends the
+// The gateway accepts 10,000 more endpoints in other groups; a message longer than 4 MiB ends the
 // stream.
 void ControlPlaneVersions::expect_message_size_limit_enforced() {
   pb::Members many = gateway_.members(11);
@@ -255,8 +258,9 @@
 
 class ControlPlaneDependencies : public GatewayIntegrationTest {};
 
-// Contracts that name a group, and the endpoints of that group, arrive in any order or not at all.
-// The list defines PostgreSQL's groups.
+// Contracts may name only groups that have endpoints, and for PostgreSQL the endpoint list says
+// which groups those are. The gateway applies contracts and the list together, in whichever order
+// they arrive, and rejects the one that arrives without the other.
 TEST_P(ControlPlaneDependencies, AppliesDependentResourcesTogetherOrNotAtAll) {
   ControlledGateway gateway(protocol());
   ControlService service;
@@ -267,7 +271,7 @@
   contracts.mutable_team(0)->add_group(7);
   pb::Members members = gateway.members(1);
   pb::Member& member = *members.add_postgres();
-  member.set_name("far");
+  member.set_name("in-group-7");
   member.set_address("127.0.0.1:9");
   member.set_group(7);
 
--- a/tests/integration/discovery_agent.cpp
+++ b/tests/integration/discovery_agent.cpp
@@ -21,7 +21,8 @@
         stream = Stream::adopt(std::move(socket), *this);
       }) {
   const auto error = listener.listen("127.0.0.1:0");
-  require(!error, error ? "the discovery agent cannot listen: " + error->message : std::string());
+  require(!error, error ? "the discovery agent cannot listen on 127.0.0.1:0: " + error->message
+                        : std::string());
 }
 
 void DiscoveryAgent::received() {
@@ -48,7 +49,7 @@
 
 void DiscoveryAgent::send_list(const GatewayHarness& harness, int revision) {
   const std::string line = encode_list(harness, revision);
-  // A line may arrive in pieces.
+  // A line may be split into several chunks.
   send_chunk(line.substr(0, 40));
   send_chunk(line.substr(40));
 }
@@ -58,7 +59,7 @@
       [&] {
         return connection_count > earlier_connection_count;
       },
-      "the watch to be opened again");
+      "the gateway to connect to the discovery agent again");
 }
 
 void DiscoveryAgent::await_watch_request() {
@@ -66,7 +67,7 @@
       [this] {
         return received_request.find("\r\n\r\n") != std::string::npos;
       },
-      "the request for a watch");
+      "the request that opens a watch");
 }
 
 void DiscoveryAgent::accept_watch() {
--- a/tests/integration/discovery_agent.h
+++ b/tests/integration/discovery_agent.h
@@ -30,8 +30,8 @@
   /// Resets the connection of the watch with a TCP RST.
   void reset_connection();
 
-  std::string received_request;
-  std::shared_ptr<gorsebeam::net::Stream> stream;  ///< Of the current watch.
+  std::string received_request;  ///< All bytes received on the current connection.
+  std::shared_ptr<gorsebeam::net::Stream> stream;  ///< The connection of the current watch.
   int connection_count = 0;
   gorsebeam::net::Listener listener;
 
@@ -40,7 +40,7 @@
 
   void ended(const std::string&) override {}
 
-  int descriptor_ = -1;  ///< Owned by `stream`.
+  int descriptor_ = -1;  ///< The socket of `stream`, which owns it.
 };
 
 }  // namespace test_harness
--- a/tests/integration/discovery_messages.h
+++ b/tests/integration/discovery_messages.h
@@ -1,4 +1,4 @@
-/// What a discovery agent sends over a watch: an HTTP response whose chunks hold one JSON object
+/// Encodes what a discovery agent sends over a watch: a chunked HTTP response with one JSON object
 /// per line.
 #pragma once
 
@@ -13,14 +13,14 @@
 
 /// One endpoint of group 0 as an agent lists it.
 struct ListedEndpoint {
-  std::size_t number = 0;  ///< Below 10; its id ends with it.
+  std::size_t number = 0;  ///< Below 10; the last digit of the endpoint's id.
   std::string address;
   ListedStatus status = ListedStatus::Up;
   bool is_primary = false;
-  std::int64_t started_at_ms = 0;  ///< Unix time; 0: long ago.
+  std::int64_t started_at_ms = 0;  ///< Unix time; 0 stands for long ago.
 };
 
-/// The head of the response to a watch request.
+/// The status line and headers of the response to a watch request.
 constexpr const char* kWatchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Returns a complete endpoint list as one line.
--- a/tests/integration/discovery_watch_test.cpp
+++ b/tests/integration/discovery_watch_test.cpp
@@ -1,5 +1,5 @@
-// The endpoint list over the discovery agent's watch. MongoDB's endpoints come from an inventory
-// alone.
+// The endpoint list that a discovery agent sends over a watch. These tests run for PostgreSQL only,
+// because MongoDB's endpoints never come from discovery.
 #include "gateway_integration_test.h"
 
 #include <functional>
@@ -20,7 +20,8 @@
 
   StubEndpoint& endpoint(std::size_t index) { return *harness().endpoints[index]; }
 
-  // Runs `break_watch` and waits for the next watch, which must ask from `expected_revision` on.
+  // Runs `break_watch` and waits for the next watch, whose request must ask for changes from
+  // `expected_revision` on.
   void expect_watch_reopened(const std::string& expected_revision,
                              const std::function<void()>& break_watch) {
     const int connection_count = agent().connection_count;
@@ -30,6 +31,7 @@
     expect_contains(agent().received_request, "from=" + expected_revision + " ");
   }
 
+  // Asserts that 40 reads are served and none of them goes to `endpoint`.
   static void expect_gets_no_requests(TestClient& client, const StubEndpoint& endpoint,
                                       const std::string& id_prefix) {
     const int request_count = endpoint.request_count;
@@ -37,6 +39,7 @@
     ASSERT_EQ(endpoint.request_count, request_count) << endpoint.name;
   }
 
+  // Asserts that 30 reads are served while `endpoint` gets neither requests nor health checks.
   static void expect_gets_no_traffic(TestClient& client, const StubEndpoint& endpoint,
                                      const std::string& id_prefix) {
     const int request_count = endpoint.request_count;
@@ -46,7 +49,7 @@
     ASSERT_EQ(endpoint.health_check_count, health_check_count) << endpoint.name;
   }
 
-  // Inserts line breaks into JSON, and removes the one at its end.
+  // Inserts line breaks into the JSON text `list` and removes the one at its end.
   [[nodiscard]] static std::string indent(std::string list) {
     list.pop_back();
     std::size_t position = list.find_first_of(",[{");
@@ -119,8 +122,8 @@
   harness().expect_invariants_and_running();
 }
 
-// One endpoint drains and another is removed while lists arrive in unusual forms. Both get no
-// traffic until a newer list names them as up.
+// One endpoint drains and another is removed while lists arrive incomplete, out of order or in an
+// unusual format. Neither endpoint gets traffic until a newer list names it as up.
 class DiscoveryWatchDisruption : public DiscoveryWatch {
 protected:
   void SetUp() override { client_ = harness().connect_client(); }
@@ -153,7 +156,7 @@
   ASSERT_GT(removed().request_count, 0);
 }
 
-// A list that names both as up arrives after a newer one.
+// A list that names both endpoints as up arrives after a newer list.
 void DiscoveryWatchDisruption::expect_older_list_ignored() {
   list_with_both_up_ = DiscoveryAgent::encode_list(harness(), 42);
   list_both_as(ListedStatus::Draining, ListedStatus::Removed);
@@ -163,8 +166,9 @@
   expect_gets_no_traffic(*client_, removed(), "r1-");
 }
 
-// A reset cuts a list, which does not apply; the next watch starts with an older list, as from an
-// agent that lags; and the size of a chunk does not end.
+// Three watches break. On the first, a reset cuts a list short, which is not applied. The second
+// starts with an older list, as an agent that lags would send it. On the third, the size of a chunk
+// does not end.
 void DiscoveryWatchDisruption::expect_list_survives_broken_watches() {
   expect_watch_reopened("43", [this] {
     agent().stream->write({list_with_both_up_.substr(0, list_with_both_up_.size() - 20)});
--- a/tests/integration/endpoint_lifecycle_test.cpp
+++ b/tests/integration/endpoint_lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that drain, are removed, fail or reset idle connections.
+// Endpoints that drain, are removed, fail or close idle connections.
 #include "gateway_integration_test.h"
 
 using namespace test_harness;
@@ -7,8 +7,8 @@
 
 class EndpointLifecycle : public GatewayIntegrationTest {};
 
-// An endpoint gets no new requests later than 250 ms after it is listed as draining; other
-// endpoints serve the requests that arrive meanwhile.
+// An endpoint must get no new requests later than 250 ms after it is listed as draining. The
+// gateway sends it none once it has reloaded the inventory; other endpoints serve the requests.
 TEST_P(EndpointLifecycle, SendsNoNewRequestsToDrainingEndpoint) {
   WarmGateway warm(protocol(), 3, 20);
   StubEndpoint& draining = *warm.harness.endpoints[1];
@@ -33,8 +33,8 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// Endpoints reset idle connections much earlier than the settings say. After a few resets the
-// gateway replaces such connections instead of using them.
+// Endpoints close idle connections after 40 ms, while the settings say 30 s. After a few such
+// closes the gateway replaces connections that have been idle instead of using them.
 TEST_P(EndpointLifecycle, ReplacesConnectionsThatEndpointsCloseWhenIdle) {
   WarmGateway warm(protocol(), 3, 12);
   for (const auto& endpoint : warm.harness.endpoints)
@@ -49,8 +49,8 @@
   for (const auto& endpoint : warm.harness.endpoints)
     close_count += endpoint->idle_close_count;
   ASSERT_GT(close_count, 0);
-  // The gateway learns from eight resets per range of idle times; on a busy machine the idle times
-  // may fall into several ranges.
+  // The gateway's estimate needs eight samples in one interval of idle times. On a busy machine the
+  // idle times may fall into several intervals.
   ASSERT_LE(close_count, 30);
   warm.harness.expect_invariants_and_running();
 }
--- a/tests/integration/endpoint_watch_after_stall_test.cpp
+++ b/tests/integration/endpoint_watch_after_stall_test.cpp
@@ -14,15 +14,16 @@
 
 using std::chrono::milliseconds;
 
-// Above the gateway's limits, which elapse while it does not run.
-constexpr milliseconds kBeyondDrainGrace{350};     // 0.25 s, and 0.05 s of slack
-constexpr milliseconds kBeyondWatchSilence{2600};  // 2.5 s
+// How long the gateway is frozen. Each is longer than a time limit of the gateway, which elapses
+// meanwhile.
+constexpr milliseconds kBeyondDrainGrace{350};     // the limit is 250 ms, with 50 ms of slack
+constexpr milliseconds kBeyondWatchSilence{2600};  // the limit is 2.5 s
 
 class EndpointWatchAfterStall : public GatewayIntegrationTest {
 protected:
   EndpointWatchAfterStall() : gateway_(protocol(), settings()) {}
 
-  // Lets the agent send a list and each client be served.
+  // Lets the agent send a list and connects the clients, each of which has one read served.
   void SetUp() override {
     agent().accept_watch();
     agent().send_list(harness(), 41);
@@ -36,7 +37,7 @@
 
   DiscoveryAgent& agent() { return gateway_.agent; }
 
-  // Makes the watch's connection newer than those of the clients.
+  // Lets the gateway open a new watch, whose connection is newer than those of the clients.
   void reopen_watch() {
     const int connection_count = agent().connection_count;
     agent().reset_connection();
@@ -46,8 +47,8 @@
     harness().gateway.await_log("endpoint_list_received revision=42");
   }
 
-  // Freezes the gateway, lets the agent list an endpoint as draining, and then each client send a
-  // read.
+  // Freezes the gateway. Meanwhile the agent lists an endpoint as draining, and after that each
+  // client sends a read.
   void freeze_drain_and_send_reads() {
     harness().gateway.freeze();
     draining().listed_status = ListedStatus::Draining;
@@ -87,7 +88,7 @@
   int requests_before_ = 0;
 };
 
-// The silence timer is due when the gateway runs again, and the list has arrived.
+// When the gateway runs again, the timer for a silent watch is due, but the list has arrived.
 TEST_P(EndpointWatchAfterStall, ReadsPendingListBeforeSilenceTimeout) {
   freeze_drain_and_send_reads();
   run_main_loop_for(kBeyondWatchSilence);
@@ -98,8 +99,8 @@
   ASSERT_FALSE(harness().gateway.has_logged("endpoint_watch_closed reason=silent"));
 }
 
-// The list and the requests have both arrived, and the clients' connections are older than the
-// watch's.
+// When the gateway runs again, the list and the requests have arrived, and the clients' connections
+// are older than the watch's.
 TEST_P(EndpointWatchAfterStall, ReadsPendingListBeforeLaterRequests) {
   reopen_watch();
   freeze_drain_and_send_reads();
@@ -110,7 +111,7 @@
   expect_reads_served_by_other_endpoints();
 }
 
-// SIGHUP names another agent while the list of the current one waits to be read.
+// A reload after SIGHUP names another agent while the list of the current one waits to be read.
 TEST_P(EndpointWatchAfterStall, ReadsPendingListBeforeReloadClosesWatch) {
   DiscoveryAgent next_agent;
   freeze_drain_and_send_reads();
--- a/tests/integration/event_loop_stall_test.cpp
+++ b/tests/integration/event_loop_stall_test.cpp
@@ -1,6 +1,6 @@
-// What arrives while the gateway's event loop is stalled, by SIGSTOP or by a slow iteration, waits
-// in the kernel. The gateway acts by the order and the times of arrival, not by the order in which
-// it reads.
+// Input that arrives while the gateway's event loop is stalled, by SIGSTOP or by a slow iteration,
+// waits in the kernel. The gateway acts by the order and the times of arrival, not by the order in
+// which it reads.
 #include "gateway_integration_test.h"
 
 #include <chrono>
@@ -12,17 +12,19 @@
 
 using std::chrono::milliseconds;
 
-// Above the gateway's limits, which elapse while it does not run.
-constexpr milliseconds kBeyondDrainGrace{350};        // 0.25 s, and 0.05 s of slack
-constexpr milliseconds kBeyondMessageDelay{2600};     // 2.5 s
-constexpr milliseconds kBeyondConnectTimeout{1600};   // 1.5 s, as the test sets it
-constexpr milliseconds kBeyondRequestDeadline{2600};  // 2.5 s
-constexpr milliseconds kBeyondKeepalive{2200};        // 2 s, as the test sets it
-constexpr milliseconds kStallDuration{1000};
+// How long the gateway is frozen. Each is longer than a time limit of the gateway, which elapses
+// meanwhile.
+constexpr milliseconds kBeyondDrainGrace{350};        // the limit is 250 ms, with 50 ms of slack
+constexpr milliseconds kBeyondMessageDelay{2600};     // the limit is 2.5 s
+constexpr milliseconds kBeyondConnectTimeout{1600};   // the test sets 1.5 s
+constexpr milliseconds kBeyondRequestDeadline{2600};  // keyed_write() sets 2.5 s
+constexpr milliseconds kBeyondKeepalive{2200};        // the test sets 2 s
+
+constexpr milliseconds kStallDuration{1000};  // below the timeout of the request
 
 class EventLoopStall : public GatewayIntegrationTest {};
 
-// The connect timeout is due when the gateway runs again, and the handshake reply has arrived.
+// When the gateway runs again, the connect timeout is due, but the handshake reply has arrived.
 TEST_P(EventLoopStall, KeepsConnectionThatOpenedBeforeTimeout) {
   PlatformSettings settings;
   settings.connect_timeout_ms = 1500;
@@ -42,7 +44,8 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// The attempt's timeout and the request's deadline are due, and the response has arrived.
+// When the gateway runs again, the attempt's timeout and the request's deadline are due, but the
+// response has arrived.
 TEST_P(EventLoopStall, DeliversResponseThatArrivedBeforeDeadline) {
   WarmGateway warm(protocol(), 2, 8);
   warm.harness.script = {ScriptedResponse::NoResponse};
@@ -59,7 +62,8 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// The gateway reads a request long after it arrived, and its client has waited meanwhile.
+// The gateway reads a request long after it arrived. It forwards the client's timeout less the time
+// that the client has waited.
 TEST_P(EventLoopStall, ForwardsNoMoreThanRemainingClientTime) {
   constexpr int kTimeoutMs = 2000;
   constexpr int kSlackMs = 150;
@@ -78,7 +82,8 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// The timeout for incomplete messages is due, and the rest of the message has arrived in time.
+// When the gateway runs again, the timeout for incomplete messages is due, but the rest of the
+// message has arrived in time.
 TEST_P(EventLoopStall, ServesMessageThatWasCompletedBeforeTimeout) {
   WarmGateway warm(protocol(), 2, 8);
   const std::string message = protocol().encode_request(read_request("halves", 6000));
@@ -97,8 +102,8 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// The client has disconnected and its first attempt has ended, and the attempt's connection is the
-// older one.
+// When the gateway runs again, the client has disconnected and the first attempt of its request has
+// ended. The attempt's connection is older than the client's.
 TEST_P(EventLoopStall, DoesNotRetryForDisconnectedClient) {
   WarmGateway warm(protocol(), 3, 24);
   const auto disconnecting = warm.harness.connect_client();
@@ -118,8 +123,8 @@
   ASSERT_TRUE(warm.harness.gateway.is_running());
 }
 
-// The former primary has responded that it is a replica before another write arrives on a
-// connection that is older than the endpoint's.
+// While the gateway is frozen, the former primary responds that it is a replica, and after that a
+// write arrives on a client connection that is older than the endpoint's.
 TEST_P(EventLoopStall, ReadsResponsesBeforeLaterRequests) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
@@ -150,8 +155,8 @@
   harness.expect_invariants_and_running();
 }
 
-// A connection has been idle for longer than its endpoint keeps it open, and its idle timeout is
-// due.
+// When the gateway runs again, a connection has been idle for longer than its endpoint keeps it
+// open, and its idle timeout is due.
 TEST_P(EventLoopStall, DoesNotReuseConnectionIdleBeyondKeepalive) {
   PlatformSettings settings;
   settings.keepalive_ms = 2000;
@@ -171,11 +176,12 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// The log's pipe is full because the test does not read it; the gateway keeps serving requests.
+// The pipe of the log is full, because the test does not read it. Writing to the log does not block
+// the gateway, which keeps serving requests.
 TEST_P(EventLoopStall, IsNotCausedByFullLogPipe) {
   constexpr int kFailures = 40;             // each logs a line of about 190 bytes
   constexpr int kReadsBetweenFailures = 9;  // so that no endpoint is ejected for its errors
-  constexpr milliseconds kInterval{200};    // the log takes five lines of an event in a second
+  constexpr milliseconds kInterval{200};    // at most five lines of one event are written a second
   WarmGateway warm(protocol(), 3, 24);
   warm.harness.gateway.read_log();
   warm.harness.gateway.shrink_log_pipe();
--- a/tests/integration/event_wait.cpp
+++ b/tests/integration/event_wait.cpp
@@ -18,7 +18,8 @@
 
 void throw_pending_callback_failure(const std::string& awaited) {
   const bool failed = std::exchange(callback_failed, false);
-  require(!failed, "a test peer found a violation while the test waited for: " + awaited);
+  require(!failed,
+          "a client or an endpoint of the test reported a failure during the wait for: " + awaited);
 }
 
 class ThrowingListener : public testing::EmptyTestEventListener {
@@ -31,7 +32,7 @@
 }  // namespace
 
 void throw_on_fatal_failures() {
-  // GoogleTest owns the listener, which must be the last one.
+  // GoogleTest owns the listener. A listener that throws must be the last one in the list.
   testing::UnitTest::GetInstance()->listeners().Append(
       std::make_unique<ThrowingListener>().release());
 }
@@ -54,7 +55,9 @@
   poll_timer.after(kPollInterval);
   while (!condition()) {
     throw_pending_callback_failure(awaited);
-    require(g_get_monotonic_time() <= deadline, "timed out waiting for: " + awaited);
+    require(g_get_monotonic_time() <= deadline,
+            "waited " + std::to_string(kMaxWaitMicroseconds / G_USEC_PER_SEC) +
+                " s for: " + awaited);
     g_main_context_iteration(nullptr, TRUE);
   }
   throw_pending_callback_failure(awaited);
--- a/tests/integration/event_wait.h
+++ b/tests/integration/event_wait.h
@@ -22,14 +22,14 @@
 void require(bool condition, const std::string& message);
 
 /// Makes each fatal GoogleTest assertion throw, so that a failure in a nested call ends the whole
-/// test. Must be called once, after GoogleTest is initialised.
+/// test. Must be called once, after GoogleTest is initialized.
 void throw_on_fatal_failures();
 
 /// Records a failure from within a main-loop callback; the wait that runs the loop then throws.
 void report_callback_failure(const std::string& message);
 
-/// Runs the main loop until `condition` holds. Throws a TestFailure that names `awaited` after 20
-/// seconds, a limit far above what any awaited event needs.
+/// Runs the main loop until `condition` holds. After 20 seconds, far more than any awaited event
+/// needs, it throws a TestFailure that names `awaited`.
 void wait_until(const std::function<bool()>& condition, const std::string& awaited);
 
 /// As wait_until(), for destructors: records a failure instead of throwing.
--- a/tests/integration/gateway_integration_test.h
+++ b/tests/integration/gateway_integration_test.h
@@ -10,6 +10,7 @@
 
 namespace test_harness {
 
+/// A test whose parameter is the wire protocol.
 class GatewayIntegrationTest : public testing::TestWithParam<const Protocol*> {
 protected:
   [[nodiscard]] static const Protocol& protocol() { return *GetParam(); }
@@ -17,7 +18,7 @@
   [[nodiscard]] static bool is_mongo() { return &protocol() == &mongo(); }
 };
 
-/// A running gateway that has served reads of one client.
+/// A running gateway, and a client whose first `read_count` reads it has served.
 struct WarmGateway {
   WarmGateway(const Protocol& protocol, std::size_t endpoint_count, int read_count,
               const PlatformSettings& settings = {})
@@ -46,7 +47,7 @@
   DiscoveryAgent agent;
 };
 
-/// Settings under which no paused handshake exceeds the connect timeout.
+/// Settings with a connect timeout that no paused handshake exceeds.
 inline PlatformSettings long_connect_timeout() {
   PlatformSettings settings;
   settings.connect_timeout_ms = 20'000;
--- a/tests/integration/gateway_process.cpp
+++ b/tests/integration/gateway_process.cpp
@@ -42,13 +42,14 @@
 
 void GatewayProcess::start(const std::string& config_path, const std::string& operator_file_path,
                            const std::string& protocol_label) {
-  require(pid_ == 0 || exited_, "the program is started while it runs");
+  require(pid_ == 0 || exited_,
+          "start() was called while the program runs as process " + std::to_string(pid_));
   if (log_descriptor_ >= 0)
     close(log_descriptor_);
   log.clear();
   exited_ = false;
   const auto process = start_serve(GORSEBEAM_PROGRAM, config_path, operator_file_path);
-  require(process.has_value(), "the program cannot be started");
+  require(process.has_value(), std::string("cannot start ") + GORSEBEAM_PROGRAM);
   pid_ = process->pid;
   log_descriptor_ = process->log_descriptor;
   g_child_watch_add(
@@ -62,8 +63,9 @@
       [&] {
         return has_logged(listener_prefix(protocol_label)) || exited_;
       },
-      "the program to listen");
-  require(!exited_, "the program exited before it listened");
+      "the program to listen for " + protocol_label);
+  require(!exited_, "the program exited with status " + std::to_string(exit_status(wait_status_)) +
+                        " before it listened for " + protocol_label);
 }
 
 void GatewayProcess::send_signal(int number) {
@@ -78,10 +80,11 @@
       [this] {
         std::ifstream stat("/proc/" + std::to_string(pid_) + "/stat");
         const std::string text{std::istreambuf_iterator<char>(stat), {}};
+        // The state of the process follows its name, which ends with a parenthesis; T is stopped.
         const std::size_t name_end = text.rfind(") ");
         return name_end != std::string::npos && text.compare(name_end + 2, 1, "T") == 0;
       },
-      "the program to be stopped");
+      "SIGSTOP to stop the program");
 }
 
 std::size_t GatewayProcess::thread_count() const {
@@ -102,7 +105,7 @@
 void GatewayProcess::shrink_log_pipe() const {
   constexpr int kPageBytes = 4096;
   require(fcntl(log_descriptor_, F_SETPIPE_SZ, kPageBytes) == kPageBytes,
-          "the log's pipe cannot be shrunk");
+          "cannot set the size of the log's pipe to " + std::to_string(kPageBytes) + " bytes");
 }
 
 void GatewayProcess::read_log() {
@@ -141,7 +144,7 @@
   const gboolean ran =
       g_spawn_sync(nullptr, const_cast<gchar**>(argument_list.data()), nullptr, G_SPAWN_DEFAULT,
                    nullptr, nullptr, &standard_output, &standard_error, &status, nullptr);
-  require(ran != FALSE, "the program cannot be run");
+  require(ran != FALSE, std::string("cannot run ") + GORSEBEAM_PROGRAM);
   output = std::string(standard_error) + standard_output;
   g_free(standard_output);
   g_free(standard_error);
--- a/tests/integration/gateway_process.h
+++ b/tests/integration/gateway_process.h
@@ -8,7 +8,7 @@
 
 namespace test_harness {
 
-/// Runs `serve` and collects what it logs. Ends the child when destroyed, and prints the child's
+/// Runs `serve` and collects what it logs. The destructor kills the child, and prints the child's
 /// log if the test failed.
 class GatewayProcess {
 public:
@@ -22,8 +22,8 @@
   void start(const std::string& config_path, const std::string& operator_file_path,
              const std::string& protocol_label);
   void send_signal(int number);
-  /// Stops the program: from the return of this call until resume() it does not run, and the
-  /// kernel buffers what arrives for it.
+  /// Stops the program with SIGSTOP: from the return of this call until resume() it does not run,
+  /// and the kernel buffers what arrives for it.
   void freeze();
 
   void resume() { send_signal(SIGCONT); }
@@ -36,17 +36,19 @@
   /// Waits for the program to exit; -1 if a signal ended it.
   int await_exit_code();
 
-  /// Reduces the pipe of the program's log to one page.
+  /// Reduces the pipe of the program's log to one page, so that a few lines fill it.
   void shrink_log_pipe() const;
 
-  /// Reads what the program has logged so far into `log`.
+  /// Appends to `log` what the program has logged since the last read.
   void read_log();
+  /// Whether the log has `text` at or after the position `from`.
   bool has_logged(const std::string& text, std::size_t from = 0);
+  /// Waits until the log has `text` at or after the position `from`.
   void await_log(const std::string& text, std::size_t from = 0);
   /// The address of the last listener for `protocol_label` in the log.
   [[nodiscard]] std::string last_listener_address(const std::string& protocol_label) const;
 
-  std::string log;
+  std::string log;  ///< Read so far, since the last start.
 
 private:
   GPid pid_ = 0;
@@ -55,8 +57,8 @@
   bool exited_ = false;
 };
 
-/// Runs the program until it exits and returns its exit status; `output` receives all that it
-/// wrote.
+/// Runs the program until it exits and returns its exit status, -1 if a signal ended it. `output`
+/// receives its standard error, followed by its standard output.
 int run_program(const std::vector<std::string>& arguments, std::string& output);
 
 }  // namespace test_harness
--- a/tests/integration/inventory_files_test.cpp
+++ b/tests/integration/inventory_files_test.cpp
@@ -1,5 +1,5 @@
-// Inventories: a valid one is loaded; an invalid one prevents the start with one message that names
-// file, line and field, before the program listens.
+// A valid inventory is loaded. An invalid one prevents the start, before the program listens, with
+// one message that names the file, the line and the field.
 #include "test_harness.h"
 #include "text_file.h"
 
@@ -14,6 +14,7 @@
 
 namespace {
 
+/// An inventory with one error, and two texts that the error message must contain.
 struct BadInventory {
   const char* name;
   const char* text;
--- a/tests/integration/mongo_protocol.cpp
+++ b/tests/integration/mongo_protocol.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint32_t kOpMsg = 2013;
 
 constexpr std::size_t kHeaderBytes = 16;
-constexpr std::size_t kOpMsgDocumentOffset = 21;
+constexpr std::size_t kOpMsgDocumentOffset = 21;  // after the flag bits and the section's kind
 
 // MongoDB's error codes.
 constexpr int kUnknownError = 8;
@@ -71,10 +71,11 @@
                   static_cast<int>(*to_integer(*find(document, "maxTimeMS"))), command == "insert"};
   if (const auto key = find(annotations, "k"))
     request.idempotency_key = key->value;
-  // A replica responds only to reads that allow it.
+  // A replica responds only to reads whose read preference allows replicas.
   const std::string_view read_mode = find(find(document, "$readPreference")->value, "mode")->value;
   if (!request.is_write && read_mode != "primaryPreferred")
-    report_callback_failure("a read was sent with read preference " + std::string(read_mode));
+    report_callback_failure("the gateway sent read " + request.id + " with read preference " +
+                            std::string(read_mode) + ", not primaryPreferred");
   return request;
 }
 
@@ -82,10 +83,11 @@
 public:
   const char* name() const override { return "mongo"; }
 
-  std::string client_handshake() const override {  // as drivers open: OP_QUERY on admin.$cmd
+  // Drivers open a connection with a command in an OP_QUERY message on admin.$cmd.
+  std::string client_handshake() const override {
     constexpr std::uint32_t kSecondaryOk = 4;
     constexpr std::uint32_t kSkipNone = 0;
-    constexpr std::uint32_t kReturnOne = 0xffffffff;  // -1
+    constexpr std::uint32_t kReturnOne = 0xffffffff;  // -1: one document, without a cursor
     const std::string application =
         Writer()
             .append_document("application", Writer().append_string("name", "portal").finish())
@@ -126,10 +128,11 @@
   std::optional<ClientResponse> decode_response(std::string& input) const override {
     while (const auto message = extract_message(input)) {
       if (read_u32(message->data() + 12) == kOpReply)
-        continue;  // to the handshake
+        continue;  // the reply to the handshake
       const std::string document = message->substr(kOpMsgDocumentOffset);
       if (!gorsebeam::mongo::is_well_formed(document)) {
-        report_callback_failure("the gateway sent a client a malformed document");
+        report_callback_failure("the gateway sent a client a malformed document of " +
+                                std::to_string(document.size()) + " bytes");
         return std::nullopt;
       }
       ClientResponse response;
@@ -151,7 +154,8 @@
       return std::nullopt;
     const std::string document = message->substr(kOpMsgDocumentOffset);
     if (!gorsebeam::mongo::is_well_formed(document)) {
-      report_callback_failure("the gateway sent an endpoint a malformed document");
+      report_callback_failure("the gateway sent an endpoint a malformed document of " +
+                              std::to_string(document.size()) + " bytes");
       return std::nullopt;
     }
     last_message_id_ = read_u32(message->data() + 4);
@@ -192,7 +196,7 @@
     }
   }
 
-  std::string encode_unsolicited_message() const override { return encode_value("unasked"); }
+  std::string encode_unsolicited_message() const override { return encode_value("unsolicited"); }
 
 private:
   std::string encode_hello_reply(const ReplicationStatus& replication) const {
@@ -232,7 +236,8 @@
         last_message_id_);
   }
 
-  mutable std::uint32_t last_message_id_ = 0;  // of the message that the next response answers
+  // The id of the last message that an endpoint has read, to which the next response belongs.
+  mutable std::uint32_t last_message_id_ = 0;
 };
 
 }  // namespace
--- a/tests/integration/platform_config.h
+++ b/tests/integration/platform_config.h
@@ -6,7 +6,7 @@
 
 namespace test_harness {
 
-/// A service class; the names are those of the configuration's values.
+/// A service class of the configuration.
 struct PlatformClass {
   std::string name;
   std::string effect;      ///< `free`, `guarded` or `single_shot`.
@@ -14,7 +14,7 @@
   int latency_objective_ms = 2000;
   int deadline_ms = 3000;
   int deduplication_window_ms = 2000;
-  std::string late_weight_fraction = "0";  ///< A JSON number.
+  std::string late_weight_fraction = "0";  ///< A JSON number: `late_worth` in the configuration.
 };
 
 /// The settings in which tests differ; encode_platform_config() adds those that they share.
@@ -29,7 +29,7 @@
   std::vector<PlatformClass> classes;
 };
 
-/// At most this many attempts of a request: `send_cap` in the configuration.
+/// The maximum number of attempts of a request, `send_cap` in the configuration.
 constexpr std::size_t kMaxAttempts = 6;
 
 [[nodiscard]] std::string encode_platform_config(const PlatformConfig& config);
--- a/tests/integration/postgres_protocol.cpp
+++ b/tests/integration/postgres_protocol.cpp
@@ -53,6 +53,8 @@
   return encode_message(kReadyForQuery, "I");
 }
 
+// A result of one row: the row's description, the row and the end of the command. The only column
+// has the name `data`, no table, type bytea (OID 17), no fixed size, no modifier and binary format.
 std::string encode_row_result(const std::string& value) {
   const std::string column = std::string("data\0", 5) + encode_big_endian(0) +
                              std::string(2, '\0') + encode_big_endian(17) + std::string(2, '\xff') +
@@ -84,7 +86,7 @@
          encode_parameter_status("caught_up_to", std::to_string(now_ms() - replication.lag_ms));
 }
 
-// A successful response with statuses that are out of range or malformed.
+// A successful response with parameter statuses that are out of range or malformed.
 std::string encode_malformed_report(const ReplicationStatus& replication,
                                     const std::string& value) {
   return encode_row_result(value) + encode_replication_status(replication) +
@@ -96,14 +98,15 @@
 }
 
 std::string encode_unbounded_response(const std::string& value) {
-  constexpr std::size_t kMinBytes = 400'000;
+  constexpr std::size_t kMinBytes = 400'000;  // the gateway reads at most 256 KiB
   std::string response = encode_row_result(value);
   while (response.size() < kMinBytes)
     response += encode_parameter_status("part", "and so on");
   return response;
 }
 
-// The text after `prefix` up to the first of `terminators`; empty without `prefix`.
+// Returns the text after `prefix` up to the first of `terminators`; empty if `text` has no
+// `prefix`.
 std::string text_after(const std::string& text, const std::string& prefix,
                        const std::string& terminators) {
   const std::size_t found = text.find(prefix);
@@ -132,7 +135,7 @@
     if (type == kCommandComplete)
       result_ = ClientResult::Served;
     if (type == kDataRow)
-      value_ = body.substr(6);
+      value_ = body.substr(6);  // after the column count and the value's length
     if (is_error)
       result_ = body.find(std::string("C53300\0", 7)) != std::string::npos ? ClientResult::Rejected
                                                                            : ClientResult::Failed;
@@ -239,7 +242,7 @@
     case ScriptedResponse::RejectOverloaded:
       return encode_error("53300");
     case ScriptedResponse::Garbage:
-      return "no protocol at all, and more of it than a head";
+      return "not a message, and longer than a message header";
     case ScriptedResponse::Truncated:
       return encode_row_result(value).substr(0, 60);
     case ScriptedResponse::OversizedLength:
--- a/tests/integration/postgres_response_parsing_test.cpp
+++ b/tests/integration/postgres_response_parsing_test.cpp
@@ -1,4 +1,4 @@
-// How the gateway's PostgreSQL parser reads the stub endpoints' responses, in process.
+// The gateway's PostgreSQL parser, called in the test's process with responses of stub endpoints.
 #include "protocol.h"
 
 #include "postgres/upstream_protocol.h"
--- a/tests/integration/protocol.h
+++ b/tests/integration/protocol.h
@@ -17,10 +17,10 @@
   NoResponse,         ///< Never responds.
   Garbage,            ///< Sends bytes that belong to no protocol.
   Truncated,          ///< Announces more bytes than it sends.
-  OversizedLength,    ///< Announces a response of 3 GB.
+  OversizedLength,    ///< Announces a response of more than 1 GB.
   Duplicate,          ///< Sends a second response right after a valid one.
-  MalformedReport,    ///< Sends a valid response with an impossible load report and position.
-  UnboundedResponse,  ///< Sends well-formed bytes beyond the size limit of a response.
+  MalformedReport,    ///< Sends a valid response with a malformed load report and position.
+  UnboundedResponse,  ///< Sends more well-formed bytes than a response may have.
 };
 
 /// How a request ended for its client.
@@ -45,7 +45,7 @@
   std::string idempotency_key = "k1";
   int timeout_ms = 2000;
   bool is_write = false;
-  std::string statement{};  ///< PostgreSQL only; empty: a statement that fits `is_write`.
+  std::string statement{};  ///< PostgreSQL only; if empty, the statement follows from `is_write`.
 };
 
 /// The replication state that an endpoint reports.
@@ -62,22 +62,22 @@
 
 /// A message of the gateway as an endpoint reads it.
 struct EndpointMessage {
-  std::optional<Request> request;  ///< None for a handshake or health check.
-  std::string reply;               ///< To a handshake or health check; empty for a request.
+  std::optional<Request> request;  ///< Empty for a handshake or health check.
+  std::string reply;               ///< The reply to a handshake or health check; else empty.
 };
 
 /// Encodes and decodes one wire protocol as clients and endpoints of the gateway do.
 class Protocol {
 public:
   virtual ~Protocol() = default;
-  /// `postgres` or `mongo`, as test names show it.
+  /// The name of the protocol in test names, `postgres` or `mongo`.
   [[nodiscard]] virtual const char* name() const = 0;
   [[nodiscard]] virtual std::string client_handshake() const = 0;
   [[nodiscard]] virtual std::string encode_request(const Request& request) const = 0;
-  /// Removes one response from `input`; none while it is incomplete.
+  /// Removes one response from `input` and returns it; empty while the response is incomplete.
   virtual std::optional<ClientResponse> decode_response(std::string& input) const = 0;
-  /// Removes one message from `input`; none while it is incomplete. The reply to a health check
-  /// reports `replication`.
+  /// Removes one message from `input` and returns it; empty while the message is incomplete. The
+  /// reply to a health check reports `replication`.
   virtual std::optional<EndpointMessage>
   decode_endpoint_message(std::string& input, const ReplicationStatus& replication) const = 0;
   [[nodiscard]] virtual std::string encode_response(ScriptedResponse response,
--- a/tests/integration/race_conditions_test.cpp
+++ b/tests/integration/race_conditions_test.cpp
@@ -1,5 +1,5 @@
-// Events between two steps of the gateway. A stub endpoint pauses a step until the event has
-// happened.
+// Events between the start and the end of the gateway's handshake with an endpoint. The stub
+// endpoint pauses the handshake until the event has happened.
 #include "gateway_integration_test.h"
 
 using namespace test_harness;
@@ -61,7 +61,7 @@
   harness.set_platform_settings(long_connect_timeout());
   for (const auto& endpoint : harness.endpoints)
     endpoint->pauses_handshakes = true;
-  harness.start();  // sends each endpoint a health check
+  harness.start();  // the gateway opens a connection to each endpoint for a health check
   for (const auto& endpoint : harness.endpoints)
     wait_until(
         [&] {
@@ -103,9 +103,9 @@
   warm.harness.expect_invariants_and_running();
 }
 
-// A write that may have run waits for a retry, and its connection opens only after the
-// deduplication window of its group: the gateway does not write it, and its client gets an error
-// then, not at its deadline.
+// A write that may have run waits for a retry, whose connection opens only after the deduplication
+// window of the write's group. The gateway does not send the write again, and its client gets an
+// error at that time, not at the deadline.
 TEST_P(RaceConditions, DoesNotRetryKeyedWriteAfterDeduplicationWindow) {
   PlatformSettings settings = long_connect_timeout();
   settings.deduplication_window_ms = 150;
@@ -120,7 +120,8 @@
   write.timeout_ms = 60'000;
   warm.client->send_request(write);
   warm.harness.await_first_attempt("keyed");
-  // The attempt ends by a reset; the retry's connection opens when its handshake resumes.
+  // The attempt ends as its connection is closed; the retry's connection opens when its handshake
+  // resumes.
   warm.harness.pause_handshakes();
   static_cast<void>(warm.harness.await_paused_handshake());
   run_main_loop_for(2 * std::chrono::milliseconds(settings.deduplication_window_ms));
--- a/tests/integration/request_outcomes_test.cpp
+++ b/tests/integration/request_outcomes_test.cpp
@@ -1,4 +1,5 @@
-// The outcome of a request under scripted responses of its endpoints, the same on each protocol.
+// The outcome of a request when its endpoints respond as scripted, which is the same for each
+// protocol.
 #include "gateway_integration_test.h"
 
 using namespace test_harness;
@@ -53,8 +54,8 @@
   };
 }
 
-// Enough valid responses that a single failure does not count as overload and the outcome is the
-// same in every run.
+// Gets enough valid responses that a single failure does not count as overload. The outcome is then
+// the same in every run.
 void establish_healthy_history(TestClient& client) {
   for (int i = 0; i < 12; ++i) {
     ASSERT_EQ(client.send_and_await(read_request("r" + std::to_string(i))), ClientResult::Served);
@@ -76,7 +77,7 @@
 
 class SessionConsistency : public GatewayIntegrationTest {
 protected:
-  // Enough valid responses that a missing one does not count as overload.
+  // Gets enough valid responses that a missing one does not count as overload.
   static void establish_session(TestClient& client) {
     for (int i = 0; i < 12; ++i) {
       ASSERT_EQ(client.send_and_await(keyed_write("w" + std::to_string(i))), ClientResult::Served);
@@ -84,7 +85,8 @@
     }
   }
 
-  // Sends reads until a replica serves one: the gateway knows then that it has all writes so far.
+  // Sends reads until a replica serves one. The gateway knows then that this replica has all writes
+  // of the session so far.
   static void await_caught_up_replica(TestClient& client, const std::string& primary_value) {
     int read_count = 0;
     do {
@@ -141,7 +143,7 @@
   harness.expect_invariants_and_running();
 }
 
-// Requests are written right after the handshake, several at once.
+// A client writes several requests at once, right after its handshake.
 TEST_P(RequestOutcomes, GiveOneResponsePerPipelinedRequest) {
   GatewayHarness harness(protocol(), 2, 0);
   harness.start();
@@ -164,7 +166,7 @@
   const auto writer = harness.connect_client();
   establish_session(*client);
   await_caught_up_replica(*client, "by m0");
-  // The replicas get no further writes.
+  // From now on the replicas report that they lag, as if they got no further writes.
   harness.endpoints[1]->replication.lag_ms = 60'000;
   harness.endpoints[2]->replication.lag_ms = 60'000;
   harness.script = {ScriptedResponse::NoResponse};
@@ -172,7 +174,7 @@
   write.idempotency_key = "key-in-flight";
   writer->send_request(write);
   harness.await_first_attempt("in-flight");
-  // The gateway would know a response to the write after this time.
+  // Enough time for a response to the write to reach the gateway, if an endpoint had sent one.
   run_main_loop_for(std::chrono::milliseconds(120));
 
   ASSERT_EQ(client->send_and_await(session_read("meanwhile")), ClientResult::Served);
--- a/tests/integration/serve_process.h
+++ b/tests/integration/serve_process.h
@@ -10,7 +10,7 @@
 
 namespace test_harness {
 
-/// The child is not reaped: the caller adds a child watch. The caller closes the descriptor.
+/// A child process. The caller adds a child watch, which reaps it, and closes the descriptor.
 struct ServeProcess {
   GPid pid = 0;
   int log_descriptor = -1;  ///< Standard error of the child; reads do not block.
@@ -18,8 +18,8 @@
 
 using EnvironmentVariables = std::vector<std::pair<std::string, std::string>>;
 
-/// Runs `program serve` with the two files. `environment` adds to the environment of this process.
-/// None if the program cannot be started.
+/// Runs `program serve` with the two files, in the environment of this process with the variables
+/// of `environment` added. Returns none if the program cannot be started.
 [[nodiscard]] std::optional<ServeProcess> start_serve(const std::string& program,
                                                       const std::string& config_path,
                                                       const std::string& operator_file_path,
--- a/tests/integration/shutdown_test.cpp
+++ b/tests/integration/shutdown_test.cpp
@@ -24,8 +24,8 @@
   const auto late = harness.connect_client();
   ASSERT_EQ(late->send_and_await(read_request("late")), ClientResult::Served);
   ASSERT_EQ(client->await_response(), ClientResult::Rejected);
-  // The platform runs one thread at a time, so a second thread could hold a lock that the first
-  // waits for.
+  // The program must have one thread: the platform runs one at a time, so a second thread could
+  // hold a lock that the first one waits for.
   ASSERT_EQ(harness.gateway.thread_count(), 1U);
   ASSERT_EQ(harness.gateway.await_exit_code(), 0);
   ASSERT_TRUE(late->responses.empty());
@@ -46,7 +46,7 @@
   client->send_request(read_request("in-flight", 2500));
   harness.await_first_attempt("in-flight");
   harness.gateway.send_signal(SIGTERM);
-  idle->await_close("the listener and idle clients to be closed");
+  idle->await_close("the listener and the connections of idle clients to be closed");
   ASSERT_EQ(idle->close_reason, "closed by the peer");
 
   harness.gateway.send_signal(SIGTERM);
@@ -64,6 +64,7 @@
   harness.expect_invariants();
 }
 
+// A request may be rejected while the listener closes, but then it must have had no attempt.
 void expect_served_or_not_attempted(const GatewayHarness& harness, TestClient& client,
                                     const std::string& id) {
   const ClientResult result = client.await_response();
@@ -75,8 +76,8 @@
 
 enum class RaceOutcome { RequestsArrivedFirst, ListenerClosedFirst };
 
-// Runs one round of the race between the closing listener and requests that the kernel has accepted
-// already. On a busy machine the listener may close first.
+// Runs one round of the race between the closing listener and requests that have already arrived in
+// the kernel. On a busy machine the listener may close before they arrive.
 RaceOutcome race_requests_with_closing_listener(const Protocol& protocol) {
   GatewayHarness harness(protocol, 2, 0);
   harness.start();
@@ -101,7 +102,8 @@
     expect_served_or_not_attempted(harness, *idle, "idle");
     expect_served_or_not_attempted(harness, *fresh, "fresh");
   }
-  require(harness.gateway.await_exit_code() == 0, "the program exits with an error");
+  const int exit_code = harness.gateway.await_exit_code();
+  require(exit_code == 0, "the program exited with status " + std::to_string(exit_code));
   require(silent->close_reason == "closed by the peer",
           "the silent client's connection ended with: " + silent->close_reason);
   if (!arrived_first)
@@ -137,9 +139,9 @@
   ASSERT_GT(rejected_count, 0);
 }
 
-// The program is terminated while responses are partly written, because their client does not read:
-// it waits for the client and rejects the requests behind that it has not started. A new process
-// can listen at the same address at once.
+// SIGTERM arrives while responses are partly written, because their client does not read. The
+// program waits for the client and rejects those of its requests that have not started. When it has
+// exited, a new process can listen at the same address at once.
 TEST_P(Shutdown, WaitsForSlowReaderAndFreesListenAddress) {
   constexpr int kRequestCount = 160;  // far more responses than the kernel buffers
   GatewayHarness harness(protocol(), 2, 0);
@@ -155,7 +157,7 @@
     slow->send_request(read_request("slow" + std::to_string(i)));
   harness.await_first_attempt("slow0");
   harness.gateway.send_signal(SIGTERM);
-  idle->await_close("the listener and idle clients to be closed");
+  idle->await_close("the listener and the connections of idle clients to be closed");
   ASSERT_EQ(harness.attempt_count("slow" + std::to_string(kRequestCount - 1)), 0);
   ASSERT_TRUE(harness.gateway.is_running());
 
--- a/tests/integration/stub_endpoint.cpp
+++ b/tests/integration/stub_endpoint.cpp
@@ -59,7 +59,7 @@
 
   [[nodiscard]] ScriptedResponse next_response(const Request& request) const {
     if (request.is_write && !endpoint.replication.is_primary)
-      return ScriptedResponse::RejectNotPrimary;  // independent of the script
+      return ScriptedResponse::RejectNotPrimary;  // whatever the script says
     std::deque<ScriptedResponse>& script = endpoint.harness_.script;
     if (script.empty())
       return ScriptedResponse::Succeed;
@@ -73,7 +73,8 @@
     ++endpoint.request_count;
     for (const auto& earlier : harness.attempts)
       if (earlier.request.id == request.id && earlier.in_flight)
-        report_callback_failure("two attempts of request " + request.id + " are in flight at once");
+        report_callback_failure("request " + request.id + " has attempts in flight at " +
+                                earlier.endpoint->name + " and " + endpoint.name + " at once");
     const ScriptedResponse response = next_response(request);
     const bool may_have_run = response != ScriptedResponse::RejectNotPrimary &&
                               response != ScriptedResponse::RejectOverloaded;
@@ -115,7 +116,8 @@
         accept(std::move(socket));
       }) {
   const auto error = listener_.listen("127.0.0.1:0");
-  require(!error, error ? "a stub endpoint cannot listen: " + error->message : std::string());
+  require(!error, error ? "endpoint " + name + " cannot listen on 127.0.0.1:0: " + error->message
+                        : std::string());
   address = listener_.address();
 }
 
--- a/tests/integration/stub_endpoint.h
+++ b/tests/integration/stub_endpoint.h
@@ -28,12 +28,12 @@
   /// Sends the paused handshake replies; no handshake is paused from then on.
   void resume_handshakes();
   [[nodiscard]] int open_connection_count() const;
-  /// Waits until the gateway has closed all connections, as it does once it has applied a list
-  /// without the endpoint. This is visible from outside.
+  /// Waits until the gateway has closed all connections, which shows that it has applied a list
+  /// without the endpoint.
   void await_connections_closed() const;
   /// Sends `response` to each request that has no response yet.
   void respond_to_open_attempts(ScriptedResponse response = ScriptedResponse::Succeed);
-  /// Sends `bytes` on each open connection without a request.
+  /// Sends `bytes` on each open connection; they respond to no request.
   void send_unsolicited(const std::string& bytes);
   /// Closes the open connections and keeps listening.
   void close_connections();
@@ -46,9 +46,9 @@
   bool listed_as_primary;
   ReplicationStatus replication;
   int request_count = 0;
-  int health_check_count = 0;       ///< Without the handshakes that open connections.
+  int health_check_count = 0;       ///< The handshakes that open connections do not count.
   std::size_t min_value_bytes = 0;  ///< Values are padded to this length.
-  bool pauses_handshakes = false;   ///< No new connection gets a handshake reply meanwhile.
+  bool pauses_handshakes = false;   ///< While set, no new connection gets a handshake reply.
   int idle_close_ms = 0;            ///< Closes a connection at the first message after this idle
                                     ///< time; 0: never.
   int idle_close_count = 0;
--- a/tests/integration/test_client.cpp
+++ b/tests/integration/test_client.cpp
@@ -33,7 +33,7 @@
       [this] {
         return !responses.empty();
       },
-      "a response to the client");
+      "a response to a client");
   const ClientResult result = responses.front();
   responses.pop_front();
   return result;
@@ -52,7 +52,7 @@
       [this] {
         return is_flushed();
       },
-      "the client's bytes to be written");
+      "the kernel to accept the client's bytes");
 }
 
 ClientResult TestClient::send_and_await(const Request& request) {
--- a/tests/integration/test_client.h
+++ b/tests/integration/test_client.h
@@ -27,7 +27,7 @@
   ClientResult await_response();
   ClientResult send_and_await(const Request& request);
 
-  /// Waits until the gateway has closed the connection; `awaited` describes the reason.
+  /// Waits until the gateway has closed the connection; `awaited` says why it should.
   void await_close(const std::string& awaited);
   /// Waits until the kernel has accepted all written bytes.
   void await_flushed();
@@ -44,10 +44,10 @@
   /// Shuts down the sending side only.
   void shut_down_writing() { stream_->shut_down_sending(); }
 
-  std::string last_value;      ///< Of the last response with a value.
+  std::string last_value;      ///< The value of the last response that had one.
   std::string unparsed_input;  ///< Bytes received that form no complete response yet.
   bool closed_by_gateway = false;
-  std::string close_reason;  ///< As the socket reports it.
+  std::string close_reason;  ///< As the socket reports it; empty while the connection is open.
   std::deque<ClientResult> responses;
 
 private:
--- a/tests/integration/test_harness.cpp
+++ b/tests/integration/test_harness.cpp
@@ -39,7 +39,7 @@
 
 std::string make_temporary_folder() {
   std::string name = "/tmp/gorsebeam-integration-XXXXXX";
-  require(mkdtemp(name.data()) != nullptr, "a temporary folder cannot be made");
+  require(mkdtemp(name.data()) != nullptr, "cannot create a temporary folder in /tmp");
   return name;
 }
 
@@ -263,7 +263,8 @@
 }
 
 void expect_contains(const std::string& text, const std::string& part) {
-  ASSERT_NE(text.find(part), std::string::npos) << "'" << text << "' lacks '" << part << "'";
+  ASSERT_NE(text.find(part), std::string::npos)
+      << "'" << text << "' does not contain '" << part << "'";
 }
 
 }  // namespace test_harness
--- a/tests/integration/test_harness.h
+++ b/tests/integration/test_harness.h
@@ -19,7 +19,7 @@
 
 /// The settings of the platform's configuration in which tests differ.
 struct PlatformSettings {
-  int connect_timeout_ms = 250;  ///< For a connection to an endpoint.
+  int connect_timeout_ms = 250;  ///< For connections to endpoints.
   /// How long a group drops duplicates of a write with an idempotency key.
   int deduplication_window_ms = 2000;
   int keepalive_ms = 30'000;        ///< The idle time after which endpoints close connections.
@@ -27,6 +27,7 @@
   std::string listen_address = "127.0.0.1:0";
 };
 
+/// Runs the built program with stub endpoints and records each attempt that they see.
 class GatewayHarness {
 public:
   /// One attempt of a request as an endpoint saw it.
@@ -37,9 +38,9 @@
     bool may_have_run;
   };
 
-  /// Creates `endpoint_count` endpoints of group 0, named `m0`, `m1` and so on. The first is listed
-  /// as the primary; the one at `primary_index` is the primary. `operator_text` goes into the
-  /// operators' file.
+  /// Creates `endpoint_count` endpoints of group 0, named `m0`, `m1` and so on. The first one is
+  /// listed as the primary; the one at `primary_index` is the actual primary. `operator_text` goes
+  /// into the operators' file.
   GatewayHarness(const Protocol& wire_protocol, std::size_t endpoint_count,
                  std::size_t primary_index, const std::string& operator_text = "");
   GatewayHarness(const GatewayHarness&) = delete;
@@ -57,7 +58,7 @@
   /// Writes the inventory with the endpoints' listed status, lets a running program reload it and
   /// waits until it has.
   void publish_inventory();
-  /// Takes effect at the next start.
+  /// Writes a configuration with `settings`, which takes effect at the next start.
   void set_platform_settings(const PlatformSettings& settings);
   /// From the next start on, the endpoint list comes from `agent_address` and not from a file.
   void use_discovery(const std::string& agent_address);
@@ -85,17 +86,17 @@
   /// Waits until an endpoint has seen the first attempt of the request.
   void await_first_attempt(const std::string& request_id) const;
   /// Asserts that each request had exactly one response, one idempotency key and a bounded number
-  /// of attempts, and that no request was retried that may have run and must not run twice. Stub
-  /// endpoints check that no two attempts of a request overlap as they arrive.
+  /// of attempts, and that no request was retried that may have run and must not run twice. That no
+  /// two attempts of a request are in flight at once, the stub endpoints check at each arrival.
   void expect_invariants() const;
   /// As expect_invariants(), and the program still runs.
   void expect_invariants_and_running() const;
 
   const Protocol& protocol;
   std::vector<std::unique_ptr<StubEndpoint>> endpoints;
-  std::deque<ScriptedResponse> script;  ///< One for each next attempt; afterwards Succeed.
+  std::deque<ScriptedResponse> script;  ///< One for each next attempt; later attempts succeed.
   GatewayProcess gateway;
-  std::string listen_host = "127.0.0.1";  ///< Of the MongoDB listener, in the operators' file.
+  std::string listen_host = "127.0.0.1";  ///< The MongoDB listener's, in the operators' file.
   std::vector<Attempt> attempts;
   std::map<std::string, int> sent_requests;  ///< How often each request id was sent.
   int response_count = 0;                    ///< Final responses that clients received.
@@ -121,8 +122,8 @@
 /// Sends `count` reads one after another and asserts that each is served.
 void expect_reads_served(TestClient& client, const std::string& id_prefix, int count);
 
-/// Sends requests that fail without an attempt, one after another, so that the gateway has read
-/// what other clients sent before.
+/// Waits until the gateway has read what other clients sent before, by sending it requests that
+/// fail without an attempt, one after another.
 void await_gateway_loop_iterations(TestClient& client, const std::string& id_prefix);
 /// Asserts that `text` contains `part`.
 void expect_contains(const std::string& text, const std::string& part);
--- a/tests/integration/text_file.h
+++ b/tests/integration/text_file.h
@@ -1,4 +1,4 @@
-/// Text files as input of the program, and checks of its messages about them.
+/// Text files that the program reads, and checks of its messages about them.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/integration/upstream_bytes_test.cpp
+++ b/tests/integration/upstream_bytes_test.cpp
@@ -1,4 +1,4 @@
-// Bytes from an endpoint that belong to no response or to an unbounded one.
+// Bytes from an endpoint that belong to no response, or to a response without an end.
 #include "gateway_integration_test.h"
 
 using namespace test_harness;
@@ -14,12 +14,13 @@
     SCOPED_TRACE(bytes == message ? "a complete message" : "half a message");
     WarmGateway warm(protocol(), 2, 12);
     for (int round = 0; round < 5; ++round) {
-      // These bytes and the request arrive while the program is frozen.
+      // The unsolicited bytes and the request arrive while the program is frozen.
       warm.harness.gateway.freeze();
       for (const auto& endpoint : warm.harness.endpoints)
         endpoint->send_unsolicited(bytes);
       const std::string id = "b" + std::to_string(round);
-      // A single-shot write is served, because the gateway writes it to no unusable connection.
+      // A single-shot write would fail if the gateway wrote it to a connection that it then has to
+      // close.
       warm.client->send_request(round % 2 == 1 ? read_request(id) : single_shot_write(id));
       warm.client->await_flushed();
       warm.harness.gateway.resume();
