--- a/src/connection_admission/connection_admission.h
+++ b/src/connection_admission/connection_admission.h
@@ -1,6 +1,7 @@
 /// Selects the idle client connections that are closed to make room for others.
 ///
-/// Pure: it receives descriptions of the connections and returns an order of closing. A connection
+/// Performs no I/O: it receives descriptions of connections and returns an order of closing. A
+/// connection
 /// may be closed at any time between two requests, but if a request is in transit at that time, the
 /// client has to open a new connection. A connection is therefore kept longer if its client is
 /// likely to use it again.
@@ -22,8 +23,8 @@
 
 /// A connection that may be closed while too many are open.
 struct CloseCandidate {
-  std::size_t index = 0;  ///< As in `IdleConnection`.
-  std::size_t above = 0;  ///< It is closed only while more connections than this are open.
+  std::size_t index = 0;        ///< As in `IdleConnection`.
+  std::size_t close_above = 0;  ///< It is closed only while more connections than this are open.
 };
 
 /// Ranks the connections that may be closed when a new one finds no capacity; the caller closes the
@@ -39,7 +40,7 @@
 ///  - above a quarter of the capacity, those idle for 2.05 s;
 ///  - above half of the capacity, those with one answered request, idle for 0.1 s.
 /// Clients that send one request and keep the connection must not use up the capacity of others,
-/// and clients often may open fewer connections than this gateway accepts.
+/// and clients are often allowed fewer connections than this gateway accepts.
 [[nodiscard]] std::vector<CloseCandidate> rank_surplus(std::vector<IdleConnection> idle,
                                                        TimePoint now, std::size_t connected,
                                                        std::size_t max_connections);
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -1,5 +1,4 @@
-/// Accepts the connections of one protocol's clients within limits, and closes them at the
-/// shutdown.
+/// Accepts the connections of one protocol's clients within limits, and closes them at shutdown.
 #pragma once
 
 #include "client_connection.h"
@@ -21,11 +20,16 @@
 namespace gorsebeam::frontend {
 
 struct FrontendLimits {
-  std::size_t connections = 480;  ///< Connections that are served at the same time.
-  std::size_t rejecting = 32;     ///< Accepted beyond `connections`, to be rejected with an error.
-  std::size_t lingering = 32;     ///< Connections that linger (see `ClientConnection`).
-  std::size_t message_bytes = 256 * 1024;  ///< Size of one message.
-  std::size_t buffered_bytes = 16 << 20;   ///< Of all connections together, upstream ones included.
+  /// The connections that are served at the same time.
+  std::size_t max_connections = 480;
+  /// The connections that are accepted beyond `max_connections`, to be rejected with an error.
+  std::size_t max_rejected_connections = 32;
+  /// The connections that linger (see `ClientConnection::is_lingering`).
+  std::size_t max_lingering_connections = 32;
+  /// The size of one message of a client.
+  std::size_t max_message_bytes = 256 * 1024;
+  /// The size of the buffers of all connections of the process, those to endpoints included.
+  std::size_t max_buffered_bytes = 16 << 20;
 };
 
 /// Owns the client connections of one protocol. All functions run on the main loop's thread.
@@ -38,8 +42,8 @@
   Frontend(proxy::RequestBroker& broker, const FrontendLimits& limits,
            ConnectionFactory make_connection);
 
-  /// May be called again with another address: the old socket is closed once the new one is open;
-  /// connections are not affected.
+  /// Listens on `address`. May be called again with another address: the old socket is closed once
+  /// the new one is open; connections are not affected.
   [[nodiscard]] std::optional<net::ListenError> listen(const std::string& address);
 
   /// The listening address with its actual port; empty while the frontend does not listen.
@@ -52,8 +56,9 @@
 
   [[nodiscard]] bool is_stopping() const { return is_stopping_; }
 
-  /// No connection is left.
-  [[nodiscard]] bool empty() const {
+  /// Whether no connection is left and, if the frontend is stopping, its listening socket is
+  /// closed.
+  [[nodiscard]] bool is_drained() const {
     return connections_.empty() && lingering_.empty() && !(is_stopping_ && listener_->is_open());
   }
 
@@ -64,7 +69,7 @@
 
   [[nodiscard]] const FrontendLimits& limits() const { return limits_; }
 
-  /// Takes effect at once; connections beyond the new limits are closed once they are idle.
+  /// Applies `limits` at once; connections beyond them are closed once they are idle.
   void set_limits(const FrontendLimits& limits);
 
   /// Destroys a closed connection in the next iteration of the event loop.
@@ -90,7 +95,7 @@
   void add_accepted(net::SocketHandle socket);
   [[nodiscard]] bool is_full() const;
 
-  /// The idle connections; the kernel may hold unread input of them.
+  /// The idle connections; the kernel may hold unread input from them.
   [[nodiscard]] IdleConnections idle_connections() const;
 
   /// Closes one idle connection to make room for a new one. Returns false if there is none.
@@ -109,7 +114,7 @@
   std::unique_ptr<net::Listener> listener_;
   std::map<ClientConnection*, OwnedConnection> connections_;
   std::vector<OwnedConnection> removed_;  ///< Closed, and destroyed in the next iteration.
-  std::list<OwnedConnection> lingering_;  ///< In the order in which they began to linger.
+  std::list<OwnedConnection> lingering_;  ///< Ordered by when they began to linger.
   net::Timer removal_timer_;
   net::Timer stop_timer_;
   net::Timer maintenance_timer_;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -22,12 +22,12 @@
 class Gateway {
 public:
   /// Throws settings::FormatError if the process's limit on open files is too low.
-  explicit Gateway(Plan plan);
+  explicit Gateway(GatewayConfig config);
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
   ~Gateway();
 
-  /// Begins to listen; returns an error if a frontend cannot.
+  /// Starts to listen; returns an error if a frontend cannot listen.
   [[nodiscard]] std::optional<net::ListenError> start();
 
   /// Runs until a signal ends the process: until all requests are answered, or the deadline of the
@@ -43,25 +43,25 @@
   /// Reads all files again, on SIGHUP. They are read and validated before anything changes: an
   /// invalid file is logged and changes nothing.
   void reload();
-  void apply_plan(const Plan& plan);
+  void apply_config(const GatewayConfig& config);
 
-  /// Why a valid plan cannot be applied to the running process; nothing if it can.
-  [[nodiscard]] std::optional<std::string> restart_reason(const Plan& plan) const;
+  /// Why valid settings cannot be applied to the running process; empty if they can.
+  [[nodiscard]] std::optional<std::string> restart_reason(const GatewayConfig& config) const;
 
-  /// Moves the MongoDB listener if its address differs.
-  [[nodiscard]] std::optional<net::ListenError> move_mongo_listener(const Plan& plan);
+  /// Moves the MongoDB listener if `config` has a new address for it.
+  [[nodiscard]] std::optional<net::ListenError> move_mongo_listener(const GatewayConfig& config);
 
   /// Applies the settings that only the operators' file has: the log's format and the SQL
   /// classifier.
-  void apply_file(const config::pb::Gateway& file);
+  void apply_operator_file(const config::pb::Gateway& file);
 
-  /// Puts changed contracts, endpoints and limits in force.
+  /// Applies changed contracts, endpoints and limits.
   void apply_update(const control_plane::ConfigurationUpdate& update);
   void apply_contracts(const config::pb::Contracts& contracts);
   void apply_endpoints(const config::pb::Members& endpoints);
   void apply_limits(const config::pb::Limits& limits);
 
-  Plan plan_;
+  GatewayConfig config_;
   net::MainLoopHandle loop_;
   proxy::ContractEnforcer contracts_;
   std::shared_ptr<const gorsebeam::sql_classifier::SqlClassifier>
--- a/src/postgres/statement.cpp
+++ b/src/postgres/statement.cpp
@@ -25,7 +25,7 @@
   return text;
 }
 
-void set_term(Statement& statement, std::string_view name, std::string_view value) {
+void set_field(Statement& statement, std::string_view name, std::string_view value) {
   if (name == "id")
     statement.id = value;
   else if (name == "c")
@@ -42,20 +42,21 @@
     statement.retry = value;
 }
 
-/// Sets the terms that the text of a comment holds; a later one replaces an earlier one.
-void read_terms(std::string_view comment, Statement& statement) {
+/// Sets the fields of `statement` that the text of a comment holds. A field that occurs again
+/// replaces the earlier one.
+void read_comment_fields(std::string_view comment, Statement& statement) {
   while (!comment.empty()) {
     const std::size_t comma = comment.find(',');
     const std::string_view pair = trim(comment.substr(0, comma));
     comment = comma == std::string_view::npos ? std::string_view() : comment.substr(comma + 1);
     const std::size_t equals = pair.find('=');
     if (equals != std::string_view::npos)
-      set_term(statement, pair.substr(0, equals), pair.substr(equals + 1));
+      set_field(statement, pair.substr(0, equals), pair.substr(equals + 1));
   }
 }
 
-/// The position of the quote that ends a literal whose content begins at `begin`; npos if it does
-/// not end. A quote within the literal is doubled.
+/// Returns the position of the quote that ends a literal whose content begins at `begin`, or npos
+/// if the literal does not end. A doubled quote belongs to the content.
 std::size_t find_closing_quote(std::string_view text, std::size_t begin) {
   std::size_t quote = text.find('\'', begin);
   while (quote != std::string_view::npos && text.compare(quote, 2, "''") == 0)
@@ -69,7 +70,7 @@
          g_ascii_strncasecmp(word.data(), kSelect.data(), kSelect.size()) == 0;
 }
 
-/// Scans the text of a statement once.
+/// Reads the text of a statement in one pass.
 class StatementScanner {
 public:
   explicit StatementScanner(std::string_view text) : text_(text) {}
@@ -83,17 +84,18 @@
   }
 
 private:
-  /// Returns false if a comment or a literal does not end.
+  /// Reads the next comment, literal, first word or character. Returns false if a comment or a
+  /// literal does not end.
   bool scan_next() {
     if (text_.compare(position_, 2, "/*") == 0)
       return scan_comment();
     const char c = text_[position_];
-    if (!is_space(c) && c != ';' && has_ended_)
-      statement_.has_multiple = true;
+    if (!is_space(c) && c != ';' && has_seen_semicolon_)
+      statement_.has_multiple_statements = true;
     if (c == '\'')
       return scan_literal();
     if (c == ';')
-      has_ended_ = true;
+      has_seen_semicolon_ = true;
     if (first_word_.empty() && is_letter(c))
       scan_first_word();
     else
@@ -106,7 +108,7 @@
     const std::size_t end = text_.find("*/", begin);
     if (end == std::string_view::npos)
       return false;
-    read_terms(text_.substr(begin, end - begin), statement_);
+    read_comment_fields(text_.substr(begin, end - begin), statement_);
     position_ = end + 2;
     return true;
   }
@@ -132,7 +134,7 @@
   std::string_view text_;
   std::size_t position_ = 0;
   std::string_view first_word_;
-  bool has_ended_ = false;  ///< A semicolon was scanned.
+  bool has_seen_semicolon_ = false;  ///< A semicolon outside of comments and literals was read.
   Statement statement_;
 };
 
--- a/src/proxy/endpoint_directory.cpp
+++ b/src/proxy/endpoint_directory.cpp
@@ -6,10 +6,11 @@
 namespace gorsebeam::proxy {
 namespace {
 
+// The router uses this id to mean that there is no endpoint.
 constexpr EndpointId kReservedEndpointId = 0xffffffff;
-constexpr std::size_t kIdDigits = 8;
+constexpr std::size_t kIdDigits = 8;  // hexadecimal digits of a 32-bit id
 
-/// FNV-1a, 32 bits.
+/// The 32-bit FNV-1a hash of `text`.
 std::uint32_t hash_of(const std::string& text) {
   constexpr std::uint32_t kOffsetBasis = 2166136261;
   constexpr std::uint32_t kPrime = 16777619;
@@ -42,7 +43,7 @@
   return id;
 }
 
-void EndpointDirectory::forget(EndpointId endpoint) {
+void EndpointDirectory::release_id(EndpointId endpoint) {
   const auto name = names_.find(endpoint);
   if (name == names_.end())
     return;
@@ -50,7 +51,7 @@
   names_.erase(name);
 }
 
-std::vector<EndpointId> EndpointDirectory::all_but(const std::set<std::string>& names) const {
+std::vector<EndpointId> EndpointDirectory::ids_except(const std::set<std::string>& names) const {
   std::vector<EndpointId> others;
   for (const auto& [id, name] : names_) {
     if (names.count(name) == 0)
