--- a/tests/fault_soak/delayed_tasks.cpp
+++ b/tests/fault_soak/delayed_tasks.cpp
@@ -1,6 +1,5 @@
 #include "delayed_tasks.h"
 
-#include <cstdint>
 #include <iterator>
 #include <utility>
 
@@ -8,17 +7,15 @@
 
 using gorsebeam::net::Timer;
 
-namespace {}  // namespace
-
 void DelayedTasks::run_after(Millis delay, std::function<void()> task) {
   timers_.push_back(nullptr);
-  const auto place = std::prev(timers_.end());
-  *place = std::make_unique<Timer>([this, place, task = std::move(task)] {
-    const std::unique_ptr<Timer> expired = std::move(*place);
-    timers_.erase(place);
+  const auto entry = std::prev(timers_.end());
+  *entry = std::make_unique<Timer>([this, entry, task = std::move(task)] {
+    const std::unique_ptr<Timer> expired = std::move(*entry);
+    timers_.erase(entry);
     task();
   });
-  (*place)->after(std::chrono::milliseconds(delay));
+  (*entry)->after(std::chrono::milliseconds(delay));
 }
 
 }  // namespace fault_soak
--- a/tests/fault_soak/fake_client.cpp
+++ b/tests/fault_soak/fake_client.cpp
@@ -25,10 +25,10 @@
 }
 
 // Six of ten requests are reads, one is a single-shot write.
-ServiceClass class_of(Millis draw_of_ten) {
-  if (draw_of_ten < 6)
+ServiceClass class_for_draw(Millis draw) {
+  if (draw < 6)
     return ServiceClass::Idempotent;
-  return draw_of_ten < 9 ? ServiceClass::Keyed : ServiceClass::SingleShot;
+  return draw < 9 ? ServiceClass::Keyed : ServiceClass::SingleShot;
 }
 
 }  // namespace
@@ -38,7 +38,7 @@
     : context_(context), gateway_(gateway), process_(process), behavior_(behavior) {}
 
 void FakeClient::connect() {
-  if (context_.is_over || !process_.is_ready())
+  if (context_.is_run_over || !process_.is_ready())
     return;
   input_.clear();
   stream_ = Stream::connect(process_.address(), *this);
@@ -46,9 +46,9 @@
     stream_->write({postgres().client_handshake()});
 }
 
-void FakeClient::send_next() {
+void FakeClient::send_next_request() {
   const bool is_idle = behavior_ == Behavior::Idle;
-  if (context_.is_over || is_idle || !request_id_.empty() || !is_connected())
+  if (context_.is_run_over || is_idle || !request_id_.empty() || !is_connected())
     return;
   const std::string id =
       "r" + std::to_string(gateway_) + "x" + std::to_string(context_.next_request_number);
@@ -58,7 +58,7 @@
 }
 
 Request FakeClient::draw_request(const std::string& id) {
-  service_class_ = class_of(context_.traffic_random.between(0, 9));
+  service_class_ = class_for_draw(context_.traffic_random.between(0, 9));
   Request request;
   request.id = id;
   request.service_class = class_name(service_class_);
@@ -83,9 +83,9 @@
   });
 }
 
-void FakeClient::send_next_after(Millis delay) {
+void FakeClient::send_next_request_after(Millis delay) {
   context_.tasks.run_after(delay, [this] {
-    send_next();
+    send_next_request();
   });
 }
 
@@ -94,7 +94,7 @@
   stream_->close();
   context_.tasks.run_after(context_.traffic_random.between(5, 100), [this] {
     connect();
-    send_next_after(10);
+    send_next_request_after(10);
   });
 }
 
@@ -106,17 +106,18 @@
       continue;  // the error before the gateway closes a connection
     context_.oracle.response_received(std::exchange(request_id_, ""), now_ms());
     ++context_.report.result_counts[result_name(response->result)];
-    send_next_after(context_.traffic_random.between(5, 250));
+    send_next_request_after(context_.traffic_random.between(5, 250));
   }
 }
 
 void FakeClient::ended(const std::string&) {
   const Millis now = now_ms();
-  const bool has_crossed =
+  const bool close_raced_request =
       !request_id_.empty() &&
-      context_.oracle.connection_ended(request_id_, now) == ConnectionClose::CrossedRequest;
-  const AfterReconnect next =
-      has_crossed && deadline_ > now ? AfterReconnect::SendAgain : AfterReconnect::SendNext;
+      context_.oracle.connection_ended(request_id_, now) == ConnectionClose::RacedRequest;
+  const AfterReconnect next = close_raced_request && deadline_ > now
+                                  ? AfterReconnect::ResendRequest
+                                  : AfterReconnect::SendNextRequest;
   request_id_.clear();
   context_.tasks.run_after(context_.traffic_random.between(1, 40), [this, next] {
     reconnect(next);
@@ -125,8 +126,8 @@
 
 void FakeClient::reconnect(AfterReconnect next) {
   connect();
-  if (next == AfterReconnect::SendNext || !is_connected()) {
-    send_next_after(context_.traffic_random.between(5, 100));
+  if (next == AfterReconnect::SendNextRequest || !is_connected()) {
+    send_next_request_after(context_.traffic_random.between(5, 100));
     return;
   }
   request_.timeout_ms = static_cast<int>(std::max<Millis>(deadline_ - now_ms(), 20));
--- a/tests/fault_soak/fake_client.h
+++ b/tests/fault_soak/fake_client.h
@@ -25,17 +25,17 @@
 
   void connect();
   /// Sends a request if none is in flight.
-  void send_next();
+  void send_next_request();
 
 private:
-  enum class AfterReconnect { SendNext, SendAgain };
+  enum class AfterReconnect { SendNextRequest, ResendRequest };
 
   void received() override;
   void ended(const std::string&) override;
 
   [[nodiscard]] test_harness::Request draw_request(const std::string& id);
   void send(const std::string& id);
-  void send_next_after(Millis delay);
+  void send_next_request_after(Millis delay);
   void disconnect();
   void reconnect(AfterReconnect next);
 
--- a/tests/fault_soak/fake_discovery_agent.cpp
+++ b/tests/fault_soak/fake_discovery_agent.cpp
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-FakeDiscoveryAgent::FakeDiscoveryAgent(std::function<void()> on_notified)
-    : on_notified_(std::move(on_notified)), heartbeat_([this] {
+FakeDiscoveryAgent::FakeDiscoveryAgent(std::function<void()> on_list_sent)
+    : on_list_sent_(std::move(on_list_sent)), heartbeat_([this] {
         send_heartbeat();
       }) {
   listen("127.0.0.1:0");
@@ -28,7 +28,7 @@
 }
 
 void FakeDiscoveryAgent::send_heartbeat() {
-  if (is_serving() && has_sent_head_ && watch_->is_open())
+  if (is_serving() && has_sent_response_head_ && watch_->is_open())
     write_chunk("\n");
   heartbeat_.after(kHeartbeatInterval);
 }
@@ -45,7 +45,7 @@
 void FakeDiscoveryAgent::accept(SocketHandle socket) {
   watch_descriptor_ = g_socket_get_fd(socket.get());
   watch_ = Stream::adopt(std::move(socket), *this);
-  has_sent_head_ = false;
+  has_sent_response_head_ = false;
 }
 
 void FakeDiscoveryAgent::received() {
@@ -54,14 +54,14 @@
   watch_->input().consume(watch_->input().size());
   if (!is_serving())
     return;
-  has_sent_head_ = true;
+  has_sent_response_head_ = true;
   watch_->write({test_harness::kWatchResponseHead});
   send_list();
 }
 
 void FakeDiscoveryAgent::send_list() {
   write_chunk(test_harness::encode_endpoint_list(revision_, endpoints_));
-  on_notified_();
+  on_list_sent_();
 }
 
 void FakeDiscoveryAgent::write_chunk(const std::string& line) {
@@ -76,14 +76,14 @@
   }
   if (previous == State::Refusing && state != State::Refusing)
     listen(listening_address_);
-  if (is_serving() && has_open_watch() && has_sent_head_)
+  if (is_serving() && has_open_watch() && has_sent_response_head_)
     send_list();
 }
 
 void FakeDiscoveryAgent::publish(const std::vector<test_harness::ListedEndpoint>& endpoints) {
   endpoints_ = endpoints;
   ++revision_;
-  if (is_serving() && has_open_watch() && has_sent_head_)
+  if (is_serving() && has_open_watch() && has_sent_response_head_)
     send_list();
 }
 
--- a/tests/fault_soak/fake_discovery_agent.h
+++ b/tests/fault_soak/fake_discovery_agent.h
@@ -18,8 +18,8 @@
 public:
   enum class State { Serving, Silent, Refusing };
 
-  /// `on_notified` runs whenever a list has been written to an open watch.
-  explicit FakeDiscoveryAgent(std::function<void()> on_notified);
+  /// `on_list_sent` runs whenever a list has been written to an open watch.
+  explicit FakeDiscoveryAgent(std::function<void()> on_list_sent);
   FakeDiscoveryAgent(const FakeDiscoveryAgent&) = delete;
   FakeDiscoveryAgent& operator=(const FakeDiscoveryAgent&) = delete;
 
@@ -49,12 +49,12 @@
   void send_heartbeat();
   void write_chunk(const std::string& line);
 
-  std::function<void()> on_notified_;
+  std::function<void()> on_list_sent_;
   std::unique_ptr<gorsebeam::net::Listener> listener_;
   std::string listening_address_;
   std::shared_ptr<gorsebeam::net::Stream> watch_;
   int watch_descriptor_ = -1;
-  bool has_sent_head_ = false;  ///< To the open watch.
+  bool has_sent_response_head_ = false;  ///< To the open watch.
   std::vector<test_harness::ListedEndpoint> endpoints_;
   int revision_ = 1;
   State state_ = State::Serving;
--- a/tests/fault_soak/fake_endpoint.cpp
+++ b/tests/fault_soak/fake_endpoint.cpp
@@ -21,8 +21,8 @@
 
 /// One connection of a gateway.
 struct FakeEndpoint::Connection : Stream::Events, std::enable_shared_from_this<Connection> {
-  Connection(FakeEndpoint& its_endpoint, int its_gateway, SocketHandle socket)
-      : endpoint(its_endpoint), context(its_endpoint.context_), gateway(its_gateway),
+  Connection(FakeEndpoint& owner, int gateway_index, SocketHandle socket)
+      : endpoint(owner), context(owner.context_), gateway(gateway_index),
         stream(Stream::adopt(std::move(socket), *this)) {}
 
   void received() override {
--- a/tests/fault_soak/fault_injector.cpp
+++ b/tests/fault_soak/fault_injector.cpp
@@ -37,7 +37,7 @@
       &FaultInjector::terminate_gateway,
       &FaultInjector::kill_gateway,
       &FaultInjector::reload_gateway,
-      &FaultInjector::disturb_agent,
+      &FaultInjector::inject_agent_fault,
       &FaultInjector::drain_endpoint,
       &FaultInjector::make_endpoint_unresponsive,
       &FaultInjector::close_endpoint_connections,
@@ -60,7 +60,7 @@
 }
 
 void FaultInjector::log_fault(const std::string& kind, const std::string& detail) {
-  ++context_.report.faults[kind];
+  ++context_.report.fault_counts[kind];
   context_.report.fault_log.push_back(std::to_string(now_ms() - started_at_) + " " + kind + " " +
                                       detail);
 }
@@ -109,7 +109,7 @@
   gateway.reload_with_moved_agent();
 }
 
-void FaultInjector::disturb_agent() {
+void FaultInjector::inject_agent_fault() {
   using State = FakeDiscoveryAgent::State;
   GatewayUnderTest& gateway = draw_gateway();
   FakeDiscoveryAgent& agent = gateway.agent();
--- a/tests/fault_soak/fault_injector.h
+++ b/tests/fault_soak/fault_injector.h
@@ -35,7 +35,7 @@
   void terminate_gateway();
   void kill_gateway();
   void reload_gateway();
-  void disturb_agent();
+  void inject_agent_fault();
   void drain_endpoint();
   void make_endpoint_unresponsive();
   void close_endpoint_connections();
--- a/tests/fault_soak/fault_soak_environment.cpp
+++ b/tests/fault_soak/fault_soak_environment.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr Millis kMaxResponseTime = 4000;  // after the last fault
+constexpr Millis kWaitAfterLastFault = 4000;  // after the last fault
 
 std::string make_temporary_folder() {
   std::string name = "/tmp/gorsebeam-fault-soak-XXXXXX";
@@ -30,7 +30,7 @@
 
 FaultSoakEnvironment::FaultSoakEnvironment(const SoakSettings& settings)
     : context_(settings), folder_(make_temporary_folder()), endpoints_(context_),
-      faults_(context_, gateways_, endpoints_) {
+      fault_injector_(context_, gateways_, endpoints_) {
   for (int i = 0; i < settings.gateways; ++i)
     gateways_.push_back(std::make_unique<GatewayUnderTest>(context_, endpoints_, i, folder_));
 }
@@ -49,8 +49,8 @@
   while (!condition()) {
     wake.after(std::chrono::milliseconds(20));
     g_main_context_iteration(nullptr, TRUE);
-    const Millis begun = now_ms();
-    while (g_main_context_iteration(nullptr, FALSE) != FALSE && now_ms() - begun < 5) {
+    const Millis batch_started_at = now_ms();
+    while (g_main_context_iteration(nullptr, FALSE) != FALSE && now_ms() - batch_started_at < 5) {
     }
   }
 }
@@ -64,7 +64,7 @@
 }
 
 void FaultSoakEnvironment::start_gateways() {
-  faults_.publish_endpoints();
+  fault_injector_.publish_endpoints();
   for (const auto& gateway : gateways_)
     gateway->start();
   run_loop_until([this] {
@@ -76,19 +76,19 @@
 
 void FaultSoakEnvironment::run_faults() {
   started_at_ = now_ms();
-  faults_.start();
+  fault_injector_.start();
   Millis last_iteration_at = now_ms();
   run_loop_until([this, &last_iteration_at] {
     const Millis now = now_ms();
     const Millis iteration = now - std::exchange(last_iteration_at, now);
     context_.report.longest_iteration = std::max(context_.report.longest_iteration, iteration);
     context_.oracle.check_overdue(now);
-    return now - started_at_ > context_.settings.duration + kMaxResponseTime;
+    return now - started_at_ > context_.settings.duration + kWaitAfterLastFault;
   });
 }
 
 void FaultSoakEnvironment::end_processes() {
-  context_.is_over = true;
+  context_.is_run_over = true;
   for (const auto& gateway : gateways_)
     gateway->finish();
   run_loop_until([this] {
--- a/tests/fault_soak/fault_soak_environment.h
+++ b/tests/fault_soak/fault_soak_environment.h
@@ -39,7 +39,7 @@
   const std::string folder_;
   FakeEndpointGroup endpoints_;
   std::vector<std::unique_ptr<GatewayUnderTest>> gateways_;
-  FaultInjector faults_;
+  FaultInjector fault_injector_;
   Millis started_at_ = 0;
 };
 
--- a/tests/fault_soak/gateway_process.cpp
+++ b/tests/fault_soak/gateway_process.cpp
@@ -108,8 +108,8 @@
     kill(pid_, number);
 }
 
-gboolean GatewayProcess::on_log_readable(gint, GIOCondition condition, gpointer self_pointer) {
-  auto* self = static_cast<GatewayProcess*>(self_pointer);
+gboolean GatewayProcess::on_log_readable(gint, GIOCondition condition, gpointer user_data) {
+  auto* self = static_cast<GatewayProcess*>(user_data);
   self->read_log();
   if ((condition & G_IO_IN) != 0)
     return G_SOURCE_CONTINUE;
--- a/tests/fault_soak/gateway_process.h
+++ b/tests/fault_soak/gateway_process.h
@@ -42,7 +42,7 @@
   [[nodiscard]] const std::string& log() const { return log_; }
 
 private:
-  static gboolean on_log_readable(gint descriptor, GIOCondition condition, gpointer self_pointer);
+  static gboolean on_log_readable(gint descriptor, GIOCondition condition, gpointer user_data);
   void read_log();
   void find_listener_address();
   void close_log();
--- a/tests/fault_soak/gateway_under_test.cpp
+++ b/tests/fault_soak/gateway_under_test.cpp
@@ -21,7 +21,7 @@
           [this](int wait_status) {
             handle_exit(wait_status);
           }),
-      notified_statuses_(endpoints.endpoints().size(), ListedStatus::Up) {
+      statuses_known_to_oracle_(endpoints.endpoints().size(), ListedStatus::Up) {
   for (int i = 0; i < context_.settings.clients_per_gateway; ++i)
     clients_.push_back(std::make_unique<FakeClient>(context_, index_, process_,
                                                     FakeClient::Behavior::SendsRequests));
@@ -40,11 +40,11 @@
 }
 
 void GatewayUnderTest::start() {
-  if (context_.is_over)
+  if (context_.is_run_over)
     return;
   is_ending_ = false;
   context_.oracle.gateway_started(index_, now_ms());
-  notified_statuses_.assign(notified_statuses_.size(), ListedStatus::Up);
+  statuses_known_to_oracle_.assign(statuses_known_to_oracle_.size(), ListedStatus::Up);
   // The agent's list counts as known from the start of a process.
   if (agent_.is_serving())
     notify_oracle_of_list();
@@ -55,7 +55,7 @@
   for (const auto& client : clients_) {
     client->connect();
     context_.tasks.run_after(context_.traffic_random.between(5, 200), [&client = *client] {
-      client.send_next();
+      client.send_next_request();
     });
   }
 }
@@ -69,8 +69,8 @@
                                               " ended with wait status " +
                                               std::to_string(wait_status),
                                           now_ms()});
-  context_.oracle.gateway_killed(index_);
-  if (context_.is_over)
+  context_.oracle.gateway_exited(index_);
+  if (context_.is_run_over)
     return;
   context_.tasks.run_after(context_.traffic_random.between(20, 400), [this] {
     start();
@@ -79,7 +79,7 @@
 
 void GatewayUnderTest::notify_oracle_of_list() {
   for (const auto& endpoint : endpoints_.endpoints()) {
-    ListedStatus& notified = notified_statuses_[static_cast<std::size_t>(endpoint->index())];
+    ListedStatus& notified = statuses_known_to_oracle_[static_cast<std::size_t>(endpoint->index())];
     if (notified == endpoint->listed_status)
       continue;
     notified = endpoint->listed_status;
@@ -113,7 +113,7 @@
 
 void GatewayUnderTest::kill() {
   is_ending_ = true;
-  context_.oracle.gateway_killed(index_);
+  context_.oracle.gateway_exited(index_);
   process_.send_signal(SIGKILL);
 }
 
--- a/tests/fault_soak/gateway_under_test.h
+++ b/tests/fault_soak/gateway_under_test.h
@@ -67,7 +67,7 @@
   std::vector<std::unique_ptr<FakeClient>> clients_;
   std::vector<std::unique_ptr<FakeClient>> idle_clients_;
   /// By endpoint: the status that the oracle knows.
-  std::vector<test_harness::ListedStatus> notified_statuses_;
+  std::vector<test_harness::ListedStatus> statuses_known_to_oracle_;
   bool is_paused_ = false;
   bool is_ending_ = false;  ///< By SIGTERM or SIGKILL.
 };
--- a/tests/fault_soak/main.cpp
+++ b/tests/fault_soak/main.cpp
@@ -22,7 +22,7 @@
 using fault_soak::SoakSettings;
 
 // A longer iteration of the soak's own event loop makes the run void.
-constexpr fault_soak::Millis kMaxOwnIteration = 80;
+constexpr fault_soak::Millis kMaxIteration = 80;
 
 struct Options {
   SoakSettings soak;
@@ -63,7 +63,7 @@
   for (const auto& [result, count] : report.result_counts)
     std::printf(" %s %d", result.c_str(), count);
   std::printf("; faults:");
-  for (const auto& [kind, count] : report.faults)
+  for (const auto& [kind, count] : report.fault_counts)
     std::printf(" %s %d", kind.c_str(), count);
   std::printf("; longest own iteration %lld ms; violations: %zu\n",
               static_cast<long long>(report.longest_iteration), report.violations.size());
@@ -84,8 +84,8 @@
 }
 
 int run_all_seeds(Options options) {
-  int broken_runs = 0;
-  int void_runs = 0;
+  int runs_with_violations = 0;
+  int invalid_runs = 0;
   for (int i = 0; i < options.seed_count; ++i) {
     options.soak.seed = options.first_seed + static_cast<std::uint64_t>(i);
     fault_soak::FaultSoakEnvironment environment(options.soak);
@@ -93,14 +93,15 @@
     print_report(options.soak, report);
     if (!options.log_folder.empty())
       write_logs(options.log_folder, options.soak, environment, report);
-    if (report.longest_iteration > kMaxOwnIteration)
-      ++void_runs;
+    if (report.longest_iteration > kMaxIteration)
+      ++invalid_runs;
     else if (!report.violations.empty())
-      ++broken_runs;
+      ++runs_with_violations;
     std::fflush(stdout);
   }
-  std::printf("%d seeds, %d broken, %d void\n", options.seed_count, broken_runs, void_runs);
-  return broken_runs > 0 || void_runs == options.seed_count ? 1 : 0;
+  std::printf("%d seeds, %d broken, %d void\n", options.seed_count, runs_with_violations,
+              invalid_runs);
+  return runs_with_violations > 0 || invalid_runs == options.seed_count ? 1 : 0;
 }
 
 }  // namespace
--- a/tests/fault_soak/oracle.cpp
+++ b/tests/fault_soak/oracle.cpp
@@ -15,10 +15,10 @@
   state.started_at = at;
 }
 
-void Oracle::gateway_killed(int gateway) {
+void Oracle::gateway_exited(int gateway) {
   for (auto& [id, request] : requests_) {
     if (request.gateway == gateway)
-      request.is_closed = true;
+      request.is_finished = true;
   }
 }
 
@@ -52,7 +52,8 @@
 }
 
 // A pause is no excuse: the gateway reads a list that was written during the pause before it acts.
-void Oracle::check_endpoint(int gateway, int endpoint, const std::string& traffic, Millis at) {
+void Oracle::check_draining_endpoint(int gateway, int endpoint, const std::string& traffic,
+                                     Millis at) {
   const std::map<int, Millis>& draining_since = gateways_[gateway].draining_since;
   const auto found = draining_since.find(endpoint);
   if (found == draining_since.end())
@@ -79,7 +80,7 @@
   if (found == requests_.end())
     return report("unknown", "a response to no request", at);
   Request& request = found->second;
-  request.is_closed = true;
+  request.is_finished = true;
   ++request.response_count;
   if (request.response_count > 1)
     report("responses", "request " + id + " got two responses", at);
@@ -95,23 +96,23 @@
 void Oracle::client_disconnected(const std::string& id, Millis at) {
   Request& request = requests_[id];
   request.disconnected_at = at;
-  request.is_closed = true;
+  request.is_finished = true;
 }
 
-bool Oracle::is_past_termination(const Gateway& gateway, const Request& request) {
+bool Oracle::was_sent_after_termination(const Gateway& gateway, const Request& request) {
   return gateway.terminated_at > 0 && request.sent_at > gateway.terminated_at + kTerminationGrace;
 }
 
 ConnectionClose Oracle::connection_ended(const std::string& id, Millis at) {
   Request& request = requests_[id];
-  if (request.is_closed)
+  if (request.is_finished)
     return ConnectionClose::Other;
-  request.is_closed = true;
+  request.is_finished = true;
   const Gateway& gateway = gateways_[request.gateway];
   const Millis open_for = at - request.sent_at - paused_between(gateway, request.sent_at, at);
-  if (open_for < kCrossingTime + kRecordSlack && request.last_attempt_at == 0)
-    return ConnectionClose::CrossedRequest;
-  if (!is_past_termination(gateway, request))
+  if (open_for < kCloseRaceTime + kRecordSlack && request.last_attempt_at == 0)
+    return ConnectionClose::RacedRequest;
+  if (!was_sent_after_termination(gateway, request))
     report("lost",
            "the connection of request " + id + " was closed after " +
                std::to_string(at - request.sent_at) + " ms",
@@ -125,7 +126,7 @@
   if (found == requests_.end())
     return report("unknown", "an attempt of no request: " + id, at);
   Request& request = found->second;
-  check_endpoint(request.gateway, endpoint, "request " + id, at);
+  check_draining_endpoint(request.gateway, endpoint, "request " + id, at);
   if (!request.in_flight.empty())
     report("duplicate", "two attempts of request " + id + " are in flight", at);
   check_retry(request, id, at);
@@ -134,13 +135,13 @@
            "an attempt of request " + id + ", " + std::to_string(at - request.disconnected_at) +
                " ms after its client disconnected",
            at);
-  check_forwarded_time(request, id, timeout, at);
+  check_forwarded_timeout(request, id, timeout, at);
   request.in_flight.insert(endpoint);
   request.last_attempt_at = at;
 }
 
-void Oracle::check_forwarded_time(const Request& request, const std::string& id, Millis timeout,
-                                  Millis at) {
+void Oracle::check_forwarded_timeout(const Request& request, const std::string& id, Millis timeout,
+                                     Millis at) {
   const Millis time_left = request.deadline - at;
   if (timeout > time_left + kDeadlineSlack + kRecordSlack)
     report("deadline",
@@ -169,19 +170,19 @@
 }
 
 void Oracle::health_check_arrived(int gateway, int endpoint, Millis at) {
-  check_endpoint(gateway, endpoint, "a health check", at);
+  check_draining_endpoint(gateway, endpoint, "a health check", at);
 }
 
 void Oracle::check_overdue(Millis at) {
   for (auto& [id, request] : requests_) {
-    if (request.is_closed)
+    if (request.is_finished)
       continue;
     const Gateway& gateway = gateways_[request.gateway];
     const Millis paused = paused_between(gateway, request.sent_at, at);
     if (at < request.deadline + kResponseSlack + kRecordSlack + paused)
       continue;
-    request.is_closed = true;
-    if (!is_past_termination(gateway, request))
+    request.is_finished = true;
+    if (!was_sent_after_termination(gateway, request))
       report("lost", "request " + id + " has no response", at);
   }
 }
--- a/tests/fault_soak/oracle.h
+++ b/tests/fault_soak/oracle.h
@@ -30,13 +30,13 @@
 constexpr Millis kTerminationGrace = 700;
 /// A gateway may have closed the connection before it saw a request that was sent less than this
 /// time before.
-constexpr Millis kCrossingTime = 100;
+constexpr Millis kCloseRaceTime = 100;
 
 /// Whether an attempt may have had an effect, once it has ended.
 enum class Effect { None, MayHaveRun };
 
 /// Whether a gateway closed a connection at the same time as the client sent a request on it.
-enum class ConnectionClose { CrossedRequest, Other };
+enum class ConnectionClose { RacedRequest, Other };
 
 struct Violation {
   std::string rule;
@@ -50,7 +50,7 @@
 
   /// A new process of the gateway starts, which knows and owes nothing of the previous one.
   void gateway_started(int gateway, Millis at);
-  void gateway_killed(int gateway);
+  void gateway_exited(int gateway);
   void gateway_terminated(int gateway, Millis at);
   /// The process is stopped from now on.
   void gateway_paused(int gateway, Millis at);
@@ -98,7 +98,7 @@
     Millis deadline = 0;
     Millis disconnected_at = 0;  ///< 0: the client is connected.
     /// Has a response, is excused, or its gateway was killed.
-    bool is_closed = false;
+    bool is_finished = false;
     int response_count = 0;
     std::set<int> in_flight;  ///< Endpoints.
     Millis may_have_run_since = 0;
@@ -106,14 +106,15 @@
   };
 
   void report(const std::string& rule, const std::string& detail, Millis at);
-  void check_endpoint(int gateway, int endpoint, const std::string& traffic, Millis at);
+  void check_draining_endpoint(int gateway, int endpoint, const std::string& traffic, Millis at);
   void check_retry(const Request& request, const std::string& id, Millis at);
-  void check_forwarded_time(const Request& request, const std::string& id, Millis timeout,
-                            Millis at);
+  void check_forwarded_timeout(const Request& request, const std::string& id, Millis timeout,
+                               Millis at);
   /// The part of the time between `from` and `to` in which the process was stopped.
   [[nodiscard]] static Millis paused_between(const Gateway& gateway, Millis from, Millis to);
   /// Whether the gateway had closed its listener before the request was sent.
-  [[nodiscard]] static bool is_past_termination(const Gateway& gateway, const Request& request);
+  [[nodiscard]] static bool was_sent_after_termination(const Gateway& gateway,
+                                                       const Request& request);
 
   Millis deduplication_window_;
   std::map<int, Gateway> gateways_;
--- a/tests/fault_soak/soak_context.h
+++ b/tests/fault_soak/soak_context.h
@@ -29,7 +29,7 @@
 struct SoakReport {
   std::vector<Violation> violations;
   std::vector<std::string> fault_log;
-  std::map<std::string, int> faults;         ///< By kind.
+  std::map<std::string, int> fault_counts;   ///< By kind.
   std::map<std::string, int> result_counts;  ///< `served`, `rejected` or `failed`.
   std::size_t requests = 0;
   std::size_t attempts = 0;
@@ -55,7 +55,7 @@
   SoakReport report;
   DelayedTasks tasks;
   int next_request_number = 0;
-  bool is_over = false;  ///< No further requests and no further processes.
+  bool is_run_over = false;  ///< No further requests and no further processes.
 };
 
 }  // namespace fault_soak
--- a/tests/fault_soak_oracle_test.cpp
+++ b/tests/fault_soak_oracle_test.cpp
@@ -92,7 +92,7 @@
 
 TEST_F(OracleTest, ExpectsNoResponseFromKilledOrTerminatedProcess) {
   send_request();
-  oracle_.gateway_killed(kGateway);
+  oracle_.gateway_exited(kGateway);
   oracle_.gateway_started(kGateway, kStart + 50);
   oracle_.gateway_terminated(kGateway, kStart + 100);
   oracle_.request_sent(kGateway, "late", ServiceClass::Idempotent, kDeadline,
@@ -142,7 +142,7 @@
   Rules rules;
 };
 
-TEST_F(OracleTest, JudgesRetriesByClassEffectAndWindow) {
+TEST_F(OracleTest, ChecksRetriesByClassEffectAndWindow) {
   constexpr Millis kWindowEnd = 5 + kDeduplicationWindow + kDeadlineSlack + kRecordSlack;
   const std::vector<RetryCase> cases{
       {ServiceClass::Idempotent, Effect::MayHaveRun, kWindowEnd + 1, {}},
@@ -181,10 +181,10 @@
   EXPECT_EQ(violated_rules(), Rules{"deadline"});
 }
 
-TEST_F(OracleTest, ExcusesConnectionCloseThatCrossesRequest) {
+TEST_F(OracleTest, ExcusesConnectionCloseThatRacesWithRequest) {
   send_request();
-  const Millis just_before = kStart + kCrossingTime + kRecordSlack - 1;
-  EXPECT_EQ(oracle_.connection_ended("r", just_before), ConnectionClose::CrossedRequest);
+  const Millis just_before = kStart + kCloseRaceTime + kRecordSlack - 1;
+  EXPECT_EQ(oracle_.connection_ended("r", just_before), ConnectionClose::RacedRequest);
   EXPECT_EQ(violated_rules(), Rules{});
 }
 
--- a/tests/shim/fault_shim.cpp
+++ b/tests/shim/fault_shim.cpp
@@ -45,7 +45,7 @@
 }
 
 template <typename Function>
-Function* next_symbol(const char* name) {
+Function* next_definition(const char* name) {
   return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
 }
 
@@ -70,58 +70,60 @@
 
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 int accept(int descriptor, sockaddr* address, socklen_t* length) {
-  static auto* const kNext = next_symbol<int(int, sockaddr*, socklen_t*)>("accept");
+  static auto* const kNextDefinition = next_definition<int(int, sockaddr*, socklen_t*)>("accept");
   if (draw_error(20, {EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM}))
     return -1;
-  return kNext(descriptor, address, length);
+  return kNextDefinition(descriptor, address, length);
 }
 
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 int connect(int descriptor, const sockaddr* address, socklen_t length) {
-  static auto* const kNext = next_symbol<int(int, const sockaddr*, socklen_t)>("connect");
+  static auto* const kNextDefinition =
+      next_definition<int(int, const sockaddr*, socklen_t)>("connect");
   if (is_ipv4_socket(descriptor) &&
       draw_error(15, {EADDRNOTAVAIL, ENETUNREACH, ETIMEDOUT, EHOSTUNREACH}))
     return -1;
-  return kNext(descriptor, address, length);
+  return kNextDefinition(descriptor, address, length);
 }
 
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 int poll(pollfd* descriptors, nfds_t count, int timeout_ms) {
-  static auto* const kNext = next_symbol<int(pollfd*, nfds_t, int)>("poll");
+  static auto* const kNextDefinition = next_definition<int(pollfd*, nfds_t, int)>("poll");
   if (draw_error(20, {EINTR}))
     return -1;
-  return kNext(descriptors, count, timeout_ms);
+  return kNextDefinition(descriptors, count, timeout_ms);
 }
 
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 ssize_t recv(int descriptor, void* buffer, size_t size, int flags) {
-  static auto* const kNext = next_symbol<ssize_t(int, void*, size_t, int)>("recv");
+  static auto* const kNextDefinition = next_definition<ssize_t(int, void*, size_t, int)>("recv");
   if (draw_error(30, {EINTR, ENOMEM}))
     return -1;
-  return kNext(descriptor, buffer, draw_transfer_size(size), flags);
+  return kNextDefinition(descriptor, buffer, draw_transfer_size(size), flags);
 }
 
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 ssize_t send(int descriptor, const void* buffer, size_t size, int flags) {
-  static auto* const kNext = next_symbol<ssize_t(int, const void*, size_t, int)>("send");
+  static auto* const kNextDefinition =
+      next_definition<ssize_t(int, const void*, size_t, int)>("send");
   if (draw_error(30, {EINTR, EAGAIN, ENOBUFS, ENOMEM}))
     return -1;
-  return kNext(descriptor, buffer, draw_transfer_size(size), flags);
+  return kNextDefinition(descriptor, buffer, draw_transfer_size(size), flags);
 }
 
 // NOLINTNEXTLINE(readability-inconsistent-declaration-parameter-name): libc reserves its names
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
-  static auto* const kNext = next_symbol<ssize_t(int, const msghdr*, int)>("sendmsg");
+  static auto* const kNextDefinition = next_definition<ssize_t(int, const msghdr*, int)>("sendmsg");
   if (draw_error(30, {EINTR, EAGAIN}))
     return -1;
   if (message->msg_iovlen == 0 || !draw_bool(kShortTransfersPerThousand))
-    return kNext(descriptor, message, flags);
+    return kNextDefinition(descriptor, message, flags);
   iovec first_buffer = message->msg_iov[0];
   first_buffer.iov_len = draw_transfer_size(first_buffer.iov_len);
   msghdr short_message = *message;
   short_message.msg_iov = &first_buffer;
   short_message.msg_iovlen = 1;
-  return kNext(descriptor, &short_message, flags);
+  return kNextDefinition(descriptor, &short_message, flags);
 }
 
 }  // extern "C"
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -32,12 +32,12 @@
 }  // namespace
 
 void* operator new(std::size_t size) {
-  void* at = std::malloc(size ? size : 1);
-  if (!at)
+  void* block = std::malloc(size ? size : 1);
+  if (!block)
     throw std::bad_alloc();
   ++heap_blocks;
-  heap_bytes += malloc_usable_size(at);
-  return at;
+  heap_bytes += malloc_usable_size(block);
+  return block;
 }
 
 // std::stable_sort allocates with this one. Without it the sanitizers' version would allocate what
@@ -50,16 +50,16 @@
   }
 }
 
-void operator delete(void* at) noexcept {
-  if (!at)
+void operator delete(void* block) noexcept {
+  if (!block)
     return;
   --heap_blocks;
-  heap_bytes -= malloc_usable_size(at);
-  std::free(at);
+  heap_bytes -= malloc_usable_size(block);
+  std::free(block);
 }
 
-void operator delete(void* at, std::size_t) noexcept {
-  operator delete(at);
+void operator delete(void* block, std::size_t) noexcept {
+  operator delete(block);
 }
 
 namespace {
@@ -73,7 +73,7 @@
 using Random = std::mt19937_64;
 
 /// Counts its final responses.
-struct CountingCall : proxy::ClientCall {
+struct CountingClientCall : proxy::ClientCall {
   [[nodiscard]] bool has_client_disconnected() const override { return false; }
 
   int response_count = 0;
@@ -109,12 +109,12 @@
   /// Runs a busy period with faults, then an idle period.
   void run_round() {
     const TimePoint start = net::now();
-    for (TimePoint at = start; at < start + kBusyTime; at += 20ms)
-      virtual_time::schedule(at, [this] {
+    for (TimePoint time = start; time < start + kBusyTime; time += 20ms)
+      virtual_time::schedule(time, [this] {
         send_request();
       });
-    for (TimePoint at = start + 1s; at < start + kBusyTime; at += 3s)
-      virtual_time::schedule(at, [this] {
+    for (TimePoint time = start + 1s; time < start + kBusyTime; time += 3s)
+      virtual_time::schedule(time, [this] {
         inject_fault();
       });
     virtual_time::run_until(start + kBusyTime + kIdleTime);
@@ -170,14 +170,14 @@
   double draw() { return std::uniform_real_distribution<double>()(random_); }
 
   SimulatedEndpoint make_endpoint(GroupId group, bool is_primary) {
-    const std::string name = name_of(++last_name_);
+    const std::string name = name_of(++last_endpoint_number_);
     SimulatedEndpoint endpoint;
     endpoint.listed.name = name;
     endpoint.listed.address = "127.0.0.1:1";
     endpoint.listed.endpoint.group = group;
-    endpoint.listed.endpoint.zone = last_name_ % 3 ? "a" : "b";
+    endpoint.listed.endpoint.zone = last_endpoint_number_ % 3 ? "a" : "b";
     endpoint.listed.endpoint.started_at =
-        last_name_ > kGroups * kEndpointsPerGroup ? net::now() : TimePoint{};
+        last_endpoint_number_ > kGroups * kEndpointsPerGroup ? net::now() : TimePoint{};
     endpoint.listed.endpoint.listed_as_primary = is_primary;
     endpoint.is_primary = is_primary;
     return endpoint;
@@ -195,17 +195,17 @@
   void inject_fault() {
     SimulatedEndpoint& endpoint = endpoints_[random_() % endpoints_.size()];
     const GroupId group = endpoint.listed.endpoint.group;
-    const double kind = draw();
-    if (kind < 0.4) {  // replaced, under a new name
+    const double fault = draw();
+    if (fault < 0.4) {  // replaced, under a new name
       endpoint.listed.endpoint.status = EndpointStatus::Removed;
       broker_->update_endpoints(EndpointList::Kind::Delta, {endpoint.listed});
       const bool was_primary = endpoint.is_primary;
       endpoint = make_endpoint(group, was_primary);
       broker_->update_endpoints(EndpointList::Kind::Delta, {endpoint.listed});
-    } else if (kind < 0.6) {
+    } else if (fault < 0.6) {
       endpoint.listed.endpoint.started_at = net::now();
       broker_->update_endpoints(EndpointList::Kind::Delta, {endpoint.listed});
-    } else if (kind < 0.8) {
+    } else if (fault < 0.8) {
       for (SimulatedEndpoint& other : endpoints_)
         if (other.listed.endpoint.group == group)
           other.is_primary = &other == &endpoint;
@@ -215,11 +215,11 @@
     if (draw() < 0.2)
       update_all(EndpointList::Kind::Full);
     // A group that appears and disappears with its only endpoint.
-    SimulatedEndpoint single = make_endpoint(1000 + last_name_, true);
-    broker_->update_endpoints(EndpointList::Kind::Delta, {single.listed});
-    send_request(single.listed.endpoint.group);
-    single.listed.endpoint.status = EndpointStatus::Removed;
-    broker_->update_endpoints(EndpointList::Kind::Delta, {single.listed});
+    SimulatedEndpoint temporary = make_endpoint(1000 + last_endpoint_number_, true);
+    broker_->update_endpoints(EndpointList::Kind::Delta, {temporary.listed});
+    send_request(temporary.listed.endpoint.group);
+    temporary.listed.endpoint.status = EndpointStatus::Removed;
+    broker_->update_endpoints(EndpointList::Kind::Delta, {temporary.listed});
   }
 
   void send_request() { send_request(static_cast<GroupId>(random_() % kGroups)); }
@@ -233,7 +233,7 @@
     request.deadline = net::now() + std::chrono::milliseconds(400 + random_() % 600);
     if (request.class_index == 2 || request.class_index == 4)
       request.session = next_session();
-    auto client = std::make_shared<CountingCall>();
+    auto client = std::make_shared<CountingClientCall>();
     const TimePoint deadline = request.deadline;
     if (!broker_->begin_request(std::move(request), *client)) {
       ++requests_without_response;
@@ -259,7 +259,7 @@
 
   void remove_endpoint(EndpointId) override {}
 
-  SimulatedEndpoint* find(EndpointId id) {
+  SimulatedEndpoint* find_endpoint(EndpointId id) {
     const std::string name = name_of(id);
     for (SimulatedEndpoint& endpoint : endpoints_)
       if (endpoint.listed.name == name)
@@ -292,7 +292,7 @@
     const double outcome = draw();
     in_flight_.insert(attempt);
     const Duration duration = std::chrono::milliseconds(10 + random_() % 60);
-    const SimulatedEndpoint* target = find(endpoint);
+    const SimulatedEndpoint* target = find_endpoint(endpoint);
     const bool times_out = target != nullptr && (target->is_silent || outcome < 0.03);
     const TimePoint end = times_out ? deadline : std::min(deadline, net::now() + duration);
     virtual_time::schedule(end, [this, attempt, endpoint, outcome, times_out] {
@@ -303,7 +303,7 @@
   void end_attempt(proxy::AttemptId attempt, EndpointId endpoint, double outcome, bool times_out) {
     if (in_flight_.erase(attempt) == 0)
       return;
-    const SimulatedEndpoint* source = find(endpoint);
+    const SimulatedEndpoint* source = find_endpoint(endpoint);
     proxy::UpstreamResponse response;
     if (source && times_out)
       response.status = AttemptStatus::Timeout;
@@ -316,7 +316,7 @@
 
   void start_health_check(EndpointId endpoint) override {
     virtual_time::schedule(net::now() + 5ms, [this, endpoint] {
-      const SimulatedEndpoint* source = find(endpoint);
+      const SimulatedEndpoint* source = find_endpoint(endpoint);
       broker_->complete_health_check(endpoint, source && !source->is_silent
                                                    ? make_response(*source)
                                                    : proxy::UpstreamResponse{});
@@ -336,7 +336,7 @@
   void detach_call(proxy::AttemptId) override {}  // the attempt is written and continues
 
   Random random_;
-  unsigned last_name_ = 0;
+  unsigned last_endpoint_number_ = 0;
   std::uint64_t last_session_ = 1;
   std::vector<SimulatedEndpoint> endpoints_;
   std::set<proxy::AttemptId> in_flight_;
@@ -348,8 +348,8 @@
 int main(int argc, char** argv) {
   const int rounds = argc > 1 ? std::atoi(argv[1]) : 5;
   SimulatedCluster cluster(argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 1);
-  std::size_t first_blocks = 0;
-  std::size_t first_bytes = 0;
+  std::size_t baseline_blocks = 0;
+  std::size_t baseline_bytes = 0;
   std::size_t max_blocks = 0;
   std::size_t max_bytes = 0;
   for (int round = 0; round < rounds; ++round) {
@@ -357,8 +357,8 @@
     std::printf("round %d: %zu requests, %zu blocks, %zu bytes, %zu steps pending\n", round,
                 cluster.request_count, heap_blocks, heap_bytes, virtual_time::pending());
     if (round == 1) {
-      first_blocks = heap_blocks;
-      first_bytes = heap_bytes;
+      baseline_blocks = heap_blocks;
+      baseline_bytes = heap_bytes;
     }
     if (round >= 1) {
       max_blocks = std::max(max_blocks, heap_blocks);
@@ -366,12 +366,12 @@
     }
   }
   std::printf("%zu without a response, %zu with two; blocks %zu to %zu, bytes %zu to %zu\n",
-              cluster.requests_without_response, cluster.requests_with_two_responses, first_blocks,
-              max_blocks, first_bytes, max_bytes);
+              cluster.requests_without_response, cluster.requests_with_two_responses,
+              baseline_blocks, max_blocks, baseline_bytes, max_bytes);
   // Rounds differ only in the primaries, in the endpoints that the last faults left silent, and in
   // the load factors of the hash tables; a tenth more allows for these.
-  const bool has_grown =
-      max_blocks > first_blocks + first_blocks / 10 || max_bytes > first_bytes + first_bytes / 10;
+  const bool has_grown = max_blocks > baseline_blocks + baseline_blocks / 10 ||
+                         max_bytes > baseline_bytes + baseline_bytes / 10;
   return cluster.requests_without_response > 0 || cluster.requests_with_two_responses > 0 ||
                  has_grown
              ? 1
--- a/tests/soak/virtual_time.cpp
+++ b/tests/soak/virtual_time.cpp
@@ -13,29 +13,29 @@
     kStart(std::chrono::seconds(1'767'225'600));  // any time long after 1970
 
 gorsebeam::TimePoint current_time = kStart;
-std::uint64_t last_place = 0;
-std::map<std::pair<gorsebeam::TimePoint, std::uint64_t>, std::function<void()>> steps;
+std::uint64_t last_sequence_number = 0;
+std::map<std::pair<gorsebeam::TimePoint, std::uint64_t>, std::function<void()>> scheduled_steps;
 
 }  // namespace
 
 namespace virtual_time {
 
 void schedule(gorsebeam::TimePoint when, std::function<void()> step) {
-  steps[{when, ++last_place}] = std::move(step);
+  scheduled_steps[{when, ++last_sequence_number}] = std::move(step);
 }
 
 void run_until(gorsebeam::TimePoint when) {
-  while (!steps.empty() && steps.begin()->first.first <= when) {
-    current_time = std::max(current_time, steps.begin()->first.first);
-    const auto step = std::move(steps.begin()->second);
-    steps.erase(steps.begin());
+  while (!scheduled_steps.empty() && scheduled_steps.begin()->first.first <= when) {
+    current_time = std::max(current_time, scheduled_steps.begin()->first.first);
+    const auto step = std::move(scheduled_steps.begin()->second);
+    scheduled_steps.erase(scheduled_steps.begin());
     step();
   }
   current_time = when;
 }
 
 std::size_t pending() {
-  return steps.size();
+  return scheduled_steps.size();
 }
 
 }  // namespace virtual_time
@@ -54,8 +54,8 @@
 
 void Timer::at(TimePoint when) {
   stop();
-  queue_key_ = {when, ++last_place};
-  steps[queue_key_] = [this] {
+  queue_key_ = {when, ++last_sequence_number};
+  scheduled_steps[queue_key_] = [this] {
     fire();
   };
   is_set_ = true;
@@ -63,7 +63,7 @@
 
 void Timer::stop() {
   if (std::exchange(is_set_, false))
-    steps.erase(queue_key_);
+    scheduled_steps.erase(queue_key_);
 }
 
 void Timer::fire() {
