--- a/tests/fault_soak/delayed_tasks.h
+++ b/tests/fault_soak/delayed_tasks.h
@@ -1,4 +1,4 @@
-/// Tasks that run once on the main loop after a delay.
+/// Schedules tasks that run once, after a delay, on the main loop.
 #pragma once
 
 #include "soak_clock.h"
@@ -11,7 +11,7 @@
 
 namespace fault_soak {
 
-/// Owns the timers of pending tasks; destroying it cancels them.
+/// Owns the timers of the pending tasks. Its destructor cancels these tasks.
 class DelayedTasks {
 public:
   void run_after(Millis delay, std::function<void()> task);
--- a/tests/fault_soak/fake_client.cpp
+++ b/tests/fault_soak/fake_client.cpp
@@ -24,7 +24,8 @@
   return "failed";
 }
 
-// Six of ten requests are reads, one is a single-shot write.
+// Maps a number between 0 and 9 to a class: of ten requests, six are idempotent reads, three are
+// keyed writes and one is a single-shot write.
 ServiceClass class_for_draw(Millis draw) {
   if (draw < 6)
     return ServiceClass::Idempotent;
@@ -103,7 +104,7 @@
   stream_->input().consume(stream_->input().size());
   while (const auto response = postgres().decode_response(input_)) {
     if (request_id_.empty())
-      continue;  // the error before the gateway closes a connection
+      continue;  // an error that precedes the close of a connection without a request
     context_.oracle.response_received(std::exchange(request_id_, ""), now_ms());
     ++context_.report.result_counts[result_name(response->result)];
     send_next_request_after(context_.traffic_random.between(5, 250));
--- a/tests/fault_soak/fake_client.h
+++ b/tests/fault_soak/fake_client.h
@@ -13,10 +13,11 @@
 
 namespace fault_soak {
 
-/// The context and the process must outlive it.
+/// Sends requests to one gateway and reports each request and its end to the oracle. The context
+/// and the process must outlive the client.
 class FakeClient : gorsebeam::net::Stream::Events {
 public:
-  /// An idle client connects and sends no request.
+  /// `Idle`: the client connects but sends no request.
   enum class Behavior { SendsRequests, Idle };
 
   FakeClient(SoakContext& context, int gateway, const GatewayProcess& process, Behavior behavior);
@@ -28,6 +29,7 @@
   void send_next_request();
 
 private:
+  /// `ResendRequest`: sends `request_` again, under a new id.
   enum class AfterReconnect { SendNextRequest, ResendRequest };
 
   void received() override;
@@ -47,10 +49,10 @@
   const Behavior behavior_;
   std::shared_ptr<gorsebeam::net::Stream> stream_;
   std::string input_;
-  std::string request_id_;  ///< In flight; empty: none.
+  std::string request_id_;  ///< Of the request in flight; empty if there is none.
   test_harness::Request request_;
   ServiceClass service_class_ = ServiceClass::Idempotent;
-  Millis deadline_ = 0;
+  Millis deadline_ = 0;  ///< Of `request_`.
 };
 
 }  // namespace fault_soak
--- a/tests/fault_soak/fake_discovery_agent.cpp
+++ b/tests/fault_soak/fake_discovery_agent.cpp
@@ -38,7 +38,8 @@
     accept(std::move(socket));
   });
   if (const auto error = listener_->listen(address))
-    throw std::runtime_error("an agent cannot listen: " + error->message);
+    throw std::runtime_error("a fake discovery agent cannot listen at " + address + ": " +
+                             error->message);
   listening_address_ = listener_->address();
 }
 
--- a/tests/fault_soak/fake_discovery_agent.h
+++ b/tests/fault_soak/fake_discovery_agent.h
@@ -1,4 +1,5 @@
-/// A discovery agent that faults can silence, stop or move to another address.
+/// A fake discovery agent. Faults can make it send nothing, refuse connections or move to another
+/// address.
 #pragma once
 
 #include "integration/discovery_messages.h"
@@ -13,12 +14,13 @@
 
 namespace fault_soak {
 
-/// Serves the endpoint list to one watch at a time.
+/// Sends the endpoint list to one watch at a time: a new connection replaces the previous watch.
 class FakeDiscoveryAgent : gorsebeam::net::Stream::Events {
 public:
+  /// `Silent` accepts connections but sends nothing; `Refusing` has no listener.
   enum class State { Serving, Silent, Refusing };
 
-  /// `on_list_sent` runs whenever a list has been written to an open watch.
+  /// `on_list_sent` runs whenever the agent has written a list to an open watch.
   explicit FakeDiscoveryAgent(std::function<void()> on_list_sent);
   FakeDiscoveryAgent(const FakeDiscoveryAgent&) = delete;
   FakeDiscoveryAgent& operator=(const FakeDiscoveryAgent&) = delete;
@@ -29,11 +31,11 @@
 
   [[nodiscard]] bool is_serving() const { return state_ == State::Serving; }
 
-  /// Replaces the list and sends it to an open watch.
+  /// Replaces the list and sends it to the open watch, if there is one.
   void publish(const std::vector<test_harness::ListedEndpoint>& endpoints);
-  /// Resets the connection of the open watch.
+  /// Resets the connection of the open watch, if there is one.
   void reset_watch();
-  /// Listens at another address from now on; an open watch stays open.
+  /// Replaces the listener by one at another address; an open watch stays open.
   void move_to_new_address();
 
 private:
@@ -54,7 +56,7 @@
   std::string listening_address_;
   std::shared_ptr<gorsebeam::net::Stream> watch_;
   int watch_descriptor_ = -1;
-  bool has_sent_response_head_ = false;  ///< To the open watch.
+  bool has_sent_response_head_ = false;  ///< Whether the open watch has got its HTTP response head.
   std::vector<test_harness::ListedEndpoint> endpoints_;
   int revision_ = 1;
   State state_ = State::Serving;
--- a/tests/fault_soak/fake_endpoint.cpp
+++ b/tests/fault_soak/fake_endpoint.cpp
@@ -19,7 +19,7 @@
 using test_harness::Request;
 using test_harness::ScriptedResponse;
 
-/// One connection of a gateway.
+/// A connection that a gateway opened to the endpoint.
 struct FakeEndpoint::Connection : Stream::Events, std::enable_shared_from_this<Connection> {
   Connection(FakeEndpoint& owner, int gateway_index, SocketHandle socket)
       : endpoint(owner), context(owner.context_), gateway(gateway_index),
@@ -35,7 +35,7 @@
 
   void ended(const std::string&) override { end_attempt(Effect::MayHaveRun); }
 
-  // Returns whether `input` contained a complete message.
+  // Handles the first message in `input`. Returns whether there was a complete message.
   bool handle_message() {
     const auto message = postgres().decode_endpoint_message(input, replication());
     if (!message)
@@ -123,7 +123,7 @@
   const int gateway;
   std::shared_ptr<Stream> stream;
   std::string input;
-  std::string request_id;  ///< In flight; empty: none.
+  std::string request_id;  ///< Of the request in flight; empty if there is none.
   bool is_handshake_complete = false;
 };
 
@@ -134,7 +134,8 @@
       connections_.push_back(std::make_shared<Connection>(*this, gateway, std::move(socket)));
     }));
     if (const auto error = listeners_.back()->listen("127.0.0.1:0"))
-      throw std::runtime_error("an endpoint cannot listen: " + error->message);
+      throw std::runtime_error("fake endpoint " + std::to_string(index) +
+                               " cannot listen: " + error->message);
   }
 }
 
@@ -172,7 +173,7 @@
   endpoints_.front()->is_primary = true;
 }
 
-// A complete list leaves out removed endpoints.
+// The agents send complete lists, in which a removed endpoint is missing.
 std::vector<ListedEndpoint> FakeEndpointGroup::list_for(int gateway) const {
   std::vector<ListedEndpoint> list;
   for (const auto& endpoint : endpoints_) {
--- a/tests/fault_soak/fake_endpoint.h
+++ b/tests/fault_soak/fake_endpoint.h
@@ -1,4 +1,4 @@
-/// A fake PostgreSQL endpoint that all gateways connect to, and the group of them.
+/// Fake PostgreSQL endpoints, which form one replica group and which all gateways connect to.
 #pragma once
 
 #include "soak_clock.h"
@@ -18,7 +18,8 @@
 
 class FakeEndpointGroup;
 
-/// Listens at one address for each gateway. The context and the group must outlive it.
+/// One fake endpoint. It listens at a separate address for each gateway, so that it knows which
+/// gateway a connection belongs to. The context and the group must outlive it.
 class FakeEndpoint {
 public:
   FakeEndpoint(SoakContext& context, FakeEndpointGroup& group, int index);
@@ -28,18 +29,18 @@
 
   [[nodiscard]] int index() const { return index_; }
 
-  /// As the gateway's agent lists it.
+  /// The endpoint's entry in the list that the gateway's discovery agent sends.
   [[nodiscard]] test_harness::ListedEndpoint listed_for(int gateway) const;
 
   void close_connections();
-  /// Ends the attempts of the request whose connection the gateway has closed.
+  /// Ends each attempt of the request whose connection the gateway has closed.
   void end_closed_attempts(const std::string& request_id);
 
   test_harness::ListedStatus listed_status = test_harness::ListedStatus::Up;
-  std::int64_t started_at_ms = 0;  ///< Unix time; 0: long ago.
+  std::int64_t started_at_ms = 0;  ///< In Unix time; 0: long ago.
   bool is_primary = false;
-  Millis unresponsive_until = 0;     ///< Responds to nothing before.
-  Millis slow_handshakes_until = 0;  ///< Completes handshakes late before.
+  Millis unresponsive_until = 0;     ///< Until then, the endpoint responds to nothing.
+  Millis slow_handshakes_until = 0;  ///< Until then, it completes handshakes late.
 
 private:
   struct Connection;
@@ -47,7 +48,7 @@
   SoakContext& context_;
   FakeEndpointGroup& group_;
   const int index_;
-  std::vector<std::unique_ptr<gorsebeam::net::Listener>> listeners_;  ///< By gateway.
+  std::vector<std::unique_ptr<gorsebeam::net::Listener>> listeners_;  ///< Indexed by gateway.
   std::list<std::shared_ptr<Connection>> connections_;
 };
 
@@ -62,14 +63,15 @@
     return endpoints_;
   }
 
-  /// The endpoints that the gateway's agent lists.
+  /// The list that the gateway's discovery agent sends.
   [[nodiscard]] std::vector<test_harness::ListedEndpoint> list_for(int gateway) const;
-  /// How many endpoints are listed as up.
+  /// The number of endpoints that are listed as up.
   [[nodiscard]] int up_count() const;
-  /// Makes the first endpoint that is up the primary.
+  /// Makes the first endpoint that is listed as up the primary, and all others replicas.
   void elect_primary();
-  /// Ends the attempts of the request whose connections the gateway has closed, before another
-  /// attempt of it counts.
+  /// Ends each attempt of the request whose connection the gateway has closed. It is called before
+  /// a further attempt of the request is recorded, so that the oracle does not count both as in
+  /// flight.
   void end_closed_attempts(const std::string& request_id);
 
 private:
--- a/tests/fault_soak/fault_injector.cpp
+++ b/tests/fault_soak/fault_injector.cpp
@@ -29,7 +29,7 @@
 
 void FaultInjector::inject_fault() {
   using Fault = void (FaultInjector::*)();
-  // A fault is as probable as it is frequent in the list.
+  // Each entry is equally probable, so pause_gateway is three times as probable as another fault.
   static constexpr std::array<Fault, 12> kFaults{
       &FaultInjector::pause_gateway,
       &FaultInjector::pause_gateway,
@@ -129,7 +129,8 @@
   });
 }
 
-// Leaves enough endpoints up to serve each request.
+// Drains an endpoint, then removes it and later lists it again, as just started. At least
+// kMinUpEndpoints endpoints stay up, so that requests can still be served.
 void FaultInjector::drain_endpoint() {
   FakeEndpoint& endpoint = draw_endpoint();
   if (endpoints_.up_count() <= kMinUpEndpoints || endpoint.listed_status != ListedStatus::Up)
--- a/tests/fault_soak/fault_injector.h
+++ b/tests/fault_soak/fault_injector.h
@@ -1,4 +1,5 @@
-/// Injects faults that are drawn from the seed, each into a gateway or an endpoint that is drawn.
+/// Injects faults at random times. The seed determines each fault and its target, which is a
+/// gateway or an endpoint.
 #pragma once
 
 #include "fake_endpoint.h"
@@ -11,7 +12,8 @@
 
 namespace fault_soak {
 
-/// The context, the gateways and the endpoints must outlive it.
+/// Injects the faults of one run and records them in the report. The context, the gateways and the
+/// endpoints must outlive it.
 class FaultInjector {
 public:
   FaultInjector(SoakContext& context, std::vector<std::unique_ptr<GatewayUnderTest>>& gateways,
@@ -21,10 +23,10 @@
   FaultInjector(const FaultInjector&) = delete;
   FaultInjector& operator=(const FaultInjector&) = delete;
 
-  /// Injects faults from now on, for the duration in the settings.
+  /// Starts to inject faults, for the duration in the settings.
   void start();
 
-  /// Lets the agent of each gateway list the endpoints as they are now.
+  /// Makes the discovery agent of each gateway send the current status of the endpoints.
   void publish_endpoints();
 
 private:
--- a/tests/fault_soak/fault_soak_environment.cpp
+++ b/tests/fault_soak/fault_soak_environment.cpp
@@ -17,12 +17,13 @@
 
 namespace {
 
-constexpr Millis kWaitAfterLastFault = 4000;  // after the last fault
+// The time in which the requests that are in flight at the last fault get their responses.
+constexpr Millis kWaitAfterLastFault = 4000;
 
 std::string make_temporary_folder() {
   std::string name = "/tmp/gorsebeam-fault-soak-XXXXXX";
   if (mkdtemp(name.data()) == nullptr)
-    throw std::runtime_error("a temporary folder cannot be made");
+    throw std::runtime_error("the temporary folder " + name + " cannot be created");
   return name;
 }
 
@@ -43,7 +44,8 @@
   return gateways_[static_cast<std::size_t>(gateway)]->log();
 }
 
-// Runs the event loop for at most 5 ms between two checks of the condition.
+// Runs the event loop until the condition holds. Between two checks it waits for an event for at
+// most 20 ms, then handles further events for at most 5 ms.
 void FaultSoakEnvironment::run_loop_until(const std::function<bool()>& condition) {
   Timer wake([] {});
   while (!condition()) {
--- a/tests/fault_soak/fault_soak_environment.h
+++ b/tests/fault_soak/fault_soak_environment.h
@@ -1,5 +1,5 @@
-/// Gateway processes between fake clients, endpoints and discovery agents, and faults among them
-/// that are drawn from a seed and overlap in time.
+/// Runs gateway processes with fake clients, endpoints and discovery agents, under faults that are
+/// drawn from a seed and overlap in time.
 #pragma once
 
 #include "fake_endpoint.h"
@@ -14,7 +14,7 @@
 
 namespace fault_soak {
 
-/// One run of the soak. Its files are in a temporary folder, which the destructor removes.
+/// One run of the fault soak. Its files are in a temporary folder, which the destructor removes.
 class FaultSoakEnvironment {
 public:
   explicit FaultSoakEnvironment(const SoakSettings& settings);
@@ -22,10 +22,11 @@
   FaultSoakEnvironment& operator=(const FaultSoakEnvironment&) = delete;
   ~FaultSoakEnvironment();
 
-  /// Injects the faults, waits until all requests have their responses, and ends the processes.
+  /// Starts the gateways, injects the faults, gives the last requests time for their responses, and
+  /// terminates the gateways.
   [[nodiscard]] SoakReport run();
 
-  /// All lines that a gateway has logged.
+  /// All lines that the processes of the gateway have logged.
   [[nodiscard]] const std::string& log_of(int gateway) const;
 
 private:
--- a/tests/fault_soak/gateway_process.cpp
+++ b/tests/fault_soak/gateway_process.cpp
@@ -81,7 +81,8 @@
   const auto process =
       test_harness::start_serve(settings_.program, config_path(), operator_file_path, environment);
   if (!process)
-    throw std::runtime_error("the program cannot be started: " + settings_.program);
+    throw std::runtime_error("gateway " + std::to_string(settings_.index) +
+                             " cannot start the program " + settings_.program);
   pid_ = process->pid;
   log_descriptor_ = process->log_descriptor;
   is_ready_ = false;
--- a/tests/fault_soak/gateway_process.h
+++ b/tests/fault_soak/gateway_process.h
@@ -1,4 +1,4 @@
-/// One gateway process that is started and restarted without waiting.
+/// Starts and restarts the process of one gateway. No function waits for the process.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +11,26 @@
 
 struct ProcessSettings {
   std::string program;
-  std::string shim;  ///< A library that is preloaded into the process; empty: none.
+  std::string shim;  ///< Path of a library to preload into the process; empty: none.
   std::string folder;
   int index = 0;
   unsigned shim_seed = 0;
 };
 
+/// The successive processes of one gateway; at most one runs at a time.
 class GatewayProcess {
 public:
-  /// `on_ready` runs when a process listens, `on_exit` when it has exited, with the wait status.
+  /// `on_ready` runs when a process listens. `on_exit` runs when a process has exited and gets its
+  /// wait status.
   GatewayProcess(ProcessSettings settings, std::function<void()> on_ready,
                  std::function<void(int)> on_exit);
   GatewayProcess(const GatewayProcess&) = delete;
   GatewayProcess& operator=(const GatewayProcess&) = delete;
   ~GatewayProcess();
 
-  /// Writes the configuration and starts the program.
+  /// Writes the configuration and starts a process.
   void start(const std::string& agent_address);
+  /// Writes the configuration; a running process reads it when it gets SIGHUP.
   void write_config(const std::string& agent_address) const;
   void send_signal(int number) const;
 
@@ -35,10 +38,10 @@
 
   [[nodiscard]] bool is_ready() const { return is_running() && is_ready_; }
 
-  /// Where clients connect; the same for all processes once one has listened.
+  /// The address that clients connect to. The first process chooses it, and later ones reuse it.
   [[nodiscard]] const std::string& address() const { return address_; }
 
-  /// What all processes have logged.
+  /// The log of all processes so far.
   [[nodiscard]] const std::string& log() const { return log_; }
 
 private:
@@ -55,7 +58,7 @@
   std::function<void(int)> on_exit_;
   std::string address_;
   std::string log_;
-  std::size_t process_log_begin_ = 0;  ///< Where the log of the current process begins.
+  std::size_t process_log_begin_ = 0;  ///< Where in `log_` the current process's log begins.
   GPid pid_ = 0;
   int log_descriptor_ = -1;
   guint log_source_ = 0;
--- a/tests/fault_soak/gateway_under_test.cpp
+++ b/tests/fault_soak/gateway_under_test.cpp
@@ -45,7 +45,7 @@
   is_ending_ = false;
   context_.oracle.gateway_started(index_, now_ms());
   statuses_known_to_oracle_.assign(statuses_known_to_oracle_.size(), ListedStatus::Up);
-  // The agent's list counts as known from the start of a process.
+  // The oracle treats the agent's list as known to a new process from the start.
   if (agent_.is_serving())
     notify_oracle_of_list();
   process_.start(agent_.address());
--- a/tests/fault_soak/gateway_under_test.h
+++ b/tests/fault_soak/gateway_under_test.h
@@ -1,4 +1,4 @@
-/// One gateway with its discovery agent and its clients, and the faults that concern them.
+/// One gateway with its discovery agent, its clients and the faults that affect them.
 #pragma once
 
 #include "fake_client.h"
@@ -15,10 +15,11 @@
 
 namespace fault_soak {
 
-/// Restarts the process whenever it has exited. The context and the endpoints must outlive it.
+/// One gateway, whose process is restarted whenever it has exited. The context and the endpoints
+/// must outlive it.
 class GatewayUnderTest {
 public:
-  /// The process's files are in a new folder below `parent_folder`.
+  /// Creates a folder below `parent_folder` for the process's files.
   GatewayUnderTest(SoakContext& context, const FakeEndpointGroup& endpoints, int index,
                    const std::string& parent_folder);
   GatewayUnderTest(const GatewayUnderTest&) = delete;
@@ -26,7 +27,7 @@
 
   [[nodiscard]] int index() const { return index_; }
 
-  /// Whether a process listens and was not terminated or killed.
+  /// Whether the process listens and has not been told to end.
   [[nodiscard]] bool is_serving() const { return process_.is_ready() && !is_ending_; }
 
   [[nodiscard]] bool is_paused() const { return is_paused_; }
@@ -38,18 +39,19 @@
   [[nodiscard]] FakeDiscoveryAgent& agent() { return agent_; }
 
   void start();
-  /// Lets the agent list the endpoints as they are now.
+  /// Makes the discovery agent send the current status of the endpoints.
   void publish_endpoints();
 
-  /// Stops the process for `duration`.
+  /// Suspends the process for `duration` with SIGSTOP.
   void pause_for(Millis duration);
   void terminate();
   void kill();
-  /// Moves the agent to another address and lets the process reload its configuration.
+  /// Moves the discovery agent to another address and makes the process reload its configuration,
+  /// which then names that address.
   void reload_with_moved_agent();
-  /// Opens connections that stay idle.
+  /// Opens connections on which no request is sent.
   void open_idle_connections(int count);
-  /// Ends the process at the end of the run.
+  /// Resumes the process if it is paused, and terminates it.
   void finish();
 
 private:
@@ -66,10 +68,10 @@
   GatewayProcess process_;
   std::vector<std::unique_ptr<FakeClient>> clients_;
   std::vector<std::unique_ptr<FakeClient>> idle_clients_;
-  /// By endpoint: the status that the oracle knows.
+  /// For each endpoint, the status that was last reported to the oracle.
   std::vector<test_harness::ListedStatus> statuses_known_to_oracle_;
   bool is_paused_ = false;
-  bool is_ending_ = false;  ///< By SIGTERM or SIGKILL.
+  bool is_ending_ = false;  ///< Whether the process was sent SIGTERM or SIGKILL.
 };
 
 }  // namespace fault_soak
--- a/tests/fault_soak/main.cpp
+++ b/tests/fault_soak/main.cpp
@@ -1,11 +1,13 @@
-/// Injects faults into real gateway processes, one seed after another, and reports violated rules.
+/// Runs the fault soak, once for each seed: injects faults into gateway processes and reports which
+/// rules the gateways violated.
 ///
 ///   fault_soak PROGRAM [--shim FILE] [--seeds FIRST COUNT] [--gateways N] [--seconds N]
 ///              [--logs DIR]
 ///
-/// It runs by the wall clock, so that it is run by hand and not in CI. A run in which the soak's
-/// own event loop stalled is void. The exit status is 0 if a run counts and none that counts
-/// violated a rule, 2 if the arguments are wrong, and 1 otherwise.
+/// The fault soak depends on real time, so it is run by hand and not in CI. A run in which the
+/// soak's own event loop stalled is invalid. The exit status is 0 if at least one run was valid and
+/// no valid run violated a rule, 2 if the arguments are wrong or the soak could not run, and 1
+/// otherwise.
 #include "fault_soak_environment.h"
 
 #include <cstdio>
@@ -21,14 +23,14 @@
 using fault_soak::SoakReport;
 using fault_soak::SoakSettings;
 
-// A longer iteration of the soak's own event loop makes the run void.
+// A run in which an iteration of the soak's own event loop took longer is invalid.
 constexpr fault_soak::Millis kMaxIteration = 80;
 
 struct Options {
   SoakSettings soak;
   std::uint64_t first_seed = 1;
   int seed_count = 1;
-  std::string log_folder;  ///< Empty: logs are not written.
+  std::string log_folder;  ///< Empty: no logs are written.
 };
 
 Options parse(const std::vector<std::string>& arguments) {
@@ -51,7 +53,7 @@
       ++i;
       options.seed_count = std::stoi(arguments.at(i));
     } else {
-      throw std::invalid_argument("unknown option " + name);
+      throw std::invalid_argument("unknown option '" + name + "'");
     }
   }
   return options;
@@ -65,7 +67,7 @@
   std::printf("; faults:");
   for (const auto& [kind, count] : report.fault_counts)
     std::printf(" %s %d", kind.c_str(), count);
-  std::printf("; longest own iteration %lld ms; violations: %zu\n",
+  std::printf("; longest iteration of the soak's event loop %lld ms; violations: %zu\n",
               static_cast<long long>(report.longest_iteration), report.violations.size());
   for (const fault_soak::Violation& violation : report.violations)
     std::printf("  %lld %s: %s\n", static_cast<long long>(violation.at), violation.rule.c_str(),
@@ -99,7 +101,7 @@
       ++runs_with_violations;
     std::fflush(stdout);
   }
-  std::printf("%d seeds, %d broken, %d void\n", options.seed_count, runs_with_violations,
+  std::printf("%d runs, %d with violations, %d invalid\n", options.seed_count, runs_with_violations,
               invalid_runs);
   return runs_with_violations > 0 || invalid_runs == options.seed_count ? 1 : 0;
 }
--- a/tests/fault_soak/oracle.cpp
+++ b/tests/fault_soak/oracle.cpp
@@ -51,7 +51,8 @@
   gateways_[gateway].draining_since.emplace(endpoint, at);
 }
 
-// A pause is no excuse: the gateway reads a list that was written during the pause before it acts.
+// A pause of the process does not extend the time limit: after the pause, the gateway has to read
+// the list that was sent in the meantime before it sends traffic.
 void Oracle::check_draining_endpoint(int gateway, int endpoint, const std::string& traffic,
                                      Millis at) {
   const std::map<int, Millis>& draining_since = gateways_[gateway].draining_since;
@@ -61,8 +62,10 @@
   const Millis elapsed = at - found->second;
   if (elapsed > kDrainGrace + kRecordSlack)
     report("drain",
-           traffic + " by gateway " + std::to_string(gateway) + " at endpoint " +
-               std::to_string(endpoint) + ", " + std::to_string(elapsed) + " ms after the notice",
+           traffic + " of gateway " + std::to_string(gateway) + " arrived at endpoint " +
+               std::to_string(endpoint) + " " + std::to_string(elapsed) +
+               " ms after the endpoint was listed as draining; the limit is " +
+               std::to_string(kDrainGrace + kRecordSlack) + " ms",
            at);
 }
 
@@ -78,18 +81,20 @@
 void Oracle::response_received(const std::string& id, Millis at) {
   const auto found = requests_.find(id);
   if (found == requests_.end())
-    return report("unknown", "a response to no request", at);
+    return report("unknown", "a response to request " + id + ", which no client sent", at);
   Request& request = found->second;
   request.is_finished = true;
   ++request.response_count;
   if (request.response_count > 1)
-    report("responses", "request " + id + " got two responses", at);
+    report("responses",
+           "request " + id + " got " + std::to_string(request.response_count) + " responses", at);
   const Gateway& gateway = gateways_[request.gateway];
   const Millis paused = paused_between(gateway, request.sent_at, at);
   if (at > request.deadline + kResponseSlack + kRecordSlack + paused)
     report("lost",
            "request " + id + " got its response " + std::to_string(at - request.deadline) +
-               " ms after its deadline",
+               " ms after its deadline; the limit is " +
+               std::to_string(kResponseSlack + kRecordSlack + paused) + " ms",
            at);
 }
 
@@ -114,8 +119,8 @@
     return ConnectionClose::RacedRequest;
   if (!was_sent_after_termination(gateway, request))
     report("lost",
-           "the connection of request " + id + " was closed after " +
-               std::to_string(at - request.sent_at) + " ms",
+           "the connection of request " + id + " was closed without a response " +
+               std::to_string(at - request.sent_at) + " ms after the request",
            at);
   return ConnectionClose::Other;
 }
@@ -124,7 +129,7 @@
   ++attempt_count_;
   const auto found = requests_.find(id);
   if (found == requests_.end())
-    return report("unknown", "an attempt of no request: " + id, at);
+    return report("unknown", "an attempt of request " + id + ", which no client sent", at);
   Request& request = found->second;
   check_draining_endpoint(request.gateway, endpoint, "request " + id, at);
   if (!request.in_flight.empty())
@@ -132,8 +137,10 @@
   check_retry(request, id, at);
   if (request.disconnected_at > 0 && at > request.disconnected_at + kDisconnectGrace + kRecordSlack)
     report("lost",
-           "an attempt of request " + id + ", " + std::to_string(at - request.disconnected_at) +
-               " ms after its client disconnected",
+           "an attempt of request " + id + " arrived " +
+               std::to_string(at - request.disconnected_at) +
+               " ms after its client disconnected; the limit is " +
+               std::to_string(kDisconnectGrace + kRecordSlack) + " ms",
            at);
   check_forwarded_timeout(request, id, timeout, at);
   request.in_flight.insert(endpoint);
@@ -145,8 +152,9 @@
   const Millis time_left = request.deadline - at;
   if (timeout > time_left + kDeadlineSlack + kRecordSlack)
     report("deadline",
-           "request " + id + " was forwarded with " + std::to_string(timeout) + " ms of " +
-               std::to_string(time_left),
+           "request " + id + " was forwarded with a timeout of " + std::to_string(timeout) +
+               " ms, but its deadline was in " + std::to_string(time_left) + " ms; the limit is " +
+               std::to_string(time_left + kDeadlineSlack + kRecordSlack) + " ms",
            at);
 }
 
@@ -154,9 +162,16 @@
   if (request.may_have_run_since == 0 || request.service_class == ServiceClass::Idempotent)
     return;
   if (request.service_class == ServiceClass::SingleShot)
-    return report("duplicate", "single-shot request " + id + " was retried", at);
+    return report("duplicate",
+                  "single-shot request " + id + " was retried after an attempt that may have run",
+                  at);
   if (at - request.may_have_run_since > deduplication_window_ + kDeadlineSlack + kRecordSlack)
-    report("duplicate", "keyed request " + id + " was retried after its window", at);
+    report("duplicate",
+           "keyed request " + id + " was retried " +
+               std::to_string(at - request.may_have_run_since) +
+               " ms after an attempt that may have run; the limit is " +
+               std::to_string(deduplication_window_ + kDeadlineSlack + kRecordSlack) + " ms",
+           at);
 }
 
 void Oracle::attempt_ended(int endpoint, const std::string& id, Effect effect) {
@@ -183,7 +198,10 @@
       continue;
     request.is_finished = true;
     if (!was_sent_after_termination(gateway, request))
-      report("lost", "request " + id + " has no response", at);
+      report("lost",
+             "request " + id + " has no response " + std::to_string(at - request.deadline) +
+                 " ms after its deadline",
+             at);
   }
 }
 
--- a/tests/fault_soak/oracle.h
+++ b/tests/fault_soak/oracle.h
@@ -1,7 +1,8 @@
-/// Checks against the rules what clients, endpoints and agents observed of the gateways, and when.
+/// Checks the gateways against the rules, from what clients, endpoints and discovery agents
+/// observed.
 ///
-/// Pure: it is notified of events with their time, in milliseconds of one monotonic clock. It does
-/// not know the causes of events; the gateways' logs show these.
+/// The oracle does no input or output and reads no clock: it is notified of each event and of its
+/// time on the soak's clock. It does not know the causes of events; the gateways' logs show these.
 #pragma once
 
 #include "service_classes.h"
@@ -16,28 +17,31 @@
 
 namespace fault_soak {
 
-/// How late the fake peers may record an event.
+/// The longest delay with which the fake clients, endpoints and agents record an event.
 constexpr Millis kRecordSlack = 60;
-/// After it an endpoint that drains or was removed must get nothing.
+/// The time after the list that shows an endpoint as draining or removed, within which the endpoint
+/// may still get traffic.
 constexpr Millis kDrainGrace = 250 + 50;
-/// After it a request whose client has disconnected must not be attempted.
+/// The time after a client disconnected, within which its request may still be attempted.
 constexpr Millis kDisconnectGrace = 100;
-/// How much a forwarded timeout may exceed the time until the client's deadline.
+/// How far a forwarded timeout may exceed the time left until the client's deadline.
 constexpr Millis kDeadlineSlack = 150;
-/// How long after its deadline a request may get its response.
+/// The time after a request's deadline, within which its response must arrive.
 constexpr Millis kResponseSlack = 500;
-/// After SIGTERM a gateway owes no response to requests that arrive later than this.
+/// The time after SIGTERM, within which a gateway still has to respond to new requests.
 constexpr Millis kTerminationGrace = 700;
-/// A gateway may have closed the connection before it saw a request that was sent less than this
-/// time before.
+/// If the gateway closes a connection within this time after a request was sent on it, it may not
+/// have received the request.
 constexpr Millis kCloseRaceTime = 100;
 
-/// Whether an attempt may have had an effect, once it has ended.
+/// Whether an attempt that has ended may have taken effect at the endpoint.
 enum class Effect { None, MayHaveRun };
 
-/// Whether a gateway closed a connection at the same time as the client sent a request on it.
+/// Whether a gateway's close of a connection raced with a request, so that the gateway may not have
+/// received the request.
 enum class ConnectionClose { RacedRequest, Other };
 
+/// A rule that a gateway violated, and when.
 struct Violation {
   std::string rule;
   std::string detail;
@@ -46,35 +50,39 @@
 
 class Oracle {
 public:
+  /// `deduplication_window`: the time within which a keyed request may be retried.
   explicit Oracle(Millis deduplication_window) : deduplication_window_(deduplication_window) {}
 
-  /// A new process of the gateway starts, which knows and owes nothing of the previous one.
+  /// A new process of the gateway starts. What the oracle knows of the previous process no longer
+  /// applies.
   void gateway_started(int gateway, Millis at);
+  /// The process has exited or is about to be killed. Its open requests need no response.
   void gateway_exited(int gateway);
+  /// The process gets SIGTERM.
   void gateway_terminated(int gateway, Millis at);
-  /// The process is stopped from now on.
+  /// The process is suspended until `gateway_resumed`.
   void gateway_paused(int gateway, Millis at);
   void gateway_resumed(int gateway, Millis at);
 
-  /// The gateway's agent has written a list in which the endpoint is up.
+  /// The gateway's discovery agent has sent a list in which the endpoint is up.
   void endpoint_listed_as_up(int gateway, int endpoint);
-  /// The gateway's agent has written a list in which the endpoint drains or is missing.
+  /// The gateway's discovery agent has sent a list in which the endpoint is draining or missing.
   void endpoint_listed_as_draining(int gateway, int endpoint, Millis at);
 
   void request_sent(int gateway, const std::string& id, ServiceClass service_class, Millis deadline,
                     Millis at);
   void response_received(const std::string& id, Millis at);
   void client_disconnected(const std::string& id, Millis at);
-  /// The gateway closed the connection of a request in flight. A client sends the request again if
-  /// the close crossed it.
+  /// The gateway closed the connection of a request in flight. If the close raced with the request,
+  /// the client may send the request again.
   [[nodiscard]] ConnectionClose connection_ended(const std::string& id, Millis at);
 
-  /// An endpoint received an attempt with `timeout` left.
+  /// An endpoint received an attempt, with the timeout that the gateway forwarded.
   void attempt_arrived(int endpoint, const std::string& id, Millis timeout, Millis at);
   void attempt_ended(int endpoint, const std::string& id, Effect effect);
   void health_check_arrived(int gateway, int endpoint, Millis at);
 
-  /// Records overdue requests as lost.
+  /// Records a violation for each request whose response is overdue at `at`.
   void check_overdue(Millis at);
 
   [[nodiscard]] const std::vector<Violation>& violations() const { return violations_; }
@@ -86,9 +94,10 @@
 private:
   struct Gateway {
     Millis started_at = 0;
-    Millis terminated_at = 0;  ///< 0: not terminated.
-    std::vector<std::pair<Millis, Millis>> pauses;
-    std::map<int, Millis> draining_since;  ///< By endpoint; drains or is missing.
+    Millis terminated_at = 0;                       ///< 0: not terminated.
+    std::vector<std::pair<Millis, Millis>> pauses;  ///< Begin and end.
+    /// For each endpoint that is listed as draining or is missing: the time of the first such list.
+    std::map<int, Millis> draining_since;
   };
 
   struct Request {
@@ -96,23 +105,25 @@
     ServiceClass service_class = ServiceClass::Idempotent;
     Millis sent_at = 0;
     Millis deadline = 0;
-    Millis disconnected_at = 0;  ///< 0: the client is connected.
-    /// Has a response, is excused, or its gateway was killed.
+    Millis disconnected_at = 0;  ///< 0: the client has not disconnected.
+    /// No response is expected any more: one arrived, the connection ended, the gateway exited, or
+    /// the missing response was recorded.
     bool is_finished = false;
     int response_count = 0;
-    std::set<int> in_flight;  ///< Endpoints.
-    Millis may_have_run_since = 0;
-    Millis last_attempt_at = 0;
+    std::set<int> in_flight;        ///< The endpoints that an attempt is in flight at.
+    Millis may_have_run_since = 0;  ///< The first attempt that may have taken effect; 0: none.
+    Millis last_attempt_at = 0;     ///< 0: no attempt.
   };
 
   void report(const std::string& rule, const std::string& detail, Millis at);
+  /// Checks that the endpoint was not drained or removed too long ago to get traffic.
   void check_draining_endpoint(int gateway, int endpoint, const std::string& traffic, Millis at);
   void check_retry(const Request& request, const std::string& id, Millis at);
   void check_forwarded_timeout(const Request& request, const std::string& id, Millis timeout,
                                Millis at);
-  /// The part of the time between `from` and `to` in which the process was stopped.
+  /// How long the process was paused between `from` and `to`.
   [[nodiscard]] static Millis paused_between(const Gateway& gateway, Millis from, Millis to);
-  /// Whether the gateway had closed its listener before the request was sent.
+  /// Whether the request was sent so long after SIGTERM that it needs no response.
   [[nodiscard]] static bool was_sent_after_termination(const Gateway& gateway,
                                                        const Request& request);
 
--- a/tests/fault_soak/random_source.h
+++ b/tests/fault_soak/random_source.h
@@ -1,4 +1,4 @@
-/// Random numbers drawn from a seed.
+/// A random number generator that is determined by a seed.
 #pragma once
 
 #include "soak_clock.h"
@@ -15,12 +15,12 @@
 
   [[nodiscard]] std::uint64_t next() { return generator_(); }
 
-  /// Uniform; both bounds are included.
+  /// A uniformly distributed number from `low` to `high`, both included.
   [[nodiscard]] Millis between(Millis low, Millis high) {
     return std::uniform_int_distribution<Millis>(low, high)(generator_);
   }
 
-  /// An index below `count`, which is above 0.
+  /// A uniformly distributed index below `count`, which must be above 0.
   [[nodiscard]] std::size_t index(std::size_t count) {
     return static_cast<std::size_t>(between(0, static_cast<Millis>(count) - 1));
   }
--- a/tests/fault_soak/service_classes.h
+++ b/tests/fault_soak/service_classes.h
@@ -1,4 +1,4 @@
-/// The service classes that the soak's gateways are configured with.
+/// The service classes in the configuration of the fault soak's gateways.
 #pragma once
 
 #include "soak_clock.h"
@@ -20,7 +20,7 @@
   return "any";
 }
 
-/// How long endpoints drop duplicates of a keyed write.
+/// How long endpoints discard duplicates of a keyed write, in milliseconds.
 constexpr Millis kDeduplicationWindow = 1000;
 
 }  // namespace fault_soak
--- a/tests/fault_soak/soak_clock.h
+++ b/tests/fault_soak/soak_clock.h
@@ -1,4 +1,4 @@
-/// The clock of the fault soak.
+/// The monotonic clock that all times of the fault soak refer to.
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,10 @@
 
 namespace fault_soak {
 
+/// A duration, or a time of the clock, in milliseconds.
 using Millis = std::int64_t;
 
-/// Milliseconds of one monotonic clock.
+/// The current time in milliseconds.
 [[nodiscard]] inline Millis now_ms() {
   return g_get_monotonic_time() / 1000;
 }
--- a/tests/fault_soak/soak_context.h
+++ b/tests/fault_soak/soak_context.h
@@ -1,4 +1,4 @@
-/// What all parts of one run share.
+/// The settings, the report and the state that all parts of one run share.
 #pragma once
 
 #include "delayed_tasks.h"
@@ -18,7 +18,7 @@
 
 struct SoakSettings {
   std::string program;
-  std::string shim;  ///< A library that is preloaded into the program; empty: none.
+  std::string shim;  ///< Path of a library to preload into the processes; empty: none.
   std::uint64_t seed = 1;
   int gateways = 10;
   int endpoints = 6;
@@ -28,16 +28,16 @@
 
 struct SoakReport {
   std::vector<Violation> violations;
-  std::vector<std::string> fault_log;
-  std::map<std::string, int> fault_counts;   ///< By kind.
-  std::map<std::string, int> result_counts;  ///< `served`, `rejected` or `failed`.
+  std::vector<std::string> fault_log;        ///< A line for each injected fault.
+  std::map<std::string, int> fault_counts;   ///< The number of faults of each kind.
+  std::map<std::string, int> result_counts;  ///< By result: `served`, `rejected`, `failed`.
   std::size_t requests = 0;
   std::size_t attempts = 0;
-  Millis longest_iteration =
-      0;  ///< Of the soak's own event loop. A run in which it stalled is void.
+  /// The longest iteration of the soak's own event loop. If it is too long, the run is invalid.
+  Millis longest_iteration = 0;
 };
 
-/// Everything runs on the main loop's thread.
+/// All members are used on the main loop's thread only.
 struct SoakContext {
   explicit SoakContext(SoakSettings soak_settings)
       : settings(std::move(soak_settings)), traffic_random(settings.seed),
@@ -49,13 +49,13 @@
 
   const SoakSettings settings;
   RandomSource traffic_random;
-  /// Apart from `traffic_random`, so that traffic does not change which faults are drawn.
+  /// Separate from `traffic_random`, so that the traffic does not affect which faults are drawn.
   RandomSource fault_random;
   Oracle oracle{kDeduplicationWindow};
   SoakReport report;
   DelayedTasks tasks;
   int next_request_number = 0;
-  bool is_run_over = false;  ///< No further requests and no further processes.
+  bool is_run_over = false;  ///< If set, no request is sent and no process started.
 };
 
 }  // namespace fault_soak
--- a/tests/fault_soak_oracle_test.cpp
+++ b/tests/fault_soak_oracle_test.cpp
@@ -23,7 +23,7 @@
     oracle_.request_sent(kGateway, "r", service_class, kDeadline, kStart);
   }
 
-  // An attempt at `endpoint` that is `delay` after the request and ends a millisecond later.
+  // Records an attempt at `endpoint` that arrives `delay` after the request and ends with `effect`.
   void attempt(int endpoint, Millis delay, Effect effect) {
     oracle_.attempt_arrived(endpoint, "r", kTimeout - delay, kStart + delay);
     oracle_.attempt_ended(endpoint, "r", effect);
@@ -59,8 +59,8 @@
 }
 
 TEST_F(OracleTest, ReportsResponsesAndAttemptsOfUnknownRequests) {
-  oracle_.response_received("nobody's", kStart);
-  oracle_.attempt_arrived(kEndpoint, "nobody's", kTimeout, kStart);
+  oracle_.response_received("unknown", kStart);
+  oracle_.attempt_arrived(kEndpoint, "unknown", kTimeout, kStart);
   EXPECT_EQ(violated_rules(), (Rules{"unknown", "unknown"}));
 }
 
@@ -111,7 +111,8 @@
   EXPECT_EQ(violated_rules(), Rules{"drain"});
 }
 
-// A later list does not extend the grace, and a pause does not excuse traffic.
+// The drain grace counts from the first list that shows the endpoint as draining. Neither a later
+// list nor a pause of the process extends it.
 TEST_F(OracleTest, CountsDrainGraceFromFirstListThroughPause) {
   oracle_.endpoint_listed_as_draining(kGateway, kEndpoint, kStart);
   oracle_.gateway_paused(kGateway, kStart);
@@ -135,6 +136,8 @@
   EXPECT_EQ(violated_rules(), Rules{"duplicate"});
 }
 
+/// A first attempt with `first_effect`, a second one `retry_delay` after the request, and the rules
+/// that the second one violates.
 struct RetryCase {
   ServiceClass service_class;
   Effect first_effect;
--- a/tests/shim/fault_shim.cpp
+++ b/tests/shim/fault_shim.cpp
@@ -1,6 +1,6 @@
-/// A library that is preloaded into a gateway under test. It injects faults into system calls on
-/// sockets that Linux documents, drawn from the seed in FAULT_SHIM_SEED: errors of accept, connect,
-/// poll, recv, send and sendmsg, and short reads and writes.
+/// A library to preload into a gateway under test. It replaces accept, connect, poll, recv, send
+/// and sendmsg by functions that sometimes fail with an error that Linux documents, or read or
+/// write fewer bytes than requested. The seed in FAULT_SHIM_SEED determines these faults.
 #include <algorithm>
 #include <cerrno>
 #include <cstddef>
@@ -23,7 +23,7 @@
   return (seed == nullptr ? 1 : std::strtoull(seed, nullptr, 10)) * 0x9e3779b97f4a7c15ULL + 1;
 }
 
-/// xorshift64*, by G. Marsaglia and S. Vigna.
+/// The next number of the xorshift64* generator by G. Marsaglia and S. Vigna.
 std::uint64_t next_random() {
   thread_local std::uint64_t state = initial_state();
   state ^= state >> 12;
@@ -36,7 +36,7 @@
   return next_random() % 1000 < per_thousand;
 }
 
-/// Draws whether a call fails; if so, sets errno to one of `errors`.
+/// Draws whether a call fails. If it does, sets errno to one of `errors`.
 bool draw_error(unsigned per_thousand, std::initializer_list<int> errors) {
   if (!draw_bool(per_thousand))
     return false;
@@ -44,6 +44,7 @@
   return true;
 }
 
+/// The definition of `name` that the process would use without this library.
 template <typename Function>
 Function* next_definition(const char* name) {
   return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
@@ -56,7 +57,8 @@
          address.ss_family == AF_INET;
 }
 
-/// `size`, or the smaller size of a short read or write.
+/// Draws whether a read or write is short. Returns the smaller size of a short one, otherwise
+/// `size`.
 std::size_t draw_transfer_size(std::size_t size) {
   if (size < 2 || !draw_bool(kShortTransfersPerThousand))
     return size;
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -1,10 +1,11 @@
-/// Checks that memory is bounded. The request broker and the router process hours of endpoint
-/// changes, sessions, idempotency keys and restarts in virtual time. Each round ends with an idle
-/// time longer than any retention time, after which the heap must not be larger than before. The
-/// cluster and its faults are drawn from a seed; the router selects the endpoint of each request.
+/// Checks that the request broker and the router use bounded memory over hours of virtual time,
+/// with endpoint changes, sessions, idempotency keys and restarts. Each round ends with an idle
+/// period that is longer than any retention time, after which the heap must be at most 10 % larger
+/// than after the second round. A seed determines the cluster and its faults; the router selects
+/// the endpoint of each request.
 ///
-/// Usage: soak [ROUNDS [SEED]]. Exit status 0: each request got one response and memory did not
-/// grow.
+/// Usage: soak [ROUNDS [SEED]]. The exit status is 0 if each request got exactly one response and
+/// the heap did not grow, and 1 otherwise.
 #include "virtual_time.h"
 
 #include "proxy/request_broker.h"
@@ -25,7 +26,7 @@
 
 namespace {
 
-// What operator new has allocated and operator delete has not released.
+// The memory that operator new has allocated and operator delete has not yet released.
 std::size_t heap_blocks = 0;
 std::size_t heap_bytes = 0;
 
@@ -40,8 +41,8 @@
   return block;
 }
 
-// std::stable_sort allocates with this one. Without it the sanitizers' version would allocate what
-// the operator delete below releases.
+// std::stable_sort allocates with this operator. Without a replacement, it would allocate with the
+// sanitizers' version, whereas the operator delete below would release the memory.
 void* operator new(std::size_t size, const std::nothrow_t&) noexcept {
   try {
     return operator new(size);
@@ -66,13 +67,13 @@
 
 using namespace gorsebeam;
 constexpr Duration kBusyTime = 240s;
-constexpr Duration kIdleTime = 150s;  // nothing is kept for over two minutes
+constexpr Duration kIdleTime = 150s;  // no state is kept for more than two minutes
 constexpr int kGroups = 8;
 constexpr int kEndpointsPerGroup = 4;
 
 using Random = std::mt19937_64;
 
-/// Counts its final responses.
+/// A client call that counts its final responses.
 struct CountingClientCall : proxy::ClientCall {
   [[nodiscard]] bool has_client_disconnected() const override { return false; }
 
@@ -87,14 +88,15 @@
   void fail() override { ++response_count; }
 };
 
-/// One simulated endpoint.
+/// The state of one simulated endpoint.
 struct SimulatedEndpoint {
   proxy::ListedEndpoint listed;
   bool is_primary = false;
-  bool is_silent = false;  // does not respond
+  bool is_silent = false;  // responds to nothing
 };
 
-/// A cluster and its clients, on one broker.
+/// A cluster of simulated endpoints and the clients of one request broker. It answers the attempts
+/// that the broker starts.
 class SimulatedCluster : public proxy::Upstream {
 public:
   explicit SimulatedCluster(std::uint64_t seed)
@@ -106,7 +108,7 @@
     update_all(EndpointList::Kind::Full);
   }
 
-  /// Runs a busy period with faults, then an idle period.
+  /// Runs a busy period with requests and faults, then idle periods.
   void run_round() {
     const TimePoint start = net::now();
     for (TimePoint time = start; time < start + kBusyTime; time += 20ms)
@@ -190,13 +192,13 @@
     broker_->update_endpoints(kind, all);
   }
 
-  /// Replaces or restarts an endpoint, makes it silent or responsive, or moves the primary of its
-  /// group.
+  /// Replaces or restarts an endpoint, makes it silent or responsive, or makes it the primary of
+  /// its group. Then adds and removes a group with a single endpoint.
   void inject_fault() {
     SimulatedEndpoint& endpoint = endpoints_[random_() % endpoints_.size()];
     const GroupId group = endpoint.listed.endpoint.group;
     const double fault = draw();
-    if (fault < 0.4) {  // replaced, under a new name
+    if (fault < 0.4) {  // the endpoint is replaced by one with another name
       endpoint.listed.endpoint.status = EndpointStatus::Removed;
       broker_->update_endpoints(EndpointList::Kind::Delta, {endpoint.listed});
       const bool was_primary = endpoint.is_primary;
@@ -214,7 +216,7 @@
     }
     if (draw() < 0.2)
       update_all(EndpointList::Kind::Full);
-    // A group that appears and disappears with its only endpoint.
+    // This group exists only as long as its single endpoint.
     SimulatedEndpoint temporary = make_endpoint(1000 + last_endpoint_number_, true);
     broker_->update_endpoints(EndpointList::Kind::Delta, {temporary.listed});
     send_request(temporary.listed.endpoint.group);
@@ -244,7 +246,7 @@
         if (client->response_count > 0)
           return;
         broker_->client_disconnected(id);
-        ++client->response_count;  // the client expects no other response
+        ++client->response_count;  // stands for the response, of which the client expects no other
       });
     }
     virtual_time::schedule(deadline + 50ms, [this, client] {
@@ -276,7 +278,8 @@
     return response;
   }
 
-  /// How an attempt at a responsive endpoint ends, from a uniform draw between 0 and 1.
+  /// Maps a number drawn uniformly between 0 and 1 to the result of an attempt at a responsive
+  /// endpoint.
   static AttemptStatus status_of(double outcome) {
     if (outcome < 0.06)
       return AttemptStatus::Error;
@@ -333,7 +336,8 @@
     broker_->complete_attempt(attempt, response);
   }
 
-  void detach_call(proxy::AttemptId) override {}  // the attempt is written and continues
+  // The request has been written, so the attempt continues without its call.
+  void detach_call(proxy::AttemptId) override {}
 
   Random random_;
   unsigned last_endpoint_number_ = 0;
@@ -354,8 +358,8 @@
   std::size_t max_bytes = 0;
   for (int round = 0; round < rounds; ++round) {
     cluster.run_round();
-    std::printf("round %d: %zu requests, %zu blocks, %zu bytes, %zu steps pending\n", round,
-                cluster.request_count, heap_blocks, heap_bytes, virtual_time::pending());
+    std::printf("round %d: %zu requests, %zu heap blocks, %zu heap bytes, %zu scheduled steps\n",
+                round, cluster.request_count, heap_blocks, heap_bytes, virtual_time::pending());
     if (round == 1) {
       baseline_blocks = heap_blocks;
       baseline_bytes = heap_bytes;
@@ -365,11 +369,14 @@
       max_bytes = std::max(max_bytes, heap_bytes);
     }
   }
-  std::printf("%zu without a response, %zu with two; blocks %zu to %zu, bytes %zu to %zu\n",
-              cluster.requests_without_response, cluster.requests_with_two_responses,
-              baseline_blocks, max_blocks, baseline_bytes, max_bytes);
-  // Rounds differ only in the primaries, in the endpoints that the last faults left silent, and in
-  // the load factors of the hash tables; a tenth more allows for these.
+  std::printf(
+      "%zu requests without a response, %zu with more than one; heap blocks grew from %zu to "
+      "%zu, heap bytes from %zu to %zu; the limit is 10 %%\n",
+      cluster.requests_without_response, cluster.requests_with_two_responses, baseline_blocks,
+      max_blocks, baseline_bytes, max_bytes);
+  // After an idle period, rounds differ only in the primaries, in the endpoints that the last
+  // faults left silent and in the load factors of the hash tables. A growth of 10 % allows for
+  // these.
   const bool has_grown = max_blocks > baseline_blocks + baseline_blocks / 10 ||
                          max_bytes > baseline_bytes + baseline_bytes / 10;
   return cluster.requests_without_response > 0 || cluster.requests_with_two_responses > 0 ||
--- a/tests/soak/virtual_time.cpp
+++ b/tests/soak/virtual_time.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr gorsebeam::TimePoint
-    kStart(std::chrono::seconds(1'767'225'600));  // any time long after 1970
+    kStart(std::chrono::seconds(1'767'225'600));  // 2026-01-01; any time long after 1970 would do
 
 gorsebeam::TimePoint current_time = kStart;
 std::uint64_t last_sequence_number = 0;
@@ -47,7 +47,7 @@
 }
 
 TimePoint earliest_arrival() {
-  return current_time;  // nothing holds the loop up
+  return current_time;  // the virtual event loop never stalls
 }
 
 Timer::Timer(std::function<void()> action) : action_(std::move(action)) {}
--- a/tests/soak/virtual_time.h
+++ b/tests/soak/virtual_time.h
@@ -1,6 +1,6 @@
-/// The clock and the timers of net/timer.h in virtual time: an executable that links
-/// virtual_time.cpp has them in place of the main loop's. Nothing waits, so hours pass in seconds,
-/// the same each time. Times count from the Unix epoch.
+/// A virtual clock. An executable that compiles virtual_time.cpp gets the clock and the timers of
+/// net/timer.h in virtual time instead of the main loop's. Nothing waits, so that hours are
+/// simulated in seconds, and each run gives the same result. Times count from the Unix epoch.
 #pragma once
 
 #include "gorsebeam/time.h"
@@ -10,14 +10,14 @@
 
 namespace virtual_time {
 
-/// Schedules `step`. Steps run in the order of their times, and at the same time in the order of
-/// scheduling.
+/// Schedules `step` for the time `when`. Steps run in the order of their times, and steps with the
+/// same time in the order in which they were scheduled.
 void schedule(gorsebeam::TimePoint when, std::function<void()> step);
 
-/// Runs all steps and timers due up to `when`, then sets the clock to it.
+/// Runs all steps and timers that are due by `when`, then sets the clock to `when`.
 void run_until(gorsebeam::TimePoint when);
 
-/// Steps and timers that are scheduled.
+/// The number of scheduled steps and timers.
 [[nodiscard]] std::size_t pending();
 
 }  // namespace virtual_time
