--- a/tests/fault_soak/fault_injector.cpp
+++ b/tests/fault_soak/fault_injector.cpp
@@ -29,7 +29,7 @@
 
 void FaultInjector::inject_fault() {
   using Fault = void (FaultInjector::*)();
-  // A fault is as probable as it is frequent in the list.
+  // Each entry is equally probable, so pause_gateway is three times as probable as another fault.
   static constexpr std::array<Fault, 12> kFaults{
       &FaultInjector::pause_gateway,
       &FaultInjector::pause_gateway,
@@ -37,7 +37,7 @@
       &FaultInjector::terminate_gateway,
       &FaultInjector::kill_gateway,
       &FaultInjector::reload_gateway,
-      &FaultInjector::disturb_agent,
+      &FaultInjector::inject_agent_fault,
       &FaultInjector::drain_endpoint,
       &FaultInjector::make_endpoint_unresponsive,
       &FaultInjector::close_endpoint_connections,
@@ -60,7 +60,7 @@
 }
 
 void FaultInjector::log_fault(const std::string& kind, const std::string& detail) {
-  ++context_.report.faults[kind];
+  ++context_.report.fault_counts[kind];
   context_.report.fault_log.push_back(std::to_string(now_ms() - started_at_) + " " + kind + " " +
                                       detail);
 }
@@ -109,7 +109,7 @@
   gateway.reload_with_moved_agent();
 }
 
-void FaultInjector::disturb_agent() {
+void FaultInjector::inject_agent_fault() {
   using State = FakeDiscoveryAgent::State;
   GatewayUnderTest& gateway = draw_gateway();
   FakeDiscoveryAgent& agent = gateway.agent();
@@ -129,7 +129,8 @@
   });
 }
 
-// Leaves enough endpoints up to serve each request.
+// Drains an endpoint, then removes it and later lists it again, as just started. At least
+// kMinUpEndpoints endpoints stay up, so that requests can still be served.
 void FaultInjector::drain_endpoint() {
   FakeEndpoint& endpoint = draw_endpoint();
   if (endpoints_.up_count() <= kMinUpEndpoints || endpoint.listed_status != ListedStatus::Up)
--- a/tests/fault_soak/gateway_process.cpp
+++ b/tests/fault_soak/gateway_process.cpp
@@ -81,7 +81,8 @@
   const auto process =
       test_harness::start_serve(settings_.program, config_path(), operator_file_path, environment);
   if (!process)
-    throw std::runtime_error("the program cannot be started: " + settings_.program);
+    throw std::runtime_error("gateway " + std::to_string(settings_.index) +
+                             " cannot start the program " + settings_.program);
   pid_ = process->pid;
   log_descriptor_ = process->log_descriptor;
   is_ready_ = false;
@@ -108,8 +109,8 @@
     kill(pid_, number);
 }
 
-gboolean GatewayProcess::on_log_readable(gint, GIOCondition condition, gpointer self_pointer) {
-  auto* self = static_cast<GatewayProcess*>(self_pointer);
+gboolean GatewayProcess::on_log_readable(gint, GIOCondition condition, gpointer user_data) {
+  auto* self = static_cast<GatewayProcess*>(user_data);
   self->read_log();
   if ((condition & G_IO_IN) != 0)
     return G_SOURCE_CONTINUE;
--- a/tests/fault_soak_oracle_test.cpp
+++ b/tests/fault_soak_oracle_test.cpp
@@ -23,7 +23,7 @@
     oracle_.request_sent(kGateway, "r", service_class, kDeadline, kStart);
   }
 
-  // An attempt at `endpoint` that is `delay` after the request and ends a millisecond later.
+  // Records an attempt at `endpoint` that arrives `delay` after the request and ends with `effect`.
   void attempt(int endpoint, Millis delay, Effect effect) {
     oracle_.attempt_arrived(endpoint, "r", kTimeout - delay, kStart + delay);
     oracle_.attempt_ended(endpoint, "r", effect);
@@ -59,8 +59,8 @@
 }
 
 TEST_F(OracleTest, ReportsResponsesAndAttemptsOfUnknownRequests) {
-  oracle_.response_received("nobody's", kStart);
-  oracle_.attempt_arrived(kEndpoint, "nobody's", kTimeout, kStart);
+  oracle_.response_received("unknown", kStart);
+  oracle_.attempt_arrived(kEndpoint, "unknown", kTimeout, kStart);
   EXPECT_EQ(violated_rules(), (Rules{"unknown", "unknown"}));
 }
 
@@ -92,7 +92,7 @@
 
 TEST_F(OracleTest, ExpectsNoResponseFromKilledOrTerminatedProcess) {
   send_request();
-  oracle_.gateway_killed(kGateway);
+  oracle_.gateway_exited(kGateway);
   oracle_.gateway_started(kGateway, kStart + 50);
   oracle_.gateway_terminated(kGateway, kStart + 100);
   oracle_.request_sent(kGateway, "late", ServiceClass::Idempotent, kDeadline,
@@ -111,7 +111,8 @@
   EXPECT_EQ(violated_rules(), Rules{"drain"});
 }
 
-// A later list does not extend the grace, and a pause does not excuse traffic.
+// The drain grace counts from the first list that shows the endpoint as draining. Neither a later
+// list nor a pause of the process extends it.
 TEST_F(OracleTest, CountsDrainGraceFromFirstListThroughPause) {
   oracle_.endpoint_listed_as_draining(kGateway, kEndpoint, kStart);
   oracle_.gateway_paused(kGateway, kStart);
@@ -135,6 +136,8 @@
   EXPECT_EQ(violated_rules(), Rules{"duplicate"});
 }
 
+/// A first attempt with `first_effect`, a second one `retry_delay` after the request, and the rules
+/// that the second one violates.
 struct RetryCase {
   ServiceClass service_class;
   Effect first_effect;
@@ -142,7 +145,7 @@
   Rules rules;
 };
 
-TEST_F(OracleTest, JudgesRetriesByClassEffectAndWindow) {
+TEST_F(OracleTest, ChecksRetriesByClassEffectAndWindow) {
   constexpr Millis kWindowEnd = 5 + kDeduplicationWindow + kDeadlineSlack + kRecordSlack;
   const std::vector<RetryCase> cases{
       {ServiceClass::Idempotent, Effect::MayHaveRun, kWindowEnd + 1, {}},
@@ -181,10 +184,10 @@
   EXPECT_EQ(violated_rules(), Rules{"deadline"});
 }
 
-TEST_F(OracleTest, ExcusesConnectionCloseThatCrossesRequest) {
+TEST_F(OracleTest, ExcusesConnectionCloseThatRacesWithRequest) {
   send_request();
-  const Millis just_before = kStart + kCrossingTime + kRecordSlack - 1;
-  EXPECT_EQ(oracle_.connection_ended("r", just_before), ConnectionClose::CrossedRequest);
+  const Millis just_before = kStart + kCloseRaceTime + kRecordSlack - 1;
+  EXPECT_EQ(oracle_.connection_ended("r", just_before), ConnectionClose::RacedRequest);
   EXPECT_EQ(violated_rules(), Rules{});
 }
 
