--- a/tests/integration/control_stream_test.cpp
+++ b/tests/integration/control_stream_test.cpp
@@ -72,7 +72,8 @@
   proxy_.start_discarding();
   load_->wait_until(
       [&] {
-        return gateway_.has_logged("the control service is silent");
+        return gateway_.has_logged("the control service is silent") &&
+               gateway_.has_logged("and no answer to a ping");
       },
       "the gateway to log that the control service is silent");
   proxy_.resume_forwarding();
