--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,7 +1,7 @@
 /// Runs one gateway process: start, reload on SIGHUP, graceful shutdown on SIGTERM and SIGINT.
 #pragma once
 
-#include "plan.h"
+#include "gateway_config.h"
 #include "protocol_path.h"
 
 #include "control_plane/control_plane_client.h"
--- a/src/gateway/plan.cpp
+++ b/src/gateway/gateway_config.cpp
@@ -1,4 +1,4 @@
-#include "plan.h"
+#include "gateway_config.h"
 
 #include <utility>
 
