--- a/tests/integration/control_snapshot_test.cpp
+++ b/tests/integration/control_snapshot_test.cpp
@@ -135,7 +135,7 @@
 
 class ListenerReload : public GatewayIntegrationTest {};
 
-// A reload changes the listener's address while a request is in flight, whose connection stays
+// A reload changes the listener's address while a request is in flight, and its connection stays
 // open. A second reload changes the log format to JSON.
 TEST_P(ListenerReload, MovesListenerAndKeepsConnections) {
   GatewayHarness harness(protocol(), 2, 0);
--- a/tests/integration/gateway_process.h
+++ b/tests/integration/gateway_process.h
@@ -48,7 +48,7 @@
   /// The address of the last listener for `protocol_label` in the log.
   [[nodiscard]] std::string last_listener_address(const std::string& protocol_label) const;
 
-  std::string log;  ///< Read so far, since the last start.
+  std::string log;  ///< What was read of the log since the last start.
 
 private:
   GPid pid_ = 0;
--- a/tests/integration/protocol.h
+++ b/tests/integration/protocol.h
@@ -15,7 +15,7 @@
   RejectOverloaded,   ///< Rejects for lack of capacity; the request did not run.
   CloseConnection,    ///< Closes the connection instead of responding.
   NoResponse,         ///< Never responds.
-  Garbage,            ///< Sends bytes that belong to no protocol.
+  Garbage,            ///< Sends bytes that are no valid message.
   Truncated,          ///< Announces more bytes than it sends.
   OversizedLength,    ///< Announces a response of more than 1 GB.
   Duplicate,          ///< Sends a second response right after a valid one.
--- a/tests/integration/test_harness.h
+++ b/tests/integration/test_harness.h
@@ -86,8 +86,8 @@
   /// Waits until an endpoint has seen the first attempt of the request.
   void await_first_attempt(const std::string& request_id) const;
   /// Asserts that each request had exactly one response, one idempotency key and a bounded number
-  /// of attempts, and that no request was retried that may have run and must not run twice. That no
-  /// two attempts of a request are in flight at once, the stub endpoints check at each arrival.
+  /// of attempts, and that no request was retried that may have run and must not run twice. The
+  /// stub endpoints check at each arrival that no two attempts of a request are in flight at once.
   void expect_invariants() const;
   /// As expect_invariants(), and the program still runs.
   void expect_invariants_and_running() const;
