--- a/model/versions.pml
+++ b/model/versions.pml
@@ -17,7 +17,7 @@
 bool is_rollback[2];  /* of the pending response */
 bool streaming = false;
 byte unanswered[2];   /* responses of this stream */
-bool lost = false;
+bool stream_lost = false;
 
 #define VALID(contracts, members) ((contracts) <= (members))
 
@@ -72,7 +72,7 @@
   byte t; byte generation; byte rolled_back; bool rollback;
 end:
   do
-  :: !streaming -> d_step { streaming = true; lost = false } /* a connection attempt, in bounded time */
+  :: !streaming -> d_step { streaming = true; stream_lost = false } /* a connection attempt, in bounded time */
   :: streaming -> /* any response */
      select(t : 0 .. 1); select(generation : 1 .. MAX_GENERATION); select(rolled_back : 1 .. MAX_GENERATION);
      atomic {
@@ -87,14 +87,14 @@
        assert(unanswered[CONTRACTS] == 0 && unanswered[MEMBERS] == 0)
      }
   :: streaming -> d_step { /* the stream is lost, and pending responses with it */
-       streaming = false; lost = true;
+       streaming = false; stream_lost = true;
        drop_pending(CONTRACTS); drop_pending(MEMBERS);
        unanswered[CONTRACTS] = 0; unanswered[MEMBERS] = 0
      }
   od
 }
 
-ltl reconnects { [] (lost -> <> streaming) }
+ltl reconnects { [] (stream_lost -> <> streaming) }
 /* An unanswered response is a pending one: all others are answered at once. */
 ltl answered {
   [] ((unanswered[CONTRACTS] == (pending[CONTRACTS] != NONE)) && (unanswered[MEMBERS] == (pending[MEMBERS] != NONE)))
--- a/src/leases/lease_client.cpp
+++ b/src/leases/lease_client.cpp
@@ -8,7 +8,7 @@
 namespace gorsebeam::leases {
 namespace {
 
-constexpr std::size_t kMaxUnansweredRequests = 8;  // About two leases of requests.
+constexpr std::size_t kMaxTrackedRequests = 8;  // About two leases of requests.
 
 }  // namespace
 
@@ -51,12 +51,13 @@
 }
 
 void LeaseClient::send_request(TimePoint now, ClientActions& actions) {
-  ++last_request_;
-  unanswered_requests_[last_request_] = now;
-  if (unanswered_requests_.size() > kMaxUnansweredRequests)
+  ++last_request_number_;
+  unanswered_requests_[last_request_number_] = now;
+  if (unanswered_requests_.size() > kMaxTrackedRequests)
     unanswered_requests_.erase(unanswered_requests_.begin());
   next_request_at_ = now + draw_request_interval();
-  actions.emplace_back(LeaseRequest{holder_, zone_, last_request_, last_response_, false});
+  actions.emplace_back(
+      LeaseRequest{holder_, zone_, last_request_number_, last_answered_request_, false});
 }
 
 void LeaseClient::handle_response(TimePoint now, const LeaseResponse& response,
@@ -65,9 +66,9 @@
   const bool is_addressed_here = response.holder == holder_ && state_ == State::Active;
   // A reordered or duplicated response does not replace a newer one.
   if (!is_addressed_here || request == unanswered_requests_.end() ||
-      response.request_number <= last_response_)
+      response.request_number <= last_answered_request_)
     return;
-  last_response_ = response.request_number;
+  last_answered_request_ = response.request_number;
   const TimePoint sent_at = request->second;
   const TimePoint expires_at = sent_at + settings_.lease_duration - settings_.max_clock_drift();
   unanswered_requests_.erase(unanswered_requests_.begin(), std::next(request));
@@ -105,8 +106,9 @@
   held_leases_.clear();
   deadline_ = kNever;
   next_request_at_ = kNever;
-  ++last_request_;
-  actions.emplace_back(LeaseRequest{holder_, zone_, last_request_, last_response_, true});
+  ++last_request_number_;
+  actions.emplace_back(
+      LeaseRequest{holder_, zone_, last_request_number_, last_answered_request_, true});
 }
 
 std::optional<FencingToken> LeaseClient::valid_token(TimePoint now, const std::string& role) const {
--- a/src/leases/lease_client.h
+++ b/src/leases/lease_client.h
@@ -83,8 +83,8 @@
   std::string holder_;
   std::string zone_;
   State state_ = State::Active;
-  std::uint64_t last_request_ = 0;
-  std::uint64_t last_response_ = 0;
+  std::uint64_t last_request_number_ = 0;
+  std::uint64_t last_answered_request_ = 0;
   std::map<std::uint64_t, TimePoint> unanswered_requests_;  ///< When each was sent; bounded.
   HeldLeases held_leases_;
   TimePoint next_request_at_ = kNever;
--- a/src/leases/lease_manager.cpp
+++ b/src/leases/lease_manager.cpp
@@ -35,7 +35,7 @@
   // Earlier leaders may have renewed any lease up to this node's election, for requests that they
   // had received by then.
   for (const std::string& role : settings_.roles)
-    leases_[role].expires_at = now + lease_with_drift();
+    leases_[role].expires_at = now + lease_duration_with_drift();
   deadline_ = now + settings_.lease_duration / 4;
 }
 
@@ -66,11 +66,12 @@
     gateway.state = GatewayState::Resigned;
     return expire_leases_of(now, request.holder);
   }
-  const bool misses_responses = request.number > request.last_response + kMaxUnansweredRequests;
+  const bool misses_responses =
+      request.request_number > request.last_answered_request + kMaxUnansweredRequests;
   gateway.state = misses_responses ? GatewayState::MissesResponses : GatewayState::Responsive;
   // A newer request replaces an older pending one, as its renewal lasts longer.
   PendingRequest& pending = pending_requests_[request.holder];
-  if (pending.request.number < request.number)
+  if (pending.request.request_number < request.request_number)
     pending = {request, now, 0};
   // Requests that arrive in the meantime share one confirmation.
   deadline_ = std::min(deadline_, now + settings_.lease_duration / 50);
@@ -102,7 +103,7 @@
 
 LeaseResponse LeaseManager::renew(const PendingRequest& pending) {
   const std::string& holder = pending.request.holder;
-  LeaseResponse response{holder, pending.request.number, {}};
+  LeaseResponse response{holder, pending.request.request_number, {}};
   const auto gateway = gateways_.find(holder);
   if (gateway == gateways_.end() || gateway->second.state != GatewayState::Responsive)
     return response;
@@ -112,7 +113,8 @@
         lease.state == LeaseState::Renewable && lease.preferred_successor.empty();
     if (grant.holder != holder || !is_renewable)
       continue;
-    lease.expires_at = std::max(lease.expires_at, pending.received_at + lease_with_drift());
+    lease.expires_at =
+        std::max(lease.expires_at, pending.received_at + lease_duration_with_drift());
     response.held_roles.emplace_back(role, grant.token);
   }
   return response;
@@ -129,7 +131,7 @@
   // The holder receives the grant in the response to its next request. If it sends none, the role
   // is granted to another gateway after a lease.
   const bool is_held = !table_->grant_of(role).holder.empty();
-  lease.expires_at = is_held ? now + lease_with_drift() : now;
+  lease.expires_at = is_held ? now + lease_duration_with_drift() : now;
 }
 
 void LeaseManager::transfer(const std::string& role, const std::string& preferred_successor) {
@@ -165,8 +167,8 @@
   for (const auto& [holder, gateway] : gateways_) {
     if (!is_available(now, holder))
       continue;
-    const auto flaps = flap_histories_.find(gateway_name(holder));
-    const bool is_avoided = flaps != flap_histories_.end() && now < flaps->second.avoided_until;
+    const auto history = flap_histories_.find(gateway_name(holder));
+    const bool is_avoided = history != flap_histories_.end() && now < history->second.avoided_until;
     // The hash distributes ties over the gateways, in the same way at every leader.
     std::string tie_break = role;
     tie_break += ' ';
@@ -242,12 +244,12 @@
 // ---- Time
 
 void LeaseManager::forget_silent_gateways(TimePoint now) {
-  const TimePoint limit = now - kForgetAfterLeases * settings_.lease_duration;
+  const TimePoint cutoff = now - kForgetAfterLeases * settings_.lease_duration;
   erase_if(gateways_, [&](const Gateway& gateway) {
-    return gateway.last_request_at < limit;
+    return gateway.last_request_at < cutoff;
   });
   erase_if(flap_histories_, [&](const FlapHistory& history) {
-    return history.avoided_until < limit;
+    return history.avoided_until < cutoff;
   });
 }
 
--- a/src/leases/lease_manager.h
+++ b/src/leases/lease_manager.h
@@ -125,7 +125,7 @@
   /// Compared field by field: flapping, roles held by the gateway, roles held in its zone, hash.
   using PlacementCost = std::tuple<bool, int, int, std::uint64_t>;
 
-  [[nodiscard]] Duration lease_with_drift() const {
+  [[nodiscard]] Duration lease_duration_with_drift() const {
     return settings_.lease_duration + settings_.max_clock_drift();
   }
 
--- a/src/leases/messages.h
+++ b/src/leases/messages.h
@@ -38,9 +38,10 @@
   /// another one of the same name, is another holder.
   std::string holder;
   std::string zone;
-  std::uint64_t number = 0;         ///< Grows from 1.
-  std::uint64_t last_response = 0;  ///< The newest request for which a response was received.
-  bool has_resigned = false;        ///< The sender has given up all roles and accepts none.
+  std::uint64_t request_number = 0;  ///< Grows from 1.
+  /// The number of the newest request for which a response was received; 0 before the first.
+  std::uint64_t last_answered_request = 0;
+  bool has_resigned = false;  ///< The sender has given up all roles and accepts none.
 };
 
 /// Holds all roles of the holder whose leases are granted or renewed.
--- a/src/raft/node.cpp
+++ b/src/raft/node.cpp
@@ -60,12 +60,12 @@
   if (is_campaigning())
     advance_election(now, actions);
   if (role_ == Role::Leader)
-    advance_quorum(actions);
+    advance_commit_and_confirmed_round(actions);
   persist_if_changed(actions);
 }
 
 void Node::handle_persist_failure(TimePoint now, Actions& actions) {
-  persistence_.fail(now + settings_.min_election_timeout);
+  persistence_.record_failure(now + settings_.min_election_timeout);
   if (role_ == Role::Leader || is_campaigning())
     become_follower(now, state_.current_term, "", actions);
   persist_if_changed(actions);
--- a/src/raft/node.h
+++ b/src/raft/node.h
@@ -165,7 +165,7 @@
   void handle_pre_vote_request(TimePoint now, const Message& message, const PreVoteRequest& request,
                                Actions& actions);
   void handle_pre_vote_granted(TimePoint now, const Message& message, Actions& actions);
-  void handle_in_current_term(TimePoint now, const Message& message, Actions& actions);
+  void handle_current_term_message(TimePoint now, const Message& message, Actions& actions);
   void reject_stale_message(const Message& message, Actions& actions);
   void handle_vote_request(TimePoint now, const Message& message, const VoteRequest& request,
                            Actions& actions);
@@ -187,7 +187,7 @@
                     const AppendEntriesResponse& response, Actions& actions);
   void record_rejection(const std::string& name, Progress& progress,
                         const AppendEntriesResponse& response, Actions& actions);
-  void advance_quorum(Actions& actions);
+  void advance_commit_and_confirmed_round(Actions& actions);
   void apply_committed(Actions& actions);
 
   Settings settings_;
@@ -198,7 +198,7 @@
   Index commit_index_ = 0;
   Index last_applied_ = 0;
   TimePoint deadline_ = kNever;  ///< Election timeout, next heartbeat or next recovery query.
-  TimePoint leader_heard_at_ = TimePoint(-Duration::max());
+  TimePoint last_leader_message_at_ = TimePoint(-Duration::max());
   std::uint64_t recovery_attempt_ = 0;
   std::map<std::string, bool> has_empty_state_;  ///< Recovering: what each other node replied.
   std::set<std::string> granted_votes_;       ///< PreCandidate and Candidate: who granted its vote.
--- a/src/raft/node_messages.cpp
+++ b/src/raft/node_messages.cpp
@@ -16,7 +16,7 @@
 bool Node::has_heard_from_leader(TimePoint now) const {
   if (role_ == Role::Leader)
     return true;
-  return !leader_.empty() && now - leader_heard_at_ < settings_.min_election_timeout;
+  return !leader_.empty() && now - last_leader_message_at_ < settings_.min_election_timeout;
 }
 
 void Node::handle_message(TimePoint now, const Message& message, Actions& actions) {
@@ -42,7 +42,7 @@
   if (message.term < state_.current_term)
     reject_stale_message(message, actions);
   else
-    handle_in_current_term(now, message, actions);
+    handle_current_term_message(now, message, actions);
   persist_if_changed(actions);
 }
 
@@ -103,7 +103,7 @@
     send(make_message(message.from, AppendEntriesResponse{}), actions);
 }
 
-void Node::handle_in_current_term(TimePoint now, const Message& message, Actions& actions) {
+void Node::handle_current_term_message(TimePoint now, const Message& message, Actions& actions) {
   if (const auto* vote = std::get_if<VoteRequest>(&message.body))
     return handle_vote_request(now, message, *vote, actions);
   if (const auto* vote_response = std::get_if<VoteResponse>(&message.body))
@@ -149,14 +149,14 @@
 
 void Node::follow_leader(TimePoint now, const Message& message, Actions& actions) {
   become_follower(now, message.term, message.from, actions);
-  leader_heard_at_ = now;
+  last_leader_message_at_ = now;
   reset_election_timer(now);
 }
 
 void Node::append_entries(const Message& message, const AppendEntriesRequest& request,
                           Actions& actions) {
   const Index previous = request.previous_log_index;
-  const Index last_new = previous + request.entries.size();
+  const Index last_new_index = previous + request.entries.size();
   for (std::size_t i = 0; i < request.entries.size(); ++i)
     if (request.entries[i].index != previous + 1 + i)
       return;  // Malformed: the entries of a leader have no gap.
@@ -172,10 +172,10 @@
   if (contradicts_committed_log(request.entries))
     return;
   merge_entries(request.entries);
-  commit_index_ = std::max(commit_index_, std::min(request.leader_commit, last_new));
+  commit_index_ = std::max(commit_index_, std::min(request.leader_commit, last_new_index));
   apply_committed(actions);
   response.success = true;
-  response.match_index = std::max(last_new, std::min(commit_index_, state_.last_log_index()));
+  response.match_index = std::max(last_new_index, std::min(commit_index_, state_.last_log_index()));
   send_after_persist(make_message(message.from, response), actions);
 }
 
@@ -202,9 +202,9 @@
                             Actions& actions) {
   const Snapshot& snapshot = request.snapshot;
   if (snapshot.index > commit_index_) {
-    const bool log_holds_it = state_.term_at(snapshot.index) == snapshot.term &&
-                              snapshot.index <= state_.last_log_index();
-    if (log_holds_it) {
+    const bool log_contains_snapshot_entry = state_.term_at(snapshot.index) == snapshot.term &&
+                                             snapshot.index <= state_.last_log_index();
+    if (log_contains_snapshot_entry) {
       state_.compact_to(snapshot);
     } else {
       truncate_log_from(state_.snapshot.index + 1);
--- a/src/raft/node_replication.cpp
+++ b/src/raft/node_replication.cpp
@@ -77,7 +77,7 @@
       return;
     record_rejection(message.from, progress, response, actions);
   }
-  advance_quorum(actions);
+  advance_commit_and_confirmed_round(actions);
 }
 
 void Node::record_match(const std::string& name, Progress& progress,
@@ -110,7 +110,7 @@
   }
 }
 
-void Node::advance_quorum(Actions& actions) {
+void Node::advance_commit_and_confirmed_round(Actions& actions) {
   std::vector<Index> match_indexes{persistence_.persisted_log_index()};
   std::vector<std::uint64_t> rounds{heartbeat_round_};
   for (const auto& [name, progress] : progress_) {
--- a/src/raft/persistence_tracker.cpp
+++ b/src/raft/persistence_tracker.cpp
@@ -35,7 +35,7 @@
   return released;
 }
 
-void PersistenceTracker::fail(TimePoint retry_at) {
+void PersistenceTracker::record_failure(TimePoint retry_at) {
   storage_failed_ = true;
   held_messages_.clear();
   retry_at_ = retry_at;
--- a/src/raft/persistence_tracker.h
+++ b/src/raft/persistence_tracker.h
@@ -51,7 +51,7 @@
 
   /// Records that a write has failed, and drops all messages that are held back: the changes that
   /// they depend on may never be stored. Other nodes repeat their requests.
-  void fail(TimePoint retry_at);
+  void record_failure(TimePoint retry_at);
 
   /// Repeats the write of a storage that failed, if it is time; the next attempt follows at
   /// `next_retry_at`.
--- a/tests/fleet/event_digest.cpp
+++ b/tests/fleet/event_digest.cpp
@@ -159,8 +159,8 @@
   if (const auto* request = std::get_if<leases::LeaseRequest>(&action)) {
     add(request->holder);
     add(request->zone);
-    add(request->number);
-    add(request->last_response);
+    add(request->request_number);
+    add(request->last_answered_request);
     add(request->has_resigned);
   } else if (const auto* acquired = std::get_if<leases::LeaseAcquired>(&action)) {
     add(acquired->role);
--- a/tests/fleet/history_checker.cpp
+++ b/tests/fleet/history_checker.cpp
@@ -3,21 +3,21 @@
 namespace gorsebeam::simulation {
 
 void HistoryChecker::record_leader(raft::Term term, int gateway) {
-  const auto [known, is_new] = leaders_.emplace(term, gateway);
-  if (!is_new && known->second != gateway)
+  const auto [recorded, is_new] = leaders_.emplace(term, gateway);
+  if (!is_new && recorded->second != gateway)
     throw RuleViolation("two leaders in term " + std::to_string(term));
 }
 
 void HistoryChecker::record_applied(const raft::LogEntry& entry) {
   const std::pair content(entry.term, entry.command);
-  const auto [known, is_new] = applied_.emplace(entry.index, content);
-  if (!is_new && known->second != content)
+  const auto [recorded, is_new] = applied_.emplace(entry.index, content);
+  if (!is_new && recorded->second != content)
     throw RuleViolation("log: two entries at " + std::to_string(entry.index));
 }
 
 void HistoryChecker::record_state(raft::Index index, const std::string& state) {
-  const auto [known, is_new] = states_.emplace(index, state);
-  if (!is_new && known->second != state)
+  const auto [recorded, is_new] = states_.emplace(index, state);
+  if (!is_new && recorded->second != state)
     throw RuleViolation("state: two states after " + std::to_string(index));
 }
 
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -64,11 +64,11 @@
 }
 
 /// In milliseconds; 0 if there are no times. `sorted_times` is in ascending order.
-double percentile(const std::vector<Duration>& sorted_times, double share) {
+double percentile(const std::vector<Duration>& sorted_times, double fraction) {
   if (sorted_times.empty())
     return 0;
   const auto last = static_cast<double>(sorted_times.size() - 1);
-  return to_milliseconds(sorted_times[static_cast<std::size_t>(share * last)]);
+  return to_milliseconds(sorted_times[static_cast<std::size_t>(fraction * last)]);
 }
 
 int run_script_file(const std::string& path) {
@@ -112,12 +112,12 @@
   SimulatedFleet fleet(script, Mutant::None);
   fleet.run();
   const double seconds = ratio(kRunEnd.time_since_epoch(), 1s);
-  const double of_leader = static_cast<double>(fleet.messages_of_leader()) / seconds;
-  const double of_others = static_cast<double>(fleet.messages_of_others()) / seconds;
+  const double from_leader = static_cast<double>(fleet.messages_from_leader()) / seconds;
+  const double from_others = static_cast<double>(fleet.messages_from_others()) / seconds;
   std::cout << script.gateways << " gateways, " << kVoters << " voters, lease " << std::fixed
             << std::setprecision(0) << to_milliseconds(kLeaseDuration)
-            << " ms, heartbeat 100 ms: the leader sends " << std::setprecision(1) << of_leader
-            << " messages a second, each other gateway " << of_others / (script.gateways - 1)
+            << " ms, heartbeat 100 ms: the leader sends " << std::setprecision(1) << from_leader
+            << " messages a second, each other gateway " << from_others / (script.gateways - 1)
             << '\n';
   return 0;
 }
@@ -154,7 +154,7 @@
     std::vector<std::thread> threads;
     for (unsigned worker = 0; worker < workers; ++worker)
       threads.emplace_back([this, worker, workers] {
-        run_share(worker, workers);
+        run_worker(worker, workers);
       });
     for (std::thread& thread : threads)
       thread.join();
@@ -171,7 +171,7 @@
 private:
   // Each worker runs every `workers`th seed and stops at its first violation, so the lowest seed
   // that violates a rule is among those found.
-  void run_share(unsigned worker, unsigned workers) {
+  void run_worker(unsigned worker, unsigned workers) {
     Totals totals;
     std::optional<std::string> violation;
     std::uint64_t seed = first_ + worker;
--- a/tests/fleet/simulated_fleet.cpp
+++ b/tests/fleet/simulated_fleet.cpp
@@ -60,11 +60,11 @@
 // The faults have ended long before, so actions must be accepted under each role, unless too many
 // voters have lost their state.
 void SimulatedFleet::check_progress() const {
-  const auto is_sound_voter = [](const auto& gateway) {
+  const auto is_intact_voter = [](const auto& gateway) {
     return gateway->is_voter && !gateway->was_wiped;
   };
-  const auto sound = std::count_if(gateways_.begin(), gateways_.end(), is_sound_voter);
-  if (sound < script_.voters / 2 + 1)
+  const auto intact_voters = std::count_if(gateways_.begin(), gateways_.end(), is_intact_voter);
+  if (intact_voters < script_.voters / 2 + 1)
     return;
   for (const std::string& role : lease_settings_.roles)
     checker_.check_progress(role, kRunEnd - 2 * kLeaseDuration);
--- a/tests/fleet/simulated_fleet.h
+++ b/tests/fleet/simulated_fleet.h
@@ -39,9 +39,9 @@
   [[nodiscard]] std::uint64_t rejected_actions() const { return rejected_actions_; }
 
   /// Messages between gateways.
-  [[nodiscard]] std::uint64_t messages_of_leader() const { return messages_of_leader_; }
+  [[nodiscard]] std::uint64_t messages_from_leader() const { return messages_from_leader_; }
 
-  [[nodiscard]] std::uint64_t messages_of_others() const { return messages_of_others_; }
+  [[nodiscard]] std::uint64_t messages_from_others() const { return messages_from_others_; }
 
 private:
   struct Gateway {
@@ -86,21 +86,21 @@
   // Raft (simulated_fleet_raft.cpp).
   void run_node(Gateway& gateway, const NodeEvent& event);
   void perform(Gateway& gateway, const raft::Action& action);
-  void deliver(Gateway& sender, const raft::Message& message);
+  void send(Gateway& sender, const raft::Message& message);
   void persist(Gateway& gateway, const raft::PersistState& write);
   void report_persisted(Gateway& gateway, std::uint64_t number);
   void apply(Gateway& gateway, const raft::LogEntry& entry);
   void restore(Gateway& gateway, const raft::Snapshot& snapshot);
-  void observe_role(Gateway& gateway, const raft::RoleChanged& change);
+  void record_role_change(Gateway& gateway, const raft::RoleChanged& change);
 
   // Leases.
   void run_manager(Gateway& gateway, const ManagerEvent& event);
   void run_client(Gateway& gateway, const ClientEvent& event);
   void perform(Gateway& gateway, const leases::ManagerAction& action);
   void confirm_leadership(Gateway& gateway);
-  void deliver(Gateway& sender, const leases::LeaseResponse& response);
-  void deliver(Gateway& sender, const leases::LeaseRequest& request);
-  void send(Gateway& from, Gateway& to, const Callback& callback);
+  void send(Gateway& sender, const leases::LeaseResponse& response);
+  void send(Gateway& sender, const leases::LeaseRequest& request);
+  void transmit(Gateway& from, Gateway& to, const Callback& callback);
   void schedule_actions(Gateway& gateway);
   void start_action(Gateway& gateway, const std::string& role);
   void receive_action(const std::string& role, leases::FencingToken token);
@@ -108,16 +108,16 @@
 
   /// Schedules `tick` for the state machine's next deadline, once for each deadline.
   template <typename StateMachine, typename Tick>
-  void arm_timer(Gateway& gateway, const StateMachine& machine, TimePoint& armed,
+  void arm_timer(Gateway& gateway, const StateMachine& machine, TimePoint& scheduled_deadline,
                  const Tick& tick) {
     const TimePoint deadline = machine.next_deadline();
-    if (deadline == kNever || deadline == armed)
+    if (deadline == kNever || deadline == scheduled_deadline)
       return;
-    armed = deadline;
-    const Callback callback = [&machine, &armed, deadline, tick] {
+    scheduled_deadline = deadline;
+    const Callback callback = [&machine, &scheduled_deadline, deadline, tick] {
       if (machine.next_deadline() != deadline)
         return;
-      armed = TimePoint{};
+      scheduled_deadline = TimePoint{};
       tick();
     };
     gateway.process.schedule(gateway.clock.wake_time(deadline), callback);
@@ -135,8 +135,8 @@
   HistoryChecker checker_;
   EventDigest digest_;
   std::uint64_t rejected_actions_ = 0;
-  std::uint64_t messages_of_leader_ = 0;
-  std::uint64_t messages_of_others_ = 0;
+  std::uint64_t messages_from_leader_ = 0;
+  std::uint64_t messages_from_others_ = 0;
 };
 
 }  // namespace gorsebeam::simulation
--- a/tests/fleet/simulated_fleet_leases.cpp
+++ b/tests/fleet/simulated_fleet_leases.cpp
@@ -30,7 +30,7 @@
   } else if (std::holds_alternative<leases::ConfirmLeadership>(action)) {
     confirm_leadership(gateway);
   } else if (const auto* response = std::get_if<leases::LeaseResponse>(&action)) {
-    deliver(gateway, *response);
+    send(gateway, *response);
   }
 }
 
@@ -43,10 +43,10 @@
     gateway.manager->handle_confirmation_started(*round);
 }
 
-void SimulatedFleet::deliver(Gateway& sender, const leases::LeaseResponse& response) {
+void SimulatedFleet::send(Gateway& sender, const leases::LeaseResponse& response) {
   Gateway& receiver = gateway_named(leases::gateway_name(response.holder));
-  ++messages_of_leader_;
-  send(sender, receiver, [this, &receiver, sender = sender.name, response] {
+  ++messages_from_leader_;
+  transmit(sender, receiver, [this, &receiver, sender = sender.name, response] {
     receiver.last_responder = sender;
     receiver.awaits_response = false;
     run_client(receiver, [&](auto& client, TimePoint now, auto& out) {
@@ -69,19 +69,19 @@
     digest_.add_event(queue_.now(), gateway.number);
     digest_.add(action);
     if (const auto* request = std::get_if<leases::LeaseRequest>(&action))
-      deliver(gateway, *request);
+      send(gateway, *request);
   }
 }
 
 // Only the last responder gets the request while it responds; otherwise all voters do.
-void SimulatedFleet::deliver(Gateway& sender, const leases::LeaseRequest& request) {
+void SimulatedFleet::send(Gateway& sender, const leases::LeaseRequest& request) {
   const bool to_all = std::exchange(sender.awaits_response, true);
   for (const auto& voter : gateways_) {
     if (!voter->is_voter || (!to_all && voter->name != sender.last_responder))
       continue;
-    ++messages_of_others_;
+    ++messages_from_others_;
     Gateway& receiver = *voter;
-    send(sender, receiver, [this, &receiver, request] {
+    transmit(sender, receiver, [this, &receiver, request] {
       run_manager(receiver, [&](auto& manager, TimePoint now, auto&) {
         manager.handle_request(now, request);
       });
@@ -89,9 +89,9 @@
   }
 }
 
-void SimulatedFleet::send(Gateway& from, Gateway& to, const Callback& callback) {
+void SimulatedFleet::transmit(Gateway& from, Gateway& to, const Callback& callback) {
   if (&from == &to)
-    network_.send_outside(callback);
+    network_.send_bypassing_links(callback);
   else
     network_.send(from.number, to.number, to.process, callback);
 }
@@ -113,7 +113,7 @@
   if (!token)
     return;
   gateway.process.schedule(queue_.now() + 2ms, [this, role, token = *token] {
-    network_.send_outside([this, role, token] {
+    network_.send_bypassing_links([this, role, token] {
       receive_action(role, token);
     });
   });
--- a/tests/fleet/simulated_fleet_raft.cpp
+++ b/tests/fleet/simulated_fleet_raft.cpp
@@ -19,8 +19,8 @@
 }
 
 void SimulatedFleet::perform(Gateway& gateway, const raft::Action& action) {
-  if (const auto* send = std::get_if<raft::SendMessage>(&action)) {
-    deliver(gateway, send->message);
+  if (const auto* outgoing = std::get_if<raft::SendMessage>(&action)) {
+    send(gateway, outgoing->message);
   } else if (const auto* write = std::get_if<raft::PersistState>(&action)) {
     persist(gateway, *write);
   } else if (const auto* committed = std::get_if<raft::ApplyEntry>(&action)) {
@@ -32,7 +32,7 @@
       node.compact_log(gateway.table.serialize(), out);
     });
   } else if (const auto* change = std::get_if<raft::RoleChanged>(&action)) {
-    observe_role(gateway, *change);
+    record_role_change(gateway, *change);
   } else if (const auto* confirmed = std::get_if<raft::LeadershipConfirmed>(&action)) {
     run_manager(gateway, [&](auto& manager, TimePoint now, auto& out) {
       manager.handle_leadership_confirmed(now, confirmed->heartbeat_round, out);
@@ -40,13 +40,13 @@
   }
 }
 
-void SimulatedFleet::deliver(Gateway& sender, const raft::Message& message) {
+void SimulatedFleet::send(Gateway& sender, const raft::Message& message) {
   if (sender.node->role() == raft::Role::Leader)
-    ++messages_of_leader_;
+    ++messages_from_leader_;
   else
-    ++messages_of_others_;
+    ++messages_from_others_;
   Gateway& receiver = gateway_named(message.to);
-  send(sender, receiver, [this, &receiver, message] {
+  transmit(sender, receiver, [this, &receiver, message] {
     run_node(receiver, [&](auto& node, TimePoint now, auto& out) {
       node.handle_message(now, message, out);
     });
@@ -102,7 +102,7 @@
   checker_.record_state(snapshot.index, gateway.table.serialize());
 }
 
-void SimulatedFleet::observe_role(Gateway& gateway, const raft::RoleChanged& change) {
+void SimulatedFleet::record_role_change(Gateway& gateway, const raft::RoleChanged& change) {
   if (change.role == raft::Role::Leader)
     checker_.record_leader(change.term, gateway.number);
   else
--- a/tests/fleet/simulated_network.cpp
+++ b/tests/fleet/simulated_network.cpp
@@ -22,25 +22,25 @@
 }
 
 void SimulatedNetwork::send(int from, int to, Process& receiver, const Callback& deliver) {
-  if (cuts_.count({from, to}) > 0 || draw_fault(kLossProbability))
+  if (cut_links_.count({from, to}) > 0 || draw_fault(kLossProbability))
     return;
   if (draw_fault(kDuplicationProbability))
     deliver_at(draw_arrival(), receiver, deliver);
   deliver_at(draw_arrival(), receiver, deliver);
 }
 
-void SimulatedNetwork::send_outside(const Callback& deliver) {
+void SimulatedNetwork::send_bypassing_links(const Callback& deliver) {
   if (draw_fault(kLossProbability))
     return;
   queue_.schedule(draw_arrival(), deliver);
 }
 
 void SimulatedNetwork::cut(int from, int to) {
-  cuts_.insert({from, to});
+  cut_links_.insert({from, to});
 }
 
 void SimulatedNetwork::heal(int from, int to) {
-  cuts_.erase({from, to});
+  cut_links_.erase({from, to});
 }
 
 }  // namespace gorsebeam::simulation
--- a/tests/fleet/simulated_network.h
+++ b/tests/fleet/simulated_network.h
@@ -20,7 +20,7 @@
   void send(int from, int to, Process& receiver, const Callback& deliver);
   /// Sends to a receiver outside the fleet or to the sender itself: not subject to cuts,
   /// duplication or the state of a process.
-  void send_outside(const Callback& deliver);
+  void send_bypassing_links(const Callback& deliver);
   void cut(int from, int to);
   void heal(int from, int to);
 
@@ -35,7 +35,7 @@
   EventQueue& queue_;
   Random& random_;
   TimePoint faults_end_;
-  std::set<std::pair<int, int>> cuts_;
+  std::set<std::pair<int, int>> cut_links_;
 };
 
 }  // namespace gorsebeam::simulation
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -20,7 +20,7 @@
 /// A gateway that receives no response.
 constexpr const char* kUnreachableHolder = "unreachable~1";
 
-TEST(LeaseTable, AppliesGrantOnlyOverExpectedToken) {
+TEST(LeaseTable, AppliesGrantOnlyIfTokenIsAsExpected) {
   LeaseTable table;
 
   EXPECT_EQ(table.apply(5, LeaseTable::grant_command(kRole, kHealthyHolder, 0)), kRole);
@@ -58,7 +58,7 @@
   return proposed_commands;
 }
 
-TEST(LeaseManager, PassesRoleOfHolderThatMissesResponsesToSuccessor) {
+TEST(LeaseManager, GrantsRoleOfHolderThatMissesResponsesToAnotherGateway) {
   Settings settings;
   settings.roles = {kRole};
   LeaseManager manager(settings);
--- a/tests/persistence_tracker_test.cpp
+++ b/tests/persistence_tracker_test.cpp
@@ -68,7 +68,7 @@
   tracker.hold(make_vote("candidate", 1));
   static_cast<void>(tracker.start_write(kStoredLogIndex));
 
-  tracker.fail(kRetryAt);
+  tracker.record_failure(kRetryAt);
   tracker.hold(make_vote("candidate", 2));
   EXPECT_EQ(tracker.retry_at(), kRetryAt);
   EXPECT_FALSE(tracker.is_persisted(0));
--- a/tests/raft_test.cpp
+++ b/tests/raft_test.cpp
@@ -78,7 +78,7 @@
     return disks_.at(name);
   }
 
-  [[nodiscard]] const std::set<std::string>& regressed() const { return regressed_; }
+  [[nodiscard]] const std::set<std::string>& regressed_nodes() const { return regressed_nodes_; }
 
 private:
   using Event = std::function<void(Node&, Actions&)>;
@@ -98,7 +98,7 @@
       if (isolated_.count(name) == 0 && isolated_.count(send->message.to) == 0)
         messages_.push_back(send->message);
     } else if (const auto* regressed = std::get_if<ReplicaRegressed>(&action)) {
-      regressed_.insert(regressed->node);
+      regressed_nodes_.insert(regressed->node);
     }
   }
 
@@ -131,7 +131,7 @@
   std::map<std::string, std::optional<PersistentState>> disks_;
   std::set<std::string> isolated_;
   std::set<std::string> blocked_disks_;
-  std::set<std::string> regressed_;
+  std::set<std::string> regressed_nodes_;
   std::deque<Message> messages_;
   TimePoint now_{};
 };
@@ -177,7 +177,7 @@
   cluster.start(follower, old_state);
   cluster.advance(1000ms);
 
-  EXPECT_EQ(cluster.regressed(), std::set<std::string>{follower});
+  EXPECT_EQ(cluster.regressed_nodes(), std::set<std::string>{follower});
 }
 
 TEST(RaftNode, StaysRecoveringAfterStateLoss) {
