--- a/model/leases.pml
+++ b/model/leases.pml
@@ -1,33 +1,34 @@
 /* The lease service of src/leases as a model: one role, two gateways that request it, a leader that is deposed at any
- * time and does not notice, and its successor. No timeout protects anything here: every step may take any time. Clocks
- * run alike; the simulation covers their drift. Checked by assertions:
+ * time and does not notice, and its successor. Every step may take any time, as no timeout bounds it. All clocks run at the same rate; the
+ * simulation in tests/fleet covers clock drift. Assertions check:
  *   mutual exclusion   no two gateways have a valid token at the same time
  *   fencing            no action is accepted under a token lower than one before
- * Run: spin -run model/leases.pml. CI does so, and also with each protection removed. */
+ * Run: spin -run model/leases.pml. CI (.ci/model) does so, and requires that the assertions fail for each variant
+ * without one of the protections. */
 #define LEASE 2
 #define LAST_TICK 3 /* one tick after a whole lease */
 #define MAX_TOKEN 3
 
 byte now = 0;
-byte elected = 0;           /* the node that leads in truth */
+byte elected = 0;           /* the node that a majority regards as leader */
 byte holder = 0, token = 1; /* the grant in the replicated log */
 
-/* Of each of the two lease managers */
+/* The state of each of the two lease managers */
 bool thinks_it_leads[2];
 byte table_holder[2], table_token[2];
 byte lease_expires_at[2]; /* when the manager may grant the role again */
 
-/* Of each of the two gateways */
+/* The state of each of the two gateways */
 bool request_in_flight[2];
 byte request_sent_at[2];
-bool request_pending[2]; /* received, and not answered */
+bool request_pending[2]; /* the request is received and not answered yet */
 byte pending_at[2], request_received_at[2];
 bool response_in_flight[2];
 byte response_token[2];
 byte held_token[2], held_until[2]; /* token 0: the role is not held */
-byte action_token[2];              /* the lease was checked, and the action follows */
+byte action_token[2];              /* the token of an action whose lease was checked; 0: none */
 
-byte fence_token = 0; /* the highest that the receiver has seen */
+byte fence_token = 0; /* the highest token that the receiver has accepted */
 
 #define HAS_VALID_TOKEN(g) (held_token[g] != 0 && now < held_until[g])
 
@@ -44,7 +45,7 @@
     thinks_it_leads[1] = true;
     table_holder[1] = holder;
     table_token[1] = token;
-    lease_expires_at[1] = now + LEASE /* waits */
+    lease_expires_at[1] = now + LEASE /* waits until old leases have expired */
   }
 }
 
@@ -98,14 +99,14 @@
        response_in_flight[g] = false;
        held_token[g] = response_token[g];
        if
-       :: held_token[g] -> held_until[g] = request_sent_at[g] + LEASE /* from the request */
+       :: held_token[g] -> held_until[g] = request_sent_at[g] + LEASE /* counted from the request */
        :: else -> skip
        fi;
        request_sent_at[g] = 0;
        response_token[g] = 0;
        assert(!(HAS_VALID_TOKEN(0) && HAS_VALID_TOKEN(1))) }
   :: atomic { HAS_VALID_TOKEN(g) && !action_token[g] -> action_token[g] = held_token[g] }
-  :: atomic { action_token[g] -> /* maybe much later: the process was suspended */
+  :: atomic { action_token[g] -> /* possibly much later, if the process was suspended */
        if
        :: action_token[g] >= fence_token /* fenced */ ->
           assert(action_token[g] >= fence_token);
--- a/model/versions.pml
+++ b/model/versions.pml
@@ -1,22 +1,23 @@
-/* A model of src/config_versions/version_tracker.h: two types that refer to each other (contracts need members of at
- * least their number), and a service that sends anything in any order, loses the stream and comes back. Properties:
- *   valid       what runs was accepted, and its types are valid together (assert)
+/* A model of src/config_versions/version_tracker.h: two resource types, where contracts need members of at least
+ * their own generation, and a control service that sends responses in any order and may lose the stream at any time.
+ * Properties:
+ *   valid       the running versions were accepted, and those of both types are valid together (assert)
  *   ordered     no older generation replaces a newer one without a rollback that names the newest (assert)
- *   answered    each response of a stream that lasts is answered exactly once (assert and ltl)
- *   reconnects  after a loss the tracker opens a stream again (ltl)
+ *   answered    each response is answered exactly once, unless its stream is lost first (assert and ltl)
+ *   reconnects  after the loss of a stream the tracker opens a stream again (ltl)
  * Run: spin -run -ltl NAME model/versions.pml; .ci/model does so for each property, and for models with a fault.
  * tests/version_tracker_history_test.cpp checks the same properties of the code itself. */
-#define MAX_GENERATION 3 /* generations 1..3; the content of generation g refers to, or brings, group g */
+#define MAX_GENERATION 3 /* generations 1..3; contracts of generation g need members of generation g or later */
 #define NONE 0
 #define CONTRACTS 0
 #define MEMBERS 1
 
-byte running[2];      /* generation of contracts and members; 0: that of the operators' file */
-byte newest[2];       /* highest generation ever accepted */
+byte running[2];      /* running generation of each type; 0: the content of the operators' file */
+byte newest[2];       /* highest generation of each type that was ever accepted */
 byte pending[2];      /* generation of the response that waits for the other type, or NONE */
-bool is_rollback[2];  /* of the pending response */
+bool is_rollback[2];  /* whether the pending response is a rollback */
 bool streaming = false;
-byte unanswered[2];   /* responses of this stream */
+byte unanswered[2];   /* number of unanswered responses of this stream */
 bool stream_lost = false;
 
 #define VALID(contracts, members) ((contracts) <= (members))
@@ -33,7 +34,7 @@
   answer(t)
 }
 
-/* Accepts the largest set of pending responses that is valid: both, then one. */
+/* Accepts both pending responses if they are valid together, otherwise one that is valid. */
 inline accept_pending() {
   if
   :: pending[CONTRACTS] != NONE && pending[MEMBERS] != NONE && VALID(pending[CONTRACTS], pending[MEMBERS]) ->
@@ -50,12 +51,12 @@
   fi
 }
 
-/* A response of type t and the generation; if it is a rollback, it names the generation rolled_back. */
+/* Receives a response of type t and the generation. A rollback names the generation rolled_back. */
 inline receive_response(t, generation, rollback, rolled_back) {
   unanswered[t]++;
   if :: pending[t] != NONE -> drop_pending(t); answer(t) /* superseded: NACK */ :: else -> skip fi;
   if
-  :: generation == running[t] -> answer(t) /* it runs already: ACK */
+  :: generation == running[t] -> answer(t) /* the generation runs already: ACK */
   :: generation != running[t] &&
      ((rollback && rolled_back >= newest[t]) || (!rollback && generation > newest[t])) ->
      pending[t] = generation; is_rollback[t] = rollback;
@@ -72,7 +73,7 @@
   byte t; byte generation; byte rolled_back; bool rollback;
 end:
   do
-  :: !streaming -> d_step { streaming = true; stream_lost = false } /* a connection attempt, in bounded time */
+  :: !streaming -> d_step { streaming = true; stream_lost = false } /* the stream is opened in bounded time */
   :: streaming -> /* any response */
      select(t : 0 .. 1); select(generation : 1 .. MAX_GENERATION); select(rolled_back : 1 .. MAX_GENERATION);
      atomic {
@@ -95,7 +96,7 @@
 }
 
 ltl reconnects { [] (stream_lost -> <> streaming) }
-/* An unanswered response is a pending one: all others are answered at once. */
+/* The only unanswered responses are pending ones: all others are answered at once. */
 ltl answered {
   [] ((unanswered[CONTRACTS] == (pending[CONTRACTS] != NONE)) && (unanswered[MEMBERS] == (pending[MEMBERS] != NONE)))
 }
--- a/src/leases/lease_client.cpp
+++ b/src/leases/lease_client.cpp
@@ -8,7 +8,7 @@
 namespace gorsebeam::leases {
 namespace {
 
-constexpr std::size_t kMaxTrackedRequests = 8;  // About two leases of requests.
+constexpr std::size_t kMaxTrackedRequests = 8;  // About as many as are sent in two leases.
 
 }  // namespace
 
--- a/src/leases/lease_client.h
+++ b/src/leases/lease_client.h
@@ -1,8 +1,8 @@
-/// The gateway's side of the lease service: it requests leases and records which ones it holds.
+/// The gateway's side of the lease service: it requests leases and records those that it holds.
 ///
-/// A deterministic state machine, as lease_manager.h describes. The duration of a lease is counted
-/// from before its request and reduced by the clock drift, so that the lease ends here before the
-/// manager regards it as expired (Gray & Cheriton, section 2).
+/// The client is a deterministic state machine, like the LeaseManager. It counts the duration of a
+/// lease from the time before it sent the request, and subtracts the clock drift, so that the lease
+/// ends here before the manager regards it as expired (Gray & Cheriton, "Leases", section 2).
 #pragma once
 
 #include "leases/messages.h"
@@ -24,7 +24,7 @@
 };
 
 enum class LossReason {
-  Expired,   ///< By this gateway's clock.
+  Expired,   ///< The lease has expired by this gateway's clock.
   Released,  ///< A response no longer names the role, or this gateway has resigned.
 };
 
@@ -43,8 +43,8 @@
   /// `holder` is NAME~INCARNATION.
   LeaseClient(Settings settings, std::string holder, std::string zone);
 
-  /// Call it once. The first request follows after a random part of the interval, so that gateways
-  /// that start together do not send at the same time.
+  /// Call it once. The first request follows after a random delay of up to a quarter of a lease, so
+  /// that gateways that start together do not send at the same time.
   void start(TimePoint now);
 
   /// Call it at `next_deadline`, or at any other time.
@@ -59,8 +59,8 @@
   /// The next time at which `tick` has an effect, or `kNever`.
   [[nodiscard]] TimePoint next_deadline() const { return deadline_; }
 
-  /// The token under which the gateway acts; check it before every action. Nothing if the gateway
-  /// does not hold the role, or its lease has expired.
+  /// Returns the token under which the gateway may act in the role, or nothing if it does not hold
+  /// the role or its lease has expired. Call it before every action.
   [[nodiscard]] std::optional<FencingToken> valid_token(TimePoint now,
                                                         const std::string& role) const;
 
@@ -85,7 +85,8 @@
   State state_ = State::Active;
   std::uint64_t last_request_number_ = 0;
   std::uint64_t last_answered_request_ = 0;
-  std::map<std::uint64_t, TimePoint> unanswered_requests_;  ///< When each was sent; bounded.
+  /// By request number, when the request was sent; only the newest requests are kept.
+  std::map<std::uint64_t, TimePoint> unanswered_requests_;
   HeldLeases held_leases_;
   TimePoint next_request_at_ = kNever;
   TimePoint deadline_ = kNever;
--- a/src/leases/lease_manager.cpp
+++ b/src/leases/lease_manager.cpp
@@ -8,9 +8,14 @@
 namespace gorsebeam::leases {
 namespace {
 
-constexpr int kMaxRecentLapses = 5;  // A flapping gateway is avoided for at most 32 leases.
+// A flapping gateway is avoided for at most 2^5 = 32 leases.
+constexpr int kMaxRecentLapses = 5;
+// A gateway that sends no requests is forgotten after this many leases, and so is a flap history
+// after the gateway is no longer avoided.
 constexpr int kForgetAfterLeases = 10;
-constexpr std::uint64_t kMaxUnansweredRequests = 5;  // About as many as are sent in a lease.
+// About as many requests as a gateway sends in a lease. A gateway with more unanswered requests is
+// regarded as missing the responses.
+constexpr std::uint64_t kMaxUnansweredRequests = 5;
 
 int count_of(const std::map<std::string, int>& counts, const std::string& name) {
   const auto found = counts.find(name);
@@ -33,7 +38,7 @@
   stop_leading();
   table_ = &table;
   // Earlier leaders may have renewed any lease up to this node's election, for requests that they
-  // had received by then.
+  // had received by then. No role is granted until such leases have expired.
   for (const std::string& role : settings_.roles)
     leases_[role].expires_at = now + lease_duration_with_drift();
   deadline_ = now + settings_.lease_duration / 4;
@@ -61,7 +66,8 @@
   Gateway& gateway = gateways_[request.holder];
   gateway.zone = request.zone;
   gateway.last_request_at = now;
-  // An incarnation that has resigned does not return; requests that arrive late change nothing.
+  // An incarnation that has resigned stays resigned, even if one of its earlier requests arrives
+  // late.
   if (request.has_resigned || gateway.state == GatewayState::Resigned) {
     gateway.state = GatewayState::Resigned;
     return expire_leases_of(now, request.holder);
@@ -73,7 +79,7 @@
   PendingRequest& pending = pending_requests_[request.holder];
   if (pending.request.request_number < request.request_number)
     pending = {request, now, 0};
-  // Requests that arrive in the meantime share one confirmation.
+  // The short delay lets requests that arrive in the meantime share one confirmation.
   deadline_ = std::min(deadline_, now + settings_.lease_duration / 50);
 }
 
@@ -128,8 +134,8 @@
     return;
   Lease& lease = found->second;
   lease = {};
-  // The holder receives the grant in the response to its next request. If it sends none, the role
-  // is granted to another gateway after a lease.
+  // The holder receives the grant in the response to its next request. If it sends no request,
+  // the role is granted to another gateway after a lease.
   const bool is_held = !table_->grant_of(role).holder.empty();
   lease.expires_at = is_held ? now + lease_duration_with_drift() : now;
 }
@@ -169,7 +175,8 @@
       continue;
     const auto history = flap_histories_.find(gateway_name(holder));
     const bool is_avoided = history != flap_histories_.end() && now < history->second.avoided_until;
-    // The hash distributes ties over the gateways, in the same way at every leader.
+    // The hash breaks ties: it spreads roles over gateways of equal cost, and every leader computes
+    // the same hash.
     std::string tie_break = role;
     tie_break += ' ';
     tie_break += holder;
@@ -206,13 +213,14 @@
   history.avoided_until = now + settings_.lease_duration * (1 << history.recent_lapses);
 }
 
-// Returns whether another gateway has to be granted the role, whose lease has expired.
+// Returns whether the role, whose lease has expired, has to be granted again.
 bool LeaseManager::needs_successor(TimePoint now, const std::string& holder,
                                    const Lease& lease) const {
-  // A proposal is repeated, as it may have been rejected by a full log or have been outdated.
+  // A grant that is not applied within a lease is proposed again: the log may have been full, or
+  // the proposal may have been outdated.
   if (lease.state == LeaseState::GrantProposed)
     return now - lease.proposed_at >= settings_.lease_duration;
-  // A holder that sends requests again continues under its token.
+  // A holder that sends requests again keeps the role and its token.
   return !lease.preferred_successor.empty() || !is_available(now, holder);
 }
 
--- a/src/leases/lease_manager.h
+++ b/src/leases/lease_manager.h
@@ -1,29 +1,30 @@
 /// The Raft leader's side of the lease service: it grants each role to one gateway and renews its
 /// lease (Gray & Cheriton, "Leases", 1989).
 ///
-/// A deterministic state machine: it takes events with their time and returns actions. It performs
-/// no I/O, reads no clock and starts no thread; all calls come from one thread. Only durations are
-/// compared between gateways, and clocks are assumed to deviate from true time by at most
-/// `max_clock_drift_ppm`.
+/// The manager is a deterministic state machine: it takes events with their time and returns
+/// actions. It performs no I/O, reads no clock and starts no thread; all calls come from one
+/// thread. Only durations are compared between gateways, and clocks are assumed to deviate from
+/// true time by at most `max_clock_drift_ppm`.
 ///
-/// Grants are entries of the log, renewals are not. The lease makes duplicate work rare: the holder
-/// counts its duration from before its request and subtracts the drift; the manager counts it from
-/// the receipt of the request and adds the drift before it grants the role again. The fencing
-/// token, which only grows, makes duplicate work harmless: a holder that was suspended after it
-/// checked its clock may act late, and the receiver rejects its lower token (`TokenFence`).
+/// Grants are entries of the Raft log, renewals are not. The lease makes duplicate work rare: the
+/// holder counts its duration from before its request and subtracts the drift; the manager counts
+/// it from the receipt of the request and adds the drift before it grants the role again. The
+/// fencing token, which only grows, makes duplicate work harmless: a holder that was suspended
+/// after it checked its clock may act late, and the receiver rejects its lower token
+/// (`TokenFence`).
 ///
 /// The manager responds to a request only after a majority has confirmed, in a round that started
 /// after the request arrived, that this node still leads. A later leader was therefore elected
-/// after the request, and it waits for a full lease from its election.
+/// after the request, and it grants no role until a full lease has passed since its election.
 ///
 /// Invariants, checked by tests/fleet/ over thousands of seeds and by model/leases.pml:
 ///  - no two gateways have a valid token of a role at the same true time, provided that no clock
-///    exceeds the drift;
+///    deviates by more than `max_clock_drift_ppm`;
 ///  - of two grants of a role, the later one has the higher token;
 ///  - a TokenFence that has accepted a token accepts no lower one afterwards.
 ///
-/// Bounds: kMaxRoles roles; one record for each holder that sent a request within the last ten
-/// leases, and at most one pending request of each.
+/// Bounds: there are at most kMaxRoles roles. The manager keeps one record for each holder that
+/// sent a request within the last ten leases, and at most one pending request of each holder.
 #pragma once
 
 #include "leases/lease_table.h"
@@ -39,11 +40,11 @@
 
 namespace gorsebeam::leases {
 
-/// Start a round in which a majority confirms that this node leads, and pass its number to
-/// `handle_confirmation_started`.
+/// Start a round in which a majority confirms that this node leads, and pass the number of the
+/// round to `handle_confirmation_started`.
 struct ConfirmLeadership {};
 
-/// Propose the command to the log.
+/// Propose the command as an entry of the Raft log.
 struct ProposeGrant {
   std::string command;
 };
@@ -66,7 +67,8 @@
 
   void handle_request(TimePoint now, const LeaseRequest& request);
 
-  /// Reports that `round` has started; it confirms all requests that were received so far.
+  /// Reports that `round` has started. Once it is confirmed, all requests that were received before
+  /// it started can be answered.
   void handle_confirmation_started(std::uint64_t round);
 
   /// Reports that this node led when `round`, or an earlier one, started.
@@ -75,8 +77,9 @@
   /// Reports that the grant of `role` in the table has changed.
   void handle_grant_applied(TimePoint now, const std::string& role);
 
-  /// Stops the renewal of the role's lease and grants the role to the gateway of the name
-  /// `preferred_successor` next, if that one is available. Requested by an operator.
+  /// Transfers the role at the request of an operator: stops the renewal of its lease and then
+  /// grants the role to the gateway named `preferred_successor`, or to another one if that gateway
+  /// is not available.
   void transfer(const std::string& role, const std::string& preferred_successor);
 
   /// Call it at `next_deadline`, or at any other time.
@@ -89,7 +92,7 @@
   enum class GatewayState {
     Responsive,
     MissesResponses,  ///< It sends requests and does not receive the responses.
-    Resigned,         ///< Final for this incarnation.
+    Resigned,         ///< The state is final for this incarnation.
   };
 
   struct Gateway {
@@ -98,7 +101,8 @@
     TimePoint last_request_at{};
   };
 
-  /// Stored by gateway name, as a restarted gateway has another incarnation.
+  /// How often a gateway has let leases expire. Stored by gateway name, because the holder changes
+  /// with each restart.
   struct FlapHistory {
     int recent_lapses = 0;  ///< Leases that expired although the holder had not resigned.
     TimePoint avoided_until{};
@@ -106,12 +110,14 @@
 
   enum class LeaseState {
     Renewable,
-    GrantProposed,  ///< A grant to a successor is proposed and not applied yet; no renewal.
+    /// A grant to a successor is proposed and not applied yet; the lease is not renewed.
+    GrantProposed,
   };
 
   struct Lease {
     LeaseState state = LeaseState::Renewable;
-    TimePoint expires_at{};  ///< From then on the holder does not act, by this node's clock.
+    /// The time, by this node's clock, from which on the holder does not act.
+    TimePoint expires_at{};
     TimePoint proposed_at{};
     std::string preferred_successor;  ///< Gateway name; empty if there is none.
   };
@@ -122,7 +128,9 @@
     std::uint64_t round = 0;  ///< The round that confirms the request; 0 before it starts.
   };
 
-  /// Compared field by field: flapping, roles held by the gateway, roles held in its zone, hash.
+  /// The cost of a grant to a gateway, compared field by field: whether the gateway is avoided for
+  /// flapping, the number of its roles, the number of roles in its zone, and a hash that breaks
+  /// ties.
   using PlacementCost = std::tuple<bool, int, int, std::uint64_t>;
 
   [[nodiscard]] Duration lease_duration_with_drift() const {
--- a/src/leases/lease_table.h
+++ b/src/leases/lease_table.h
@@ -12,7 +12,7 @@
 namespace gorsebeam::leases {
 
 struct Grant {
-  std::string holder;  ///< Empty if there is none, or the grant was given up.
+  std::string holder;  ///< Empty if the role was never granted or was given up.
   FencingToken token = 0;
 };
 
@@ -23,17 +23,18 @@
   [[nodiscard]] static std::string grant_command(const std::string& role, const std::string& holder,
                                                  FencingToken expected_token);
 
-  /// Applies the command at `index`, which becomes the fencing token. Returns the role that
-  /// changed, or nothing if the command is outdated or not a grant.
+  /// Applies the command of the log entry at `index`, which becomes the fencing token of the grant.
+  /// Returns the role whose grant changed, or nothing if the command is outdated, is not a grant or
+  /// would add a role beyond kMaxRoles.
   std::optional<std::string> apply(std::uint64_t index, const std::string& command);
 
-  /// The current grant; an empty one for a role that was never granted.
+  /// Returns the current grant, which is empty for a role that was never granted.
   [[nodiscard]] const Grant& grant_of(const std::string& role) const;
 
   /// Returns a line "ROLE TOKEN HOLDER" for each role.
   [[nodiscard]] std::string serialize() const;
 
-  /// Returns nothing if the text is not one that `serialize` returned.
+  /// Parses the text that `serialize` returns; returns nothing if the text is malformed.
   [[nodiscard]] static std::optional<LeaseTable> parse(const std::string& text);
 
 private:
--- a/src/leases/messages.h
+++ b/src/leases/messages.h
@@ -1,6 +1,6 @@
 /// The messages between gateways and the lease manager, and the settings and names that both use.
-/// Points in time are those of each gateway's own monotonic clock; those of two gateways are never
-/// compared.
+/// Points in time are those of each gateway's own monotonic clock, and points in time of different
+/// gateways are never compared.
 #pragma once
 
 #include "gorsebeam/time.h"
@@ -34,17 +34,17 @@
 
 /// Sent by each gateway about four times a lease.
 struct LeaseRequest {
-  /// NAME~INCARNATION. The incarnation is drawn at each start, so that a restarted gateway, or
-  /// another one of the same name, is another holder.
+  /// The text NAME~INCARNATION. The incarnation is drawn at each start, so that a restarted
+  /// gateway, or another gateway of the same name, is another holder.
   std::string holder;
   std::string zone;
-  std::uint64_t request_number = 0;  ///< Grows from 1.
+  std::uint64_t request_number = 0;  ///< Grows by 1 with each request; the first is 1.
   /// The number of the newest request for which a response was received; 0 before the first.
   std::uint64_t last_answered_request = 0;
   bool has_resigned = false;  ///< The sender has given up all roles and accepts none.
 };
 
-/// Holds all roles of the holder whose leases are granted or renewed.
+/// Names all roles that the holder holds. A role that is not named is lost.
 struct LeaseResponse {
   std::string holder;
   std::uint64_t request_number = 0;
@@ -55,7 +55,7 @@
 /// '-' and '~'.
 [[nodiscard]] bool is_valid_name(const std::string& text);
 
-/// Returns the holder without its incarnation.
+/// Returns the NAME of a holder NAME~INCARNATION.
 [[nodiscard]] std::string gateway_name(const std::string& holder);
 
 }  // namespace gorsebeam::leases
--- a/src/leases/token_fence.h
+++ b/src/leases/token_fence.h
@@ -1,4 +1,5 @@
-/// The receiver's check of fencing tokens: it rejects actions of holders that have a successor.
+/// The check of fencing tokens by the receiver of actions. It rejects an action whose token is
+/// lower than one it accepted for the same role, because that holder has a successor.
 #pragma once
 
 #include "leases/messages.h"
@@ -10,8 +11,8 @@
 
 class TokenFence {
 public:
-  /// Returns whether the action may be performed: no higher token was accepted for the role, and
-  /// the role is one of the first kMaxRoles.
+  /// Returns whether the action may be performed, which is the case if no higher token was accepted
+  /// for the role and the role is one of the first kMaxRoles. Records the token of such an action.
   [[nodiscard]] bool accept(const std::string& role, FencingToken token);
 
 private:
--- a/src/raft/actions.h
+++ b/src/raft/actions.h
@@ -1,4 +1,4 @@
-/// What a Raft node asks its embedder to do.
+/// The actions that a Raft node asks its embedder (the code that owns the node) to perform.
 #pragma once
 
 #include "raft/messages.h"
@@ -15,7 +15,7 @@
 enum class Role {
   Recovering,  ///< No persistent state was found; the node neither votes nor accepts entries.
   Follower,
-  PreCandidate,  ///< Asks whether it would win an election, without a change of its term.
+  PreCandidate,  ///< Asks the other voters whether it would win an election; keeps its term.
   Candidate,
   Leader,
 };
@@ -26,9 +26,9 @@
 };
 
 /// Write the state to stable storage as a whole, and report the result by `handle_persisted` or
-/// `handle_persist_failure`. Writes finish in order.
+/// `handle_persist_failure`. Writes finish in the order of their numbers.
 struct PersistState {
-  WriteNumber number = 0;  ///< Grows by 1.
+  WriteNumber number = 0;  ///< One more than the number of the previous write.
   PersistentState state;
 };
 
@@ -38,12 +38,13 @@
   LogEntry entry;
 };
 
-/// Replace the state of the state machine.
+/// Replace the state of the state machine by that of the snapshot.
 struct RestoreSnapshot {
   Snapshot snapshot;
 };
 
-/// The log is long: pass the state of the state machine after the last ApplyEntry to `compact_log`.
+/// The log exceeds `Settings::max_log_entries` applied entries: pass the state of the state machine
+/// after the last ApplyEntry to `compact_log`.
 struct RequestSnapshot {};
 
 /// The role, the term or the leader of the node has changed.
@@ -53,13 +54,14 @@
   std::string leader;  ///< Empty if none is known.
 };
 
-/// The node led when the round started, and no later term had a leader then. The same holds for all
-/// earlier rounds.
+/// This node was the leader when the heartbeat round started, and no later term had a leader at
+/// that time. The same holds for all earlier rounds.
 struct LeadershipConfirmed {
   std::uint64_t heartbeat_round = 0;
 };
 
-/// A node holds less than it acknowledged; its storage was replaced by an older copy.
+/// Another node no longer holds log entries that it acknowledged, because its storage was replaced
+/// by an older copy.
 struct ReplicaRegressed {
   std::string node;
 };
--- a/src/raft/messages.h
+++ b/src/raft/messages.h
@@ -1,5 +1,6 @@
-/// The messages that Raft nodes exchange. Names follow Ongaro & Ousterhout, figures 2 and 13, and
-/// the Raft thesis.
+/// The messages that Raft nodes exchange. Their names follow the Raft paper (Ongaro & Ousterhout,
+/// "In Search of an Understandable Consensus Algorithm"), figures 2 and 13, and Ongaro's Raft
+/// thesis.
 #pragma once
 
 #include "raft/persistent_state.h"
@@ -17,18 +18,19 @@
 };
 
 struct RecoveryReply {
-  std::uint64_t attempt = 0;     ///< Of the query.
+  std::uint64_t attempt = 0;     ///< Repeats the attempt of the query.
   bool has_empty_state = false;  ///< The sender is in term 0 and holds no log entry.
 };
 
-/// Asks whether the receiver would vote for the sender (Raft thesis, section 9.6). The term of the
-/// message is the one that the sender would start.
+/// Asks whether the receiver would vote for the sender (Raft thesis, section 9.6). `Message::term`
+/// is the term that the sender would start.
 struct PreVoteRequest {
   Index last_log_index = 0;
   Term last_log_term = 0;
 };
 
-/// The term of the message is that of the request if the vote is granted, otherwise the sender's.
+/// Answers PreVoteRequest. `Message::term` is the term of the request if the vote is granted,
+/// otherwise the sender's current term.
 struct PreVoteResponse {
   bool granted = false;
 };
@@ -48,21 +50,21 @@
   Term previous_log_term = 0;
   std::vector<LogEntry> entries;
   Index leader_commit = 0;
-  /// Grows with each round of the leader; the response repeats it.
+  /// The number of the heartbeat round, which the leader increases; the response repeats it.
   std::uint64_t heartbeat_round = 0;
 };
 
 /// Answers AppendEntriesRequest and InstallSnapshotRequest.
 struct AppendEntriesResponse {
   bool success = false;
-  /// On success, the last entry that is known to agree with the leader's log; otherwise the entry
-  /// after which the leader continues.
+  /// On success, the index of the last entry that is known to agree with the leader's log;
+  /// otherwise the index of the entry after which the leader should continue to send.
   Index match_index = 0;
   std::uint64_t heartbeat_round = 0;
 };
 
-/// Replaces the receiver's log by a snapshot (Raft thesis, section 5.1), which is small and is sent
-/// in one message.
+/// Replaces the receiver's log by a snapshot (Raft thesis, section 5.1). Snapshots are small, so
+/// each is sent in one message.
 struct InstallSnapshotRequest {
   Snapshot snapshot;
   std::uint64_t heartbeat_round = 0;
@@ -75,7 +77,7 @@
 struct Message {
   std::string from;
   std::string to;
-  Term term = 0;  ///< The sender's, except in pre-votes.
+  Term term = 0;  ///< The sender's current term, except in pre-votes.
   MessageBody body;
 };
 
--- a/src/raft/node.cpp
+++ b/src/raft/node.cpp
@@ -96,7 +96,7 @@
 }
 
 void Node::become_recovering(TimePoint now, Actions& actions) {
-  // Distinguishes replies to this start from those to earlier ones.
+  // A random number distinguishes replies to this start from replies to earlier starts.
   recovery_attempt_ = random_();
   change_role(now, Role::Recovering, "", actions);
   send_to_others(RecoveryQuery{recovery_attempt_}, actions);
@@ -136,7 +136,7 @@
   for (const std::string& name : settings_.voters) {
     if (name == settings_.self)
       continue;
-    // The request implies this node's vote for itself, which is persisted first.
+    // The request states that this node votes for itself, so that vote is persisted first.
     send_after_persist(make_message(name, VoteRequest{last, state_.term_at(last)}), actions);
   }
 }
@@ -145,8 +145,8 @@
   const bool own_vote_counts =
       role_ == Role::PreCandidate || persistence_.is_persisted(own_vote_write_);
   const std::size_t votes = granted_votes_.size() + (own_vote_counts ? 1 : 0);
-  // The first term does not start while a node is recovering: the node could not find out later
-  // whether it had voted.
+  // The first term needs the pre-votes of all voters. It must not start while a node is recovering,
+  // because that node could not find out later whether it had voted.
   const bool is_first_term = role_ == Role::PreCandidate && state_.current_term == 0;
   return votes >= (is_first_term ? settings_.voters.size() : majority());
 }
@@ -170,7 +170,8 @@
     progress.last_response_at = now;
   }
   ++heartbeat_round_;
-  // Entries of earlier terms are committed only together with an entry of this term (paper, 5.4.2).
+  // The leader appends a no-op entry, because entries of earlier terms are committed only together
+  // with an entry of the current term (Raft paper, section 5.4.2).
   state_.append("");
   persistence_.mark_changed();
   for (auto& [name, progress] : progress_)
@@ -194,7 +195,7 @@
     return;
   }
   if (role_ == Role::Leader) {
-    // Check-quorum (thesis, 6.2): a leader without an active quorum steps down.
+    // Check-quorum (Raft thesis, section 6.2): a leader without an active quorum steps down.
     if (has_active_quorum(now))
       send_heartbeats(now, actions);
     else
@@ -218,7 +219,7 @@
 void Node::send_heartbeats(TimePoint now, Actions& actions) {
   ++heartbeat_round_;
   for (auto& [name, progress] : progress_) {
-    progress.entries_in_flight = false;  // They may be lost, so they are sent again.
+    progress.entries_in_flight = false;  // Entries may have been lost, so they are sent again.
     send_entries(name, progress, actions);
   }
   deadline_ = now + settings_.heartbeat_interval;
--- a/src/raft/node.h
+++ b/src/raft/node.h
@@ -1,20 +1,21 @@
 /// One node of a Raft group (Ongaro & Ousterhout, "In Search of an Understandable Consensus
-/// Algorithm"; Raft thesis) with pre-vote (thesis 9.6), check-quorum and leader stickiness (6.2,
-/// 4.2.3) and confirmation of leadership for reads (ReadIndex, 6.4).
+/// Algorithm"; Ongaro, Raft thesis). Of the thesis it implements pre-vote (section 9.6),
+/// check-quorum (6.2), leader stickiness (4.2.3) and the confirmation of leadership for reads
+/// (ReadIndex, 6.4).
 ///
 /// The node is a deterministic state machine: it takes events with their time and returns actions.
 /// It performs no I/O, reads no clock and starts no thread; all calls come from one thread. Times
 /// are those of the caller's own monotonic clock. The clocks of different nodes are never compared,
 /// and no safety property depends on them.
 ///
-/// Persistence. A message that commits the node (a vote, an accepted log entry) is held back until
-/// the embedder reports by `handle_persisted` that the state is on stable storage. The state is
-/// written as a whole and replaces the previous content. A node whose storage fails neither votes
-/// nor leads until a write succeeds.
+/// Persistence. A message that binds the node (a vote, or the acceptance of a log entry) is held
+/// back until the embedder reports by `handle_persisted` that the state is on stable storage. The
+/// state is written as a whole and replaces the previous content. A node whose storage fails
+/// neither votes nor leads until a write succeeds.
 ///
-/// Lost state. A node that finds no state may have voted before it lost its state. It remains
-/// `Recovering` (it neither votes nor accepts entries) until every other node reports that its
-/// state is empty, which is the case only at the first start of the whole group. Therefore the
+/// Lost state. A node that finds no state at its start may have voted before it lost its state. It
+/// remains `Recovering` (it neither votes nor accepts entries) until every other node reports that
+/// its state is empty, which is the case only at the first start of the whole group. Therefore the
 /// leader of the first term needs the pre-votes of all nodes. A node cannot detect that it has an
 /// older copy of its own state: the leader reports a node that holds less than it acknowledged
 /// (`ReplicaRegressed`) and does not count it for the rest of the term. An older copy that is
@@ -23,13 +24,11 @@
 /// Invariants, checked by tests/fleet/ over thousands of seeds:
 ///  - there is at most one leader in a term;
 ///  - all nodes apply the same entry at an index, and it never changes;
-///  - a round of `confirm_leadership` is confirmed only if no later term had a leader when the
-///  round
-///    started.
+///  - a round of `confirm_leadership` is confirmed only if no later term had a leader at its start.
 ///
-/// Bounds: a leader requests a snapshot after `max_log_entries` applied entries, and rejects
-/// proposals at twice as many entries. At most two messages of each type and receiver are held
-/// back.
+/// Bounds: a node requests a snapshot when more than `max_log_entries` applied entries follow its
+/// last one. A leader rejects proposals when its log has twice `max_log_entries` entries. At most
+/// two messages of each type and receiver are held back.
 #pragma once
 
 #include "raft/actions.h"
@@ -57,13 +56,14 @@
   Duration heartbeat_interval = 200ms;
   /// Each election timeout is drawn uniformly between this value and twice this value.
   Duration min_election_timeout = 1s;
-  /// Applied entries after which the leader requests a snapshot.
+  /// A node requests a snapshot when more applied entries than this follow its last snapshot.
   std::size_t max_log_entries = 256;
   std::size_t max_entries_per_message = 64;
   std::uint64_t random_seed = 1;
 };
 
-/// Each event appends the actions that it causes to `actions`; the caller performs them in order.
+/// Each method with a parameter `actions` handles an event and appends the actions that the event
+/// causes; the caller performs them in order.
 class Node {
 public:
   /// `stored` is the state that was read from stable storage; nothing if there is none or it cannot
@@ -73,13 +73,14 @@
   /// Call once, before any other event.
   void start(TimePoint now, Actions& actions);
 
-  /// Processes a message that was received; ignores one that is not from a voter to this node.
+  /// Processes a received message. Ignores a message that is not addressed to this node or that
+  /// does not come from another voter.
   void handle_message(TimePoint now, const Message& message, Actions& actions);
 
   /// Reports that the write `number` and all earlier ones are on stable storage.
   void handle_persisted(TimePoint now, WriteNumber number, Actions& actions);
 
-  /// Reports that a write has failed. The node repeats it later.
+  /// Reports that a write has failed. The node repeats the write later.
   void handle_persist_failure(TimePoint now, Actions& actions);
 
   /// Call it at `next_deadline`, or at any other time.
@@ -90,15 +91,16 @@
     return std::min(deadline_, persistence_.retry_at());
   }
 
-  /// Appends a command and returns its index; nothing if the node does not lead, or the log is
-  /// full.
+  /// Appends a command to the log and returns its index, or nothing if the node does not lead or
+  /// the log is full.
   std::optional<Index> propose(std::string command, Actions& actions);
 
-  /// Starts a heartbeat round and returns the number that LeadershipConfirmed will name (thesis,
-  /// 6.4); nothing if the node does not lead.
+  /// Starts a heartbeat round and returns its number, which LeadershipConfirmed will name (Raft
+  /// thesis, section 6.4). Returns nothing if the node does not lead.
   std::optional<std::uint64_t> confirm_leadership(Actions& actions);
 
-  /// `state` is the state machine after the last ApplyEntry.
+  /// Replaces the applied entries of the log by a snapshot. `state` is the state of the state
+  /// machine after the last ApplyEntry.
   void compact_log(std::string state, Actions& actions);
 
   [[nodiscard]] Role role() const { return role_; }
@@ -115,7 +117,7 @@
   [[nodiscard]] const Snapshot& snapshot() const { return state_.snapshot; }
 
 private:
-  /// The state that a leader has for another node (nextIndex and matchIndex of the paper).
+  /// What a leader records about another node (nextIndex and matchIndex of the Raft paper).
   struct Progress {
     Index next_index = 1;
     Index match_index = 0;
@@ -123,7 +125,7 @@
     TimePoint last_response_at{};
     std::uint64_t matched_in_round = 0;  ///< The round whose response set `match_index`.
     bool entries_in_flight = false;
-    bool counts_for_quorum = true;  ///< False after the node has regressed.
+    bool counts_for_quorum = true;  ///< False once the node has lost entries it acknowledged.
   };
 
   [[nodiscard]] std::size_t majority() const { return settings_.voters.size() / 2 + 1; }
@@ -197,12 +199,15 @@
   std::string leader_;
   Index commit_index_ = 0;
   Index last_applied_ = 0;
-  TimePoint deadline_ = kNever;  ///< Election timeout, next heartbeat or next recovery query.
+  /// When the election timeout, the next heartbeat or the next recovery query is due.
+  TimePoint deadline_ = kNever;
   TimePoint last_leader_message_at_ = TimePoint(-Duration::max());
   std::uint64_t recovery_attempt_ = 0;
-  std::map<std::string, bool> has_empty_state_;  ///< Recovering: what each other node replied.
-  std::set<std::string> granted_votes_;       ///< PreCandidate and Candidate: who granted its vote.
-  std::map<std::string, Progress> progress_;  ///< Leader: each other node.
+  /// While recovering: for each node that replied, whether its state was empty.
+  std::map<std::string, bool> has_empty_state_;
+  /// As a pre-candidate or candidate: the nodes that granted their votes.
+  std::set<std::string> granted_votes_;
+  std::map<std::string, Progress> progress_;  ///< As a leader: each other node, by its name.
   std::uint64_t heartbeat_round_ = 0;
   std::uint64_t confirmed_round_ = 0;
 
--- a/src/raft/node_messages.cpp
+++ b/src/raft/node_messages.cpp
@@ -12,7 +12,8 @@
   return last_log_index >= state_.last_log_index();
 }
 
-// Leader stickiness (thesis, 4.2.3): a node that was isolated must not depose a working leader.
+// Leader stickiness (Raft thesis, section 4.2.3): a node that has heard from a leader recently
+// grants no vote, so that a node that was isolated cannot depose a working leader.
 bool Node::has_heard_from_leader(TimePoint now) const {
   if (role_ == Role::Leader)
     return true;
@@ -66,7 +67,7 @@
       });
   if (has_empty_state_.size() + 1 < settings_.voters.size() || !all_are_empty)
     return;
-  persistence_.mark_changed();  // The next start must find a state.
+  persistence_.mark_changed();  // The next start of this node has to find a state.
   change_role(now, Role::Follower, "", actions);
   persist_if_changed(actions);
 }
@@ -82,7 +83,8 @@
   if (!granted)
     return send(std::move(response), actions);
   response.term = message.term;
-  // That this node has left recovery must be on stable storage before it supports a candidate.
+  // Before this node supports a candidate, the state that ends its recovery must be on stable
+  // storage.
   send_after_persist(std::move(response), actions);
 }
 
@@ -110,7 +112,8 @@
     return handle_vote_response(now, message, *vote_response, actions);
   if (const auto* append_response = std::get_if<AppendEntriesResponse>(&message.body))
     return handle_append_response(now, message, *append_response, actions);
-  // Two leaders of one term violate an invariant; this node cannot resolve it.
+  // A message of a second leader of the same term violates election safety. This leader cannot
+  // resolve that and ignores the message.
   if (role_ == Role::Leader)
     return;
   if (const auto* append = std::get_if<AppendEntriesRequest>(&message.body)) {
@@ -159,7 +162,7 @@
   const Index last_new_index = previous + request.entries.size();
   for (std::size_t i = 0; i < request.entries.size(); ++i)
     if (request.entries[i].index != previous + 1 + i)
-      return;  // Malformed: the entries of a leader have no gap.
+      return;  // The request is malformed: a leader's entries have no gaps.
   AppendEntriesResponse response;
   response.heartbeat_round = request.heartbeat_round;
   const Index last = state_.last_log_index();
@@ -179,7 +182,7 @@
   send_after_persist(make_message(message.from, response), actions);
 }
 
-// A committed entry never changes.
+// Returns whether an entry differs from the committed one at its index, which never changes.
 bool Node::contradicts_committed_log(const std::vector<LogEntry>& entries) const {
   return std::any_of(entries.begin(), entries.end(), [this](const LogEntry& entry) {
     const bool is_committed = entry.index > state_.snapshot.index && entry.index <= commit_index_;
--- a/src/raft/node_replication.cpp
+++ b/src/raft/node_replication.cpp
@@ -71,7 +71,7 @@
       return;
     record_match(message.from, progress, response, actions);
   } else {
-    // A rejection that is older than the newest match is outdated.
+    // A rejection below the match index is outdated if its round is not newer than that match.
     if (response.match_index < progress.match_index &&
         response.heartbeat_round <= progress.matched_in_round)
       return;
@@ -95,8 +95,8 @@
 void Node::record_rejection(const std::string& name, Progress& progress,
                             const AppendEntriesResponse& response, Actions& actions) {
   if (response.match_index < progress.match_index) {
-    // Entries are sent only after the match index, so the node no longer holds the entries that it
-    // acknowledged.
+    // The leader sends only entries after the match index, so a current rejection below it means
+    // that the node no longer holds entries that it acknowledged.
     if (progress.counts_for_quorum)
       actions.push_back(ReplicaRegressed{name});
     progress.counts_for_quorum = false;
@@ -122,7 +122,8 @@
   if (match_indexes.size() < majority())
     return;
   const Index replicated = quorum_value(std::move(match_indexes), majority());
-  // Only an entry of the current term is committed by counting replicas (paper, 5.4.2).
+  // Only an entry of the current term is committed by counting replicas (Raft paper,
+  // section 5.4.2).
   if (replicated > commit_index_ && state_.term_at(replicated) == state_.current_term) {
     commit_index_ = replicated;
     apply_committed(actions);
--- a/src/raft/persistence_tracker.cpp
+++ b/src/raft/persistence_tracker.cpp
@@ -51,8 +51,8 @@
 void PersistenceTracker::hold(Message message) {
   if (storage_failed_)
     return;
-  // To bound memory, two messages of a type to a receiver are kept: the oldest, which can be sent
-  // first, and the newest.
+  // To bound memory, two messages of each type are kept for each receiver: the oldest, which can be
+  // sent first, and the newest.
   const auto has_same_type = [&](const HeldMessage& held) {
     return held.message.body.index() == message.body.index() && held.message.to == message.to;
   };
--- a/src/raft/persistent_state.h
+++ b/src/raft/persistent_state.h
@@ -1,5 +1,5 @@
-/// The state that a Raft node keeps on stable storage (Ongaro & Ousterhout, figure 2), with the
-/// snapshot that replaces the compacted prefix of the log (Raft thesis, section 5.1).
+/// The state that a Raft node keeps on stable storage (Raft paper, Ongaro & Ousterhout, figure 2),
+/// with the snapshot that replaces the compacted prefix of the log (Raft thesis, section 5.1).
 #pragma once
 
 #include <cstdint>
@@ -14,27 +14,30 @@
 struct LogEntry {
   Term term = 0;
   Index index = 0;
-  /// The command. Empty in the no-op entry with which a leader starts its term.
+  /// The command for the state machine. It is empty in the no-op entry with which a leader starts
+  /// its term.
   std::string command;
 };
 
-/// The state machine after all entries up to and including `index`.
+/// The state of the state machine after all entries up to and including `index`.
 struct Snapshot {
   Index index = 0;
-  Term term = 0;  ///< Of the entry at `index`.
+  Term term = 0;  ///< The term of the entry at `index`.
   std::string state;
 };
 
-/// Written as a whole; a write replaces the previous content.
+/// The state is written as a whole; each write replaces the previous content.
 struct PersistentState {
   Term current_term = 0;
-  std::string voted_for;  ///< In `current_term`; empty: no vote was given.
+  /// The candidate that this node voted for in `current_term`; empty if it has not voted.
+  std::string voted_for;
   Snapshot snapshot;
   std::vector<LogEntry> log;  ///< Follows the snapshot without a gap.
 
   [[nodiscard]] Index last_log_index() const { return snapshot.index + log.size(); }
 
-  /// The term of the entry at `index`, or of the snapshot if it ends there; 0 if neither holds it.
+  /// The term of the entry at `index`, or of the snapshot if it ends there; 0 if neither contains
+  /// the entry.
   [[nodiscard]] Term term_at(Index index) const;
   /// The entry at `index`, which must be in the log, after the snapshot.
   [[nodiscard]] const LogEntry& entry_at(Index index) const;
--- a/tests/fleet/event_digest.h
+++ b/tests/fleet/event_digest.h
@@ -12,8 +12,8 @@
 
 namespace gorsebeam::simulation {
 
-/// FNV-1a (64 bit) over typed fields; names of types are not part of it, so that renaming keeps the
-/// value.
+/// A 64-bit FNV-1a hash of the values of fields. Names of types and fields are not part of it, so
+/// that renaming them keeps the digest.
 class EventDigest {
 public:
   [[nodiscard]] std::uint64_t value() const { return value_; }
@@ -24,7 +24,7 @@
   }
 
   void add(const std::string& text);
-  /// Begins an event: its time and its node.
+  /// Starts an event by adding its time and its node.
   void add_event(TimePoint now, int node);
   void add(const raft::Action& action);
   void add(const leases::ManagerAction& action);
--- a/tests/fleet/fault_script.cpp
+++ b/tests/fleet/fault_script.cpp
@@ -46,7 +46,8 @@
     const int count = 1 + draw_below(12);
     for (int i = 0; i < count; ++i)
       add_random_fault();
-    // Overlapping faults may leave a gateway stopped, so all are started at the end.
+    // Overlapping faults may leave a gateway stalled or dead, so all gateways are woken and started
+    // when the faults end.
     for (int gateway = 0; gateway < script_.gateways; ++gateway) {
       add(kFaultsEnd, FaultKind::Wake, gateway);
       add(kFaultsEnd, FaultKind::Start, gateway);
@@ -93,8 +94,8 @@
     }
   }
 
-  // Odd seeds cut the gateway from one peer, even seeds from all; the reverse direction with
-  // probability one half.
+  // Cuts the links from the gateway to one peer (odd seeds) or to all peers (even seeds). Each link
+  // in the reverse direction is cut with probability one half.
   void add_cuts(TimePoint at, TimePoint end, int gateway, int peer) {
     for (int other = 0; other < script_.gateways; ++other) {
       if (other == gateway || (other != peer && script_.seed % 2 == 1))
--- a/tests/fleet/fault_script.h
+++ b/tests/fleet/fault_script.h
@@ -19,11 +19,11 @@
   Kill,
   Wipe,  ///< Kills the process and erases its disk.
   Start,
-  Stall,
-  Wake,
-  Cut,  ///< From `gateway` to `peer`.
+  Stall,  ///< Suspends the process, as SIGSTOP does.
+  Wake,   ///< Continues a stalled process, as SIGCONT does.
+  Cut,    ///< Drops the messages from `gateway` to `peer` until the next Heal.
   Heal,
-  DiskFails,
+  DiskFails,  ///< Makes writes fail until the next DiskWorks.
   DiskWorks,
 };
 
@@ -31,21 +31,24 @@
   TimePoint at{};
   FaultKind kind = FaultKind::Kill;
   int gateway = 0;
-  int peer = 0;  ///< Of Cut and Heal.
+  int peer = 0;  ///< Used only by Cut and Heal.
 };
 
 struct FaultScript {
   std::uint64_t seed = 1;
   int voters = 3;
-  int gateways = 5;  ///< The voters are the first of them.
+  int gateways = 5;  ///< The first `voters` of them are the voters.
   std::vector<Fault> faults;
 };
 
-/// Each fault is paired with the event that ends it, by kFaultsEnd at the latest.
+/// Draws the faults of a run. Each fault is paired with the event that ends it, by kFaultsEnd at
+/// the latest.
 [[nodiscard]] FaultScript draw_fault_script(std::uint64_t seed);
-/// "seed SEED VOTERS GATEWAYS", then a line "MILLISECONDS KIND GATEWAY PEER" for each fault.
+/// Prints the line "seed SEED VOTERS GATEWAYS" and a line "MILLISECONDS KIND GATEWAY PEER" for each
+/// fault.
 void print_fault_script(const FaultScript& script, std::ostream& out);
-/// Returns none if a line does not have the form that print_fault_script() writes.
+/// Reads what print_fault_script() prints. Returns nothing if the first line is malformed or a
+/// fault has an unknown kind; reading ends at another line that is malformed.
 [[nodiscard]] std::optional<FaultScript> read_fault_script(std::istream& in);
 
 }  // namespace gorsebeam::simulation
--- a/tests/fleet/history_checker.h
+++ b/tests/fleet/history_checker.h
@@ -1,5 +1,6 @@
-/// Checks the rules of Raft and of the lease service against the history of applied entries and
-/// actions. It shares no code with the modules under test and does not depend on their decisions.
+/// Checks that the history of applied entries and actions obeys the rules of Raft and of the lease
+/// service. The checker shares only data types with the modules under test and does not depend on
+/// their decisions.
 #pragma once
 
 #include "raft/persistent_state.h"
@@ -14,26 +15,27 @@
 
 namespace gorsebeam::simulation {
 
-/// Ends the run; the text names the rule and the violation.
+/// Thrown at a violation of a rule, which ends the run. The text names the rule and the violation.
 class RuleViolation : public std::runtime_error {
 public:
   using std::runtime_error::runtime_error;
 };
 
-/// Each check throws RuleViolation.
+/// Each method that records or checks something throws RuleViolation if a rule is violated.
 class HistoryChecker {
 public:
   /// Election safety: at most one leader in a term.
   void record_leader(raft::Term term, int gateway);
   /// State machine safety: all nodes apply the same entry at an index.
   void record_applied(const raft::LogEntry& entry);
-  /// All nodes have the same state after an index.
+  /// State machine safety: all nodes have the same state after the entry at an index.
   void record_state(raft::Index index, const std::string& state);
   /// Mutual exclusion: at most one gateway has a valid token of a role at a time.
   static void check_exclusive(const std::string& role, const std::vector<std::string>& holders);
-  /// Fencing: an action was accepted under a token no lower than any before it.
+  /// Fencing: the token of an accepted action is no lower than that of any earlier action of the
+  /// role.
   void record_action(TimePoint now, const std::string& role, leases::FencingToken token);
-  /// Liveness: an action was accepted under the role since that time.
+  /// Liveness: an action of the role was accepted at `since` or later.
   void check_progress(const std::string& role, TimePoint since) const;
 
   [[nodiscard]] std::uint64_t actions() const { return actions_; }
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -46,7 +46,8 @@
   }
 };
 
-/// Runs one script. Returns the rule that was violated; none: the run is added to `totals`.
+/// Runs one script. Returns the violation, or nothing if every rule held; in that case the run is
+/// added to `totals`.
 std::optional<std::string> run_script(const FaultScript& script, Mutant mutant, Totals& totals) {
   try {
     SimulatedFleet fleet(script, mutant);
@@ -63,7 +64,8 @@
   return ratio(time, 1ms);
 }
 
-/// In milliseconds; 0 if there are no times. `sorted_times` is in ascending order.
+/// Returns the percentile in milliseconds, or 0 if there are no times. `sorted_times` is in
+/// ascending order.
 double percentile(const std::vector<Duration>& sorted_times, double fraction) {
   if (sorted_times.empty())
     return 0;
@@ -75,7 +77,7 @@
   std::ifstream file(path);
   const std::optional<FaultScript> script = read_fault_script(file);
   if (!script) {
-    std::cerr << path << " is not a script\n";
+    std::cerr << "cannot read a fault script from " << path << '\n';
     return 1;
   }
   Totals totals;
@@ -98,7 +100,7 @@
     if (violation)
       std::cout << "detected at seed " << seed << ": " << *violation << '\n';
     else
-      std::cout << "NOT detected\n";
+      std::cout << "NOT detected within " << seeds << " seeds\n";
     all_detected = all_detected && violation.has_value();
   }
   return all_detected ? 0 : 1;
@@ -144,7 +146,7 @@
             << percentile(times, 1) << ", lease " << to_milliseconds(kLeaseDuration) << '\n';
 }
 
-/// Runs seeds, which are independent, on several threads.
+/// Runs the simulations of several seeds, which are independent, on several threads.
 class SeedRunner {
 public:
   SeedRunner(std::uint64_t first, std::uint64_t seeds) : first_(first), seeds_(seeds) {}
@@ -204,8 +206,9 @@
 }
 
 int print_usage() {
-  std::cerr << "simulation SEEDS [FIRST] | --script FILE | --cost GATEWAYS | --mutants SEEDS | "
-               "--digest SEEDS\n";
+  std::cerr
+      << "usage: simulation SEEDS [FIRST] | --script FILE | --cost GATEWAYS | --mutants SEEDS | "
+         "--digest SEEDS\n";
   return 1;
 }
 
--- a/tests/fleet/mutants.h
+++ b/tests/fleet/mutants.h
@@ -9,7 +9,7 @@
 enum class Mutant {
   None,
   AcknowledgesBeforePersist,  ///< Reports each write as finished at once.
-  VotesAfterStateLoss,        ///< Presents a lost state as an empty one.
+  VotesAfterStateLoss,        ///< Starts a node that lost its state with an empty state.
   LeaderSkipsWait,            ///< A new leader grants roles before the old leases have expired.
   ClockBeyondDrift,           ///< Clocks deviate by up to 30%.
   FenceDisabled,              ///< The receiver accepts any token.
--- a/tests/fleet/process.h
+++ b/tests/fleet/process.h
@@ -1,4 +1,5 @@
-/// A simulated process that can be killed, restarted, stalled (as by SIGSTOP) and woken.
+/// A simulated process that can be killed, restarted, stalled (as by SIGSTOP) and woken (as by
+/// SIGCONT).
 #pragma once
 
 #include "virtual_time.h"
@@ -22,8 +23,8 @@
   void stall();
   void wake();
 
-  /// Runs the callback at that time, or as soon as the process wakes. Callbacks of an earlier
-  /// incarnation or of a dead process are dropped.
+  /// Runs the callback at that time or, if the process is stalled then, as soon as it wakes.
+  /// Callbacks of an earlier incarnation or of a dead process are dropped.
   void schedule(TimePoint at, Callback callback);
 
 private:
@@ -31,7 +32,7 @@
   bool is_alive_ = false;
   bool is_stalled_ = false;
   std::uint64_t incarnation_ = 0;
-  std::vector<Callback> deferred_;  ///< While stalled.
+  std::vector<Callback> deferred_;  ///< Callbacks that were due while the process was stalled.
 };
 
 }  // namespace gorsebeam::simulation
--- a/tests/fleet/simulated_disk.h
+++ b/tests/fleet/simulated_disk.h
@@ -19,8 +19,8 @@
 
   [[nodiscard]] const std::optional<raft::PersistentState>& content() const { return content_; }
 
-  /// Writes for the process's current incarnation and reports to it. The write of a stalled process
-  /// also finishes.
+  /// Starts a write for the process's current incarnation and reports the result to it. The write
+  /// also finishes if the process is stalled; it is lost if the process dies before it finishes.
   void write(Process& process, const raft::PersistentState& state,
              const std::function<void(WriteResult)>& on_done);
 
--- a/tests/fleet/simulated_fleet.cpp
+++ b/tests/fleet/simulated_fleet.cpp
@@ -57,8 +57,8 @@
   check_progress();
 }
 
-// The faults have ended long before, so actions must be accepted under each role, unless too many
-// voters have lost their state.
+// The faults end long before the run does. Therefore actions of each role must be accepted near the
+// end of the run, unless too many voters have lost their state.
 void SimulatedFleet::check_progress() const {
   const auto is_intact_voter = [](const auto& gateway) {
     return gateway->is_voter && !gateway->was_wiped;
--- a/tests/fleet/simulated_fleet.h
+++ b/tests/fleet/simulated_fleet.h
@@ -28,19 +28,20 @@
 public:
   SimulatedFleet(const FaultScript& script, Mutant mutant);
 
-  /// Runs the script up to kRunEnd. Throws RuleViolation.
+  /// Runs the script up to kRunEnd. Throws RuleViolation at the first violation of a rule.
   void run();
 
   [[nodiscard]] const EventDigest& digest() const { return digest_; }
 
   [[nodiscard]] const HistoryChecker& checker() const { return checker_; }
 
-  /// Actions that the receiver rejected because of their token.
+  /// The number of actions that the receiver rejected because of their token.
   [[nodiscard]] std::uint64_t rejected_actions() const { return rejected_actions_; }
 
-  /// Messages between gateways.
+  /// The number of Raft messages that leaders sent and of lease responses.
   [[nodiscard]] std::uint64_t messages_from_leader() const { return messages_from_leader_; }
 
+  /// The number of Raft messages that other nodes sent and of lease requests.
   [[nodiscard]] std::uint64_t messages_from_others() const { return messages_from_others_; }
 
 private:
@@ -55,18 +56,19 @@
     Process process;
     SimulatedDisk disk;
 
-    // Replaced at each start.
-    std::unique_ptr<raft::Node> node;  ///< Only of a voter.
+    // The objects that are replaced at each start of the process.
+    std::unique_ptr<raft::Node> node;  ///< Null if the gateway is not a voter.
     leases::LeaseTable table;
     std::unique_ptr<leases::LeaseManager> manager;
     std::unique_ptr<leases::LeaseClient> client;
-    // The deadlines for which a timer is scheduled.
+    // The deadlines for which a timer is scheduled; the epoch if none is.
     TimePoint node_deadline{};
     TimePoint manager_deadline{};
     TimePoint client_deadline{};
 
-    /// The lease manager that gets the requests while it responds.
+    /// The gateway whose lease manager responded last.
     std::string last_responder;
+    /// Whether no response has arrived since the last request, or since the start of the run.
     bool awaits_response = true;
   };
 
@@ -93,7 +95,7 @@
   void restore(Gateway& gateway, const raft::Snapshot& snapshot);
   void record_role_change(Gateway& gateway, const raft::RoleChanged& change);
 
-  // Leases.
+  // Leases (simulated_fleet_leases.cpp).
   void run_manager(Gateway& gateway, const ManagerEvent& event);
   void run_client(Gateway& gateway, const ClientEvent& event);
   void perform(Gateway& gateway, const leases::ManagerAction& action);
--- a/tests/fleet/simulated_fleet_leases.cpp
+++ b/tests/fleet/simulated_fleet_leases.cpp
@@ -73,7 +73,8 @@
   }
 }
 
-// Only the last responder gets the request while it responds; otherwise all voters do.
+// Sends the request only to the gateway that responded last, or to all voters if the previous
+// request got no response.
 void SimulatedFleet::send(Gateway& sender, const leases::LeaseRequest& request) {
   const bool to_all = std::exchange(sender.awaits_response, true);
   for (const auto& voter : gateways_) {
@@ -106,7 +107,7 @@
   });
 }
 
-// The gateway checks its token and sends the action a moment later; the process may stall between.
+// The gateway checks its token and sends the action 2 ms later; the process may stall in between.
 void SimulatedFleet::start_action(Gateway& gateway, const std::string& role) {
   const auto token = gateway.client->valid_token(local_now(gateway), role);
   check_exclusive(role);
--- a/tests/fleet/simulated_fleet_raft.cpp
+++ b/tests/fleet/simulated_fleet_raft.cpp
@@ -97,7 +97,9 @@
 void SimulatedFleet::restore(Gateway& gateway, const raft::Snapshot& snapshot) {
   const std::optional<leases::LeaseTable> table = leases::LeaseTable::parse(snapshot.state);
   if (!table)
-    throw RuleViolation("a snapshot that cannot be read");
+    throw RuleViolation("snapshot: " + gateway.name +
+                        " cannot parse the state of the snapshot at index " +
+                        std::to_string(snapshot.index) + ": \"" + snapshot.state + "\"");
   gateway.table = *table;
   checker_.record_state(snapshot.index, gateway.table.serialize());
 }
--- a/tests/fleet/simulated_network.h
+++ b/tests/fleet/simulated_network.h
@@ -16,10 +16,11 @@
   SimulatedNetwork(EventQueue& queue, Random& random, TimePoint faults_end)
       : queue_(queue), random_(random), faults_end_(faults_end) {}
 
-  /// Sends between two gateways; the incarnation that runs at the arrival gets the message.
+  /// Sends a message between two gateways. The incarnation that runs when the message arrives gets
+  /// it.
   void send(int from, int to, Process& receiver, const Callback& deliver);
-  /// Sends to a receiver outside the fleet or to the sender itself: not subject to cuts,
-  /// duplication or the state of a process.
+  /// Sends a message to a receiver outside the fleet or to the sender itself. The message may be
+  /// lost or delayed; cuts, duplication and the state of a process do not affect it.
   void send_bypassing_links(const Callback& deliver);
   void cut(int from, int to);
   void heal(int from, int to);
--- a/tests/fleet/virtual_time.h
+++ b/tests/fleet/virtual_time.h
@@ -20,7 +20,7 @@
 
   std::uint64_t next() { return generator_(); }
 
-  /// Uniform; both bounds are included.
+  /// Draws a number uniformly; both bounds are included.
   std::int64_t between(std::int64_t least, std::int64_t most) {
     return std::uniform_int_distribution<std::int64_t>(least, most)(generator_);
   }
@@ -38,7 +38,7 @@
 public:
   [[nodiscard]] TimePoint now() const { return now_; }
 
-  /// A time in the past counts as now.
+  /// Runs the callback at the time `at`, or at the current time if `at` is in the past.
   void schedule(TimePoint at, Callback callback);
   void run_until(TimePoint end);
 
@@ -48,7 +48,7 @@
     std::uint64_t order = 0;
     Callback callback;
 
-    // The queue's top is its greatest element: the earliest event.
+    // The top of a priority queue is its greatest element, so an earlier event compares as greater.
     bool operator<(const Event& other) const {
       return at != other.at ? other.at < at : other.order < order;
     }
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -17,7 +17,7 @@
 constexpr const char* kRole = "reports";
 constexpr const char* kHealthyHolder = "healthy~1";
 constexpr const char* kOtherHolder = "other~1";
-/// A gateway that receives no response.
+/// A gateway whose requests arrive, but which receives no response.
 constexpr const char* kUnreachableHolder = "unreachable~1";
 
 TEST(LeaseTable, AppliesGrantOnlyIfTokenIsAsExpected) {
@@ -25,7 +25,7 @@
 
   EXPECT_EQ(table.apply(5, LeaseTable::grant_command(kRole, kHealthyHolder, 0)), kRole);
   EXPECT_EQ(table.apply(6, LeaseTable::grant_command(kRole, kOtherHolder, 0)), std::nullopt);
-  // Text after the first line is ignored.
+  // Text after the holder is ignored.
   EXPECT_EQ(table.apply(7, "grant reports 5 other~1\nrm"), kRole);
 
   EXPECT_EQ(table.grant_of(kRole).holder, kOtherHolder);
@@ -43,7 +43,7 @@
   EXPECT_FALSE(LeaseTable::parse("reports x").has_value());
 }
 
-/// Performs the confirmations of leadership at once and returns the commands that the manager
+/// Advances the manager to `now`, confirms at once that it leads, and returns the commands that it
 /// proposes.
 std::vector<std::string> advance(LeaseManager& manager, TimePoint now) {
   ManagerActions actions;
--- a/tests/persistence_tracker_test.cpp
+++ b/tests/persistence_tracker_test.cpp
@@ -12,7 +12,7 @@
 constexpr Index kStoredLogIndex = 5;
 constexpr TimePoint kRetryAt{1000ms};
 
-/// A vote for a candidate; the term tells votes apart.
+/// Returns a vote for the candidate; tests tell votes apart by their terms.
 Message make_vote(const std::string& candidate, Term term) {
   return {"voter", candidate, term, VoteResponse{true}};
 }
--- a/tests/raft_test.cpp
+++ b/tests/raft_test.cpp
@@ -17,8 +17,8 @@
 namespace gorsebeam::raft {
 namespace {
 
-/// Three nodes, a, b and c. Messages arrive at once, and writes finish at once, unless set
-/// otherwise.
+/// Three nodes, a, b and c. Messages arrive in the same step unless a node is isolated, and writes
+/// finish at once unless a disk is blocked.
 class RaftCluster {
 public:
   RaftCluster() {
@@ -43,7 +43,7 @@
 
   void reconnect_all() { isolated_.clear(); }
 
-  /// Writes of this node do not finish from now on.
+  /// From now on, writes of this node do not finish.
   void block_disk(const std::string& name) { blocked_disks_.insert(name); }
 
   /// Returns whether the node accepted the command.
@@ -69,7 +69,7 @@
     return "";
   }
 
-  /// A node that does not lead.
+  /// Returns a node that does not lead.
   [[nodiscard]] std::string follower() const { return leader() == "a" ? "b" : "a"; }
 
   [[nodiscard]] const Node& node(const std::string& name) const { return *nodes_.at(name); }
@@ -157,7 +157,8 @@
   cluster.block_disk("b");
   cluster.block_disk("c");
 
-  // Node a campaigns and receives no vote; the others do not become leader by their own vote alone.
+  // Nodes b and c cannot persist a vote: node a gets no vote from them, and neither of them can use
+  // its vote for itself.
   cluster.advance(10'000ms);
 
   EXPECT_EQ(cluster.leader(), "");
