--- a/model/leases.pml
+++ b/model/leases.pml
@@ -1,6 +1,6 @@
 /* The lease service of src/leases as a model: one role, two gateways that request it, a leader that is deposed at any
- * time and does not notice, and its successor. Every step may take any time, as no timeout bounds it. All clocks run at the same rate; the
- * simulation in tests/fleet covers clock drift. Assertions check:
+ * time and does not notice, and its successor. Every step may take any time, as no timeout bounds it. All clocks run
+ * at the same rate; the simulation in tests/fleet covers clock drift. Assertions check:
  *   mutual exclusion   no two gateways have a valid token at the same time
  *   fencing            no action is accepted under a token lower than one before
  * Run: spin -run model/leases.pml. CI (.ci/model) does so, and requires that the assertions fail for each variant
--- a/src/leases/lease_manager.h
+++ b/src/leases/lease_manager.h
@@ -56,7 +56,7 @@
 public:
   explicit LeaseManager(Settings settings);
 
-  /// Reports that this node leads from now on and that `table` holds all entries that earlier
+  /// Reports that this node leads from now on and that `table` reflects all entries that earlier
   /// leaders committed. The table is borrowed until `stop_leading`; its owner applies the log to
   /// it.
   void start_leading(TimePoint now, const LeaseTable& table);
--- a/src/raft/node.h
+++ b/src/raft/node.h
@@ -121,7 +121,7 @@
   struct Progress {
     Index next_index = 1;
     Index match_index = 0;
-    std::uint64_t acknowledged_round = 0;
+    std::uint64_t acknowledged_round = 0;  ///< The newest heartbeat round that the node answered.
     TimePoint last_response_at{};
     std::uint64_t matched_in_round = 0;  ///< The round whose response set `match_index`.
     bool entries_in_flight = false;
--- a/src/raft/persistence_tracker.h
+++ b/src/raft/persistence_tracker.h
@@ -1,5 +1,5 @@
 /// Tracks which writes of a node's state are on stable storage, and holds back the messages that
-/// have to wait for one. It performs no I/O itself.
+/// have to wait for such a write. It performs no I/O itself.
 #pragma once
 
 #include "raft/messages.h"
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -32,7 +32,7 @@
 namespace gorsebeam::simulation {
 namespace {
 
-/// Sums over several runs.
+/// The results of several runs, added up.
 struct Totals {
   std::uint64_t actions = 0;
   std::uint64_t rejected_actions = 0;
--- a/tests/fleet/simulated_fleet.h
+++ b/tests/fleet/simulated_fleet.h
@@ -61,7 +61,7 @@
     leases::LeaseTable table;
     std::unique_ptr<leases::LeaseManager> manager;
     std::unique_ptr<leases::LeaseClient> client;
-    // The deadlines for which a timer is scheduled; the epoch if none is.
+    // The last deadlines for which a timer was scheduled; the epoch once that timer has run.
     TimePoint node_deadline{};
     TimePoint manager_deadline{};
     TimePoint client_deadline{};
--- a/tests/fleet/virtual_time.h
+++ b/tests/fleet/virtual_time.h
@@ -59,6 +59,7 @@
   TimePoint now_{};
 };
 
+/// A clock that shows `offset` plus `rate` times the true time.
 struct SimulatedClock {
   double rate = 1;
   Duration offset{};
