--- a/src/connection_pool/pooled_connection.cpp
+++ b/src/connection_pool/pooled_connection.cpp
@@ -9,7 +9,7 @@
 namespace gorsebeam::connection_pool {
 namespace {
 
-constexpr Duration kMaxResponseGap = 150ms;  // between two pieces of one response
+constexpr Duration kMaxResponseGap = 150ms;  // between two parts of one response
 // A response up to this size is read to its end even while memory is short.
 constexpr std::size_t kMaxSmallResponse = 16 * 1024;
 
@@ -46,7 +46,7 @@
       endpoint_(endpoint), address_(std::move(address)),
       stream_(net::Stream::connect(address_, *this)) {}
 
-bool PooledConnection::is_idle_and_silent() const {
+bool PooledConnection::is_open_without_input() const {
   return is_open() && stream_->input().size() == 0 && !stream_->is_readable();
 }
 
@@ -67,11 +67,11 @@
 void PooledConnection::detach_call() {
   assignment_->call = nullptr;
   if (state_.is_opening())
-    release(response_with(AttemptStatus::NotSent), Disposition::Keep);
+    end_assignment(response_with(AttemptStatus::NotSent), Disposition::Keep);
 }
 
 void PooledConnection::fail(AttemptStatus status) {
-  release(response_with(status), Disposition::Close);
+  end_assignment(response_with(status), Disposition::Close);
 }
 
 void PooledConnection::close() {
@@ -107,7 +107,7 @@
     const auto reason = left <= 0ms ? NotWrittenReason::OutOfTime : NotWrittenReason::NotAllowed;
     net::log({"attempt_not_written",
               {{"endpoint", std::to_string(endpoint_)}, {"reason", name_of(reason)}}});
-    release(response_with(AttemptStatus::NotSent), Disposition::Keep);
+    end_assignment(response_with(AttemptStatus::NotSent), Disposition::Keep);
     return;
   }
   state_.start_writing();
@@ -146,7 +146,7 @@
   case State::Connecting:
   case State::Ready:
   case State::Idle:
-    owner_.discard(*this);  // bytes that no request asked for
+    owner_.discard(*this);  // the endpoint sent bytes without a request
     return;
   }
 }
@@ -177,8 +177,8 @@
     await_more_of_response();
     return;
   }
-  // The bound holds for a complete response too, so that it does not matter in how many reads the
-  // response arrived.
+  // The size limit applies to a complete response too, so that the result does not depend on the
+  // number of reads in which the response arrived.
   const bool is_complete = parsed.status == ParsedResponse::Status::Complete;
   if (!is_complete || parsed.consumed_bytes > owner_.limits().max_response_bytes) {
     net::log({"malformed_response", {{"endpoint", std::to_string(endpoint_)}}});
@@ -188,8 +188,8 @@
   // A connection is not reusable after a response to a request that was written only in part, or
   // with bytes behind the response.
   const bool is_reusable = state_.is_request_written() && input.size() == parsed.consumed_bytes;
-  release(parsed.response, is_reusable ? Disposition::Keep : Disposition::Close,
-          parsed.consumed_bytes);
+  end_assignment(parsed.response, is_reusable ? Disposition::Keep : Disposition::Close,
+                 parsed.consumed_bytes);
 }
 
 bool PooledConnection::can_buffer_response(std::size_t input_size) const {
@@ -213,20 +213,20 @@
     return;
   }
   if (!state_.is_request_written()) {
-    release(response_with(AttemptStatus::ConnectFailed), Disposition::Broken);
+    end_assignment(response_with(AttemptStatus::ConnectFailed), Disposition::Broken);
     return;
   }
   const ParsedResponse parsed =
       protocol_->parse_response(stream_->input().view(), assignment_->kind(), InputState::Ended);
   if (parsed.status == ParsedResponse::Status::Complete)
-    release(parsed.response, Disposition::Close);
+    end_assignment(parsed.response, Disposition::Close);
   else
-    release(response_with(AttemptStatus::Reset), Disposition::Broken);
+    end_assignment(response_with(AttemptStatus::Reset), Disposition::Broken);
 }
 
 void PooledConnection::handle_timer() {
   if (!assignment_) {
-    owner_.discard(*this);  // the limit of the idle time, or of opening
+    owner_.discard(*this);  // its idle time or its opening took too long
     return;
   }
   const bool is_past_deadline = net::now() >= assignment_->deadline;
@@ -237,8 +237,8 @@
 // A connection that is not kept is closed before the router learns of the end, as the router may
 // start another attempt at once and two must not be in flight. One that is kept is idle when the
 // batch ends, so that the next attempt finds it.
-void PooledConnection::release(const proxy::UpstreamResponse& response, Disposition disposition,
-                               std::size_t consumed_bytes) {
+void PooledConnection::end_assignment(const proxy::UpstreamResponse& response,
+                                      Disposition disposition, std::size_t consumed_bytes) {
   const std::optional<Assignment> assignment = std::exchange(assignment_, std::nullopt);
   record_reuse(disposition);
   timer_.stop();
@@ -246,7 +246,7 @@
   if (disposition != Disposition::Keep)
     stream_->close();
   if (assignment)
-    owner_.release(endpoint_, *assignment, response);
+    owner_.complete_assignment(endpoint_, *assignment, response);
   if (disposition != Disposition::Keep) {
     owner_.discard(*this);
     return;
@@ -254,7 +254,7 @@
   if (consumed_bytes > 0)
     stream_->input().consume(consumed_bytes);
   if (state_.is_opening())
-    timer_.after(owner_.limits().connect_timeout);  // it is opened further, for a later assignment
+    timer_.after(owner_.limits().connect_timeout);  // the opening continues, for a later assignment
   else
     become_idle();
 }
--- a/src/frontend/client_connection.cpp
+++ b/src/frontend/client_connection.cpp
@@ -12,12 +12,15 @@
 namespace gorsebeam::frontend {
 namespace {
 
-constexpr Duration kMaxMessageTime = 5s / 2;    // an error or a close is due 3 s after connect
-constexpr Duration kMaxResponseWriteTime = 5s;  // longer than any deadline
-constexpr std::size_t kMaxMessagesPerIteration = 16;  // of one connection
-constexpr std::size_t kMessageSlack = 1024;
-
-// Bytes that are read after a pending request while memory is short.
+// A client that sends no complete message gets an error or a close within 3 s of connecting.
+constexpr Duration kMaxMessageTime = 5s / 2;
+constexpr Duration kMaxResponseWriteTime = 5s;        // longer than any deadline
+constexpr std::size_t kMaxMessagesPerIteration = 16;  // from one connection
+// The framing that a message of the maximum size may have in addition.
+constexpr std::size_t kMaxFramingBytes = 1024;
+
+// The bytes that are read behind a pending request while more than half of the memory for buffers
+// is in use.
 constexpr std::size_t kMaxReadAheadUnderPressure = 8 * 1024;
 
 }  // namespace
@@ -26,7 +29,7 @@
     : frontend_(frontend),
       stream_(net::Stream::adopt(std::move(socket), *this, frontend.earliest_accept_arrival())),
       last_progress_at_(net::now()), resume_timer_([this] {
-        process_input_guarded();
+        resume_processing();
       }) {}
 
 bool ClientConnection::has_pending_request() const {
@@ -46,7 +49,7 @@
 }
 
 std::size_t ClientConnection::max_message_bytes() const {
-  return frontend_.limits().message_bytes;
+  return frontend_.limits().max_message_bytes;
 }
 
 void ClientConnection::received() {
@@ -65,11 +68,12 @@
 // many messages is noticed. Beyond that the end of its sending side is watched without reading.
 void ClientConnection::limit_read_ahead() {
   const FrontendLimits& limits = frontend_.limits();
-  const bool has_memory = net::total_buffered_bytes() <= limits.buffered_bytes / 2;
-  const std::size_t max_read_ahead = has_memory ? limits.message_bytes : kMaxReadAheadUnderPressure;
+  const bool has_memory = net::total_buffered_bytes() <= limits.max_buffered_bytes / 2;
+  const std::size_t max_read_ahead =
+      has_memory ? limits.max_message_bytes : kMaxReadAheadUnderPressure;
   const bool is_pending = has_pending_request();
   const std::size_t max_size =
-      is_pending ? request_size_ + max_read_ahead : limits.message_bytes + kMessageSlack;
+      is_pending ? request_size_ + max_read_ahead : limits.max_message_bytes + kMaxFramingBytes;
   if (input().size() > max_size)
     stream_->pause_reading(is_pending ? net::PeerCloseWatch::On : net::PeerCloseWatch::Off);
 }
@@ -123,7 +127,7 @@
   return has_consumed && !input().empty();
 }
 
-void ClientConnection::process_input_guarded() {
+void ClientConnection::resume_processing() {
   try {
     process_input();
   } catch (const std::exception& error) {
@@ -167,7 +171,8 @@
   last_progress_at_ = net::now();
   if (frontend_.is_stopping() && input().empty())
     return close_when_written(CloseReason::Shutdown);
-  // Otherwise `process_input` is on the stack and continues.
+  // If the request was answered within `begin_request`, `process_input` is on the stack and
+  // continues.
   if (was_in_flight)
     process_input();
 }
@@ -183,7 +188,7 @@
     return std::nullopt;
   if (!input().empty())
     return RejectReason::IncompleteMessage;
-  if (has_sent_message_ || has_unread())
+  if (has_sent_message_ || has_unread_input())
     return std::nullopt;
   return RejectReason::NothingSent;
 }
@@ -195,7 +200,7 @@
     close(CloseReason::Overdue);
 }
 
-// If the client has disconnected, a pending request is dropped; output from before is still sent.
+// If the client has disconnected, its pending request is dropped; buffered output is still sent.
 void ClientConnection::close_idle(CloseReason reason) {
   begin_closing(reason);
   linger();
@@ -242,7 +247,7 @@
     return;
   begin_closing(reason);
   stream_->close();
-  frontend_.remove(this);  // before the state changes: it finds the connection by `is_lingering`
+  frontend_.remove(this);  // before the state changes, as `remove` asks `is_lingering`
   state_ = State::Closed;
 }
 
--- /dev/null
+++ b/src/gateway/gateway_config.h
@@ -0,0 +1,25 @@
+/// Reads the settings of a gateway, before it listens and again on SIGHUP.
+#pragma once
+
+#include "common/result.h"
+#include "config/operator_file.h"
+#include "config/platform_config.h"
+#include "settings/file_error.h"
+
+#include <string>
+
+namespace gorsebeam::gateway {
+
+/// All settings of one gateway, and the files that they were read from.
+struct GatewayConfig {
+  config::PlatformConfig platform;
+  config::OperatorFile operator_file;
+  std::string platform_config_path;
+  std::string operator_file_path;  ///< Empty if there is no operators' file.
+};
+
+/// Reads and validates both files. An error names the file, the line and the field.
+[[nodiscard]] common::Result<GatewayConfig, settings::FileError>
+read_gateway_config(const std::string& config_path, const std::string& file_path);
+
+}  // namespace gorsebeam::gateway
--- a/src/mongo/client_connection.cpp
+++ b/src/mongo/client_connection.cpp
@@ -19,11 +19,12 @@
 
 using wire::FramingError;
 
-CommandError too_many_connections() {
+CommandError too_many_connections_error() {
   return {ErrorCode::IngressRequestRateLimitExceeded, "too many connections"};
 }
 
-/// Connects a client's stream with the pure modules that parse its commands and encode replies.
+/// The connection of one MongoDB client. Moves bytes between the client's stream and the modules
+/// that parse commands and encode replies, which do no I/O.
 class MongoClientConnection : public frontend::ClientConnection {
 public:
   MongoClientConnection(frontend::Frontend& frontend, net::SocketHandle socket,
@@ -31,11 +32,11 @@
       : ClientConnection(frontend, std::move(socket)),
         admission_(contracts, frontend.broker().settings()) {}
 
-  // The message stays in the input until its request is complete.
-  proxy::ByteSpans body(Duration left) override {
+  // Reads the message from the input again, where it stays until its request is complete.
+  proxy::ByteSpans body(Duration time_left) override {
     const wire::FramingResult<Message> message = read_pending_message();
     const OpMsg op_msg = message ? read_op_msg(message.value().payload).value_or(OpMsg{}) : OpMsg{};
-    return rewriter_.rewrite(op_msg, request_kind_, left);
+    return rewriter_.rewrite(op_msg, pending_command_kind_, time_left);
   }
 
   void respond(const proxy::ByteSpans& body) override {
@@ -65,7 +66,7 @@
     if (message)
       handle_message(message.value());
     else if (message.error() == FramingError::Malformed)
-      end_with_error(ProtocolError::MalformedFrame);
+      close_with_error(ProtocolError::MalformedFrame);
   }
 
   [[nodiscard]] wire::FramingResult<Message> read_pending_message() const {
@@ -77,15 +78,15 @@
     message_size_ = message.size;
     const common::Result<Command, ProtocolError> command = parse_command(message);
     if (!command)
-      end_with_error(command.error());
+      close_with_error(command.error());
     else if (message.opcode == Opcode::Query)
       handle_query(command.value());
     else
       handle_command(command.value());
   }
 
-  // Drivers send their first hello as OP_QUERY, and change to OP_MSG when its reply says that
-  // OP_MSG is served.
+  /// Replies to an OP_QUERY. Drivers send their first hello as OP_QUERY, and change to OP_MSG when
+  /// the reply says that the server supports it.
   void handle_query(const Command& command) {
     const std::string document = command.kind == CommandKind::Hello
                                      ? hello_reply(command.document)
@@ -116,21 +117,22 @@
   }
 
   void reject_over_limit(const Command& command) {
-    send_reply(encode_error_reply(too_many_connections()));
+    send_reply(encode_error_reply(too_many_connections_error()));
     if (command.kind == CommandKind::Hello)
       consume_message();
     close_when_written(frontend::CloseReason::ErrorSent);
   }
 
+  /// Returns the reply to a hello, and takes the client's team from its application name.
   std::string hello_reply(std::string_view hello) {
     if (is_over_limit())
-      return encode_error_reply(too_many_connections());
+      return encode_error_reply(too_many_connections_error());
     if (auto name = application_name(hello))
       admission_.set_team(std::move(*name));
     return encode_hello_reply(max_message_bytes(), net::now());
   }
 
-  /// Begins the request of `command`, or returns why it is rejected.
+  /// Begins a request for `command`, or returns why the command is rejected.
   std::optional<CommandError> begin_command(const Command& command) {
     auto parsed = parse_request(command, admission_.classes());
     if (!parsed)
@@ -141,7 +143,7 @@
     auto request = admission_.admit(std::move(parsed.value()), earliest_arrival(), now);
     if (!request)
       return CommandError{ErrorCode::Unauthorized, proxy::describe(request.error())};
-    request_kind_ = command.kind;
+    pending_command_kind_ = command.kind;
     if (!begin_request(std::move(request.value()), message_size_))
       return CommandError{ErrorCode::FailedToParse, frontend::kUnacceptedIdText};
     return std::nullopt;
@@ -153,30 +155,30 @@
 
   void consume_message() { consume(message_size_); }
 
-  /// Replies to a message that began no request.
+  /// Sends the reply to a message that began no request.
   void reply(const std::string& document) {
     send_reply(document);
     consume_message();
   }
 
-  /// Ends the pending request, whose response was written.
+  /// Ends the pending request after its response was written.
   void complete_request() {
     consume_message();
     finish_request();
   }
 
-  void end_with_error(ProtocolError error) {
+  void close_with_error(ProtocolError error) {
     if (error == ProtocolError::ReplyForbidden)
       close_when_written(frontend::CloseReason::ErrorSent);
     else
-      end_with_text(describe(error));
+      close_with_error_text(describe(error));
   }
 
   void send_closing_error(frontend::RejectReason reason) override {
-    end_with_text(frontend::text_of(reason));
+    close_with_error_text(frontend::text_of(reason));
   }
 
-  void end_with_text(const char* text) {
+  void close_with_error_text(const char* text) {
     send_reply(encode_error_reply({ErrorCode::InvalidBson, text}));
     close_when_written(frontend::CloseReason::ErrorSent);
   }
@@ -184,9 +186,9 @@
   frontend::RequestAdmission admission_;
   CommandRewriter rewriter_;
   std::uint32_t last_sent_id_ = 0;
-  std::uint32_t message_id_ = 0;  ///< Of the client's message that is being handled.
-  std::size_t message_size_ = 0;  ///< Of the same message.
-  CommandKind request_kind_ = CommandKind::Read;  ///< Of the pending request.
+  std::uint32_t message_id_ = 0;  ///< The request id of the client's message being handled.
+  std::size_t message_size_ = 0;  ///< The size of that message in bytes.
+  CommandKind pending_command_kind_ = CommandKind::Read;  ///< The command of the pending request.
 };
 
 }  // namespace
--- a/src/proxy/endpoint_registry.cpp
+++ b/src/proxy/endpoint_registry.cpp
@@ -9,10 +9,11 @@
 EndpointList EndpointRegistry::apply(EndpointList::Kind kind,
                                      const std::vector<ListedEndpoint>& endpoints,
                                      Upstream& upstream) {
-  // Where only draining is binding, a removed endpoint may still get requests and stays known.
+  // If removed endpoints may serve, one that is removed without a drain may still get requests, so
+  // that it stays known.
   const bool removal_is_binding = !settings_.removed_endpoints_may_serve;
-  // An endpoint that is missing without a notice of its removal must not leave its connections and
-  // table entries behind.
+  // A full list can omit an endpoint that was never listed as removed. Its connections and table
+  // entries must not stay behind.
   if (kind == EndpointList::Kind::Full && removal_is_binding)
     remove_unlisted(endpoints, upstream);
   EndpointList list;
@@ -35,14 +36,14 @@
   std::set<std::string> listed_names;
   for (const ListedEndpoint& listed : endpoints)
     listed_names.insert(listed.name);
-  for (const EndpointId endpoint : directory_.all_but(listed_names))
+  for (const EndpointId endpoint : directory_.ids_except(listed_names))
     remove(endpoint, upstream);
 }
 
 void EndpointRegistry::remove(EndpointId endpoint, Upstream& upstream) {
   upstream.remove_endpoint(endpoint);
   guard_.record_unlisted(endpoint);
-  directory_.forget(endpoint);
+  directory_.release_id(endpoint);
 }
 
 }  // namespace gorsebeam::proxy
--- a/tests/integration/client_disconnects_test.cpp
+++ b/tests/integration/client_disconnects_test.cpp
@@ -1,4 +1,5 @@
-// Clients that disconnect while their requests wait for a connection or an endpoint.
+// Clients that disconnect while their requests wait for a connection to an endpoint, or for an
+// endpoint that may be used.
 #include "gateway_integration_test.h"
 
 using namespace test_harness;
@@ -9,42 +10,44 @@
 
 class ClientDisconnects : public GatewayIntegrationTest {
 protected:
+  // Encodes one read, and further reads until all have at least `min_bytes` bytes.
   [[nodiscard]] static std::string encode_requests(std::size_t min_bytes) {
-    std::string bytes = protocol().encode_request(read_request("left-0"));
+    std::string bytes = protocol().encode_request(read_request("abandoned-0"));
     for (int i = 1; bytes.size() < min_bytes; ++i)
-      bytes += protocol().encode_request(read_request("left-" + std::to_string(i)));
+      bytes += protocol().encode_request(read_request("abandoned-" + std::to_string(i)));
     return bytes;
   }
 
   static void expect_drops_waiting_requests(std::size_t min_bytes, DisconnectKind kind) {
     WarmGateway warm(protocol(), 2, 8, long_connect_timeout());
     warm.harness.pause_handshakes();
-    const auto leaving = warm.harness.connect_client();
-    leaving->write(encode_requests(min_bytes));
+    const auto disconnecting = warm.harness.connect_client();
+    disconnecting->write(encode_requests(min_bytes));
     static_cast<void>(warm.harness.await_paused_handshake());
-    leaving->await_flushed();
+    disconnecting->await_flushed();
 
     if (kind == DisconnectKind::ShutDownWriting) {
-      leaving->shut_down_writing();
-      leaving->await_close("the gateway to end its side");
+      disconnecting->shut_down_writing();
+      disconnecting->await_close("the gateway to close its side of the connection");
     } else {
-      leaving->close();
+      disconnecting->close();
       await_gateway_loop_iterations(*warm.client, "u");
     }
 
     warm.harness.resume_handshakes();
     expect_reads_served(*warm.client, "b", 12);
-    ASSERT_EQ(warm.harness.attempt_count_with_prefix("left-"), 0);
-    ASSERT_TRUE(leaving->responses.empty());
+    ASSERT_EQ(warm.harness.attempt_count_with_prefix("abandoned-"), 0);
+    ASSERT_TRUE(disconnecting->responses.empty());
     warm.harness.expect_invariants_and_running();
   }
 
-  // 60 clients: most with a request, some with half a request or with many bytes behind it.
+  // Connects 60 clients that send one request each. For every tenth the request is cut in half, and
+  // for another tenth 100,000 further bytes follow it.
   [[nodiscard]] static std::vector<std::unique_ptr<TestClient>>
   connect_burst(GatewayHarness& harness, int round) {
     std::vector<std::unique_ptr<TestClient>> clients;
     for (int i = 0; i < 60; ++i) {
-      const std::string id = "left-" + std::to_string(round * 1000 + i);
+      const std::string id = "abandoned-" + std::to_string(round * 1000 + i);
       std::string bytes = protocol().encode_request(read_request(id));
       if (i % 10 == 1)
         bytes.resize(bytes.size() / 2);
@@ -57,8 +60,8 @@
   }
 };
 
-// The gateway detects the disconnect at once and sends none of the client's requests, for any
-// number of bytes behind the first request and either kind of disconnect.
+// The gateway detects the disconnect at once and sends none of the client's requests, whichever way
+// the client disconnects and however many bytes follow its first request.
 TEST_P(ClientDisconnects, DropsRequestThatWaitsForConnection) {
   for (const std::size_t min_bytes : {0, 20'000, 300'000}) {
     for (const DisconnectKind kind : {DisconnectKind::Close, DisconnectKind::ShutDownWriting}) {
@@ -69,18 +72,18 @@
   }
 }
 
-// The request waits, before its first attempt or before a retry, because all endpoints drain. The
-// gateway does not send it when they are up again.
+// A client disconnects while its request waits for its first attempt, or for a retry, because all
+// endpoints drain. The gateway does not send the request when they are up again.
 TEST_P(ClientDisconnects, DropsRequestThatWaitsForEndpoint) {
   for (const bool was_attempted : {false, true}) {
     SCOPED_TRACE(was_attempted ? "before a retry" : "before the first attempt");
     WarmGateway warm(protocol(), 2, 8);
     GatewayHarness& harness = warm.harness;
-    const auto leaving = harness.connect_client();
+    const auto disconnecting = harness.connect_client();
     if (was_attempted) {
       harness.script = {ScriptedResponse::NoResponse};
-      leaving->send_request(read_request("left-0"));
-      harness.await_first_attempt("left-0");
+      disconnecting->send_request(read_request("abandoned-0"));
+      harness.await_first_attempt("abandoned-0");
     }
     harness.set_listed_status(ListedStatus::Draining);
     harness.publish_inventory();
@@ -88,29 +91,30 @@
       for (const auto& endpoint : harness.endpoints)
         endpoint->close_connections();
     else
-      leaving->send_request(read_request("left-0"));
+      disconnecting->send_request(read_request("abandoned-0"));
     await_gateway_loop_iterations(*warm.client, "u");
-    ASSERT_TRUE(leaving->responses.empty());
+    ASSERT_TRUE(disconnecting->responses.empty());
 
-    leaving->close();
+    disconnecting->close();
     await_gateway_loop_iterations(*warm.client, "v");
 
     harness.set_listed_status(ListedStatus::Up);
     harness.publish_inventory();
     expect_reads_served(*warm.client, "b", 12);
-    ASSERT_EQ(harness.attempt_count("left-0"), was_attempted ? 1 : 0);
-    harness.sent_requests.erase("left-0");
+    ASSERT_EQ(harness.attempt_count("abandoned-0"), was_attempted ? 1 : 0);
+    harness.sent_requests.erase("abandoned-0");
     if (was_attempted)
-      harness.sent_requests["left-0"] = 0;  // it was sent and gets no response
+      harness.sent_requests["abandoned-0"] = 0;  // a client sent it, and it gets no response
     harness.expect_invariants_and_running();
   }
 }
 
-// The gateway sends none of their requests, and clients that connect later find capacity.
+// Many clients disconnect at once while their requests wait. The gateway sends none of the
+// requests, and clients that connect later are served.
 TEST_P(ClientDisconnects, DropsRequestsOfBurstAndFreesCapacity) {
   WarmGateway warm(protocol(), 2, 8, long_connect_timeout());
   GatewayHarness& harness = warm.harness;
-  // The rounds together have more clients than may be connected at the same time.
+  // The 240 clients of all rounds are more than may be connected at the same time.
   for (int round = 0; round < 4; ++round) {
     const std::string round_suffix = std::to_string(round) + "-";
     harness.pause_handshakes();
@@ -129,7 +133,7 @@
     harness.resume_handshakes();
     expect_reads_served(*warm.client, "b" + round_suffix, 12);
   }
-  ASSERT_EQ(harness.attempt_count_with_prefix("left-"), 0);
+  ASSERT_EQ(harness.attempt_count_with_prefix("abandoned-"), 0);
 
   std::vector<std::unique_ptr<TestClient>> next_clients;
   for (int i = 0; i < 60; ++i) {
--- a/tests/integration/control_versions_test.cpp
+++ b/tests/integration/control_versions_test.cpp
@@ -17,7 +17,7 @@
     load_->await_subscriptions(service_);
   }
 
-  // Returns the error of the gateway's NACK, empty for an ACK.
+  // Pushes `resource` as `version`. Returns the error of the gateway's NACK, empty for an ACK.
   std::string push_under_load(const google::protobuf::Message& resource,
                               const std::string& version) {
     const std::string nonce = service_.push(resource, version);
@@ -25,7 +25,7 @@
     return service_.await_ack(nonce);
   }
 
-  // Adds a replica with a new address.
+  // Adds a replica to the harness, which listens at a new address.
   StubEndpoint& add_replica(const std::string& name) {
     auto& endpoints = gateway_.harness.endpoints;
     endpoints.push_back(std::make_unique<StubEndpoint>(
@@ -44,13 +44,13 @@
   void expect_bad_resources_rejected();
   void expect_unknown_resources_rejected();
   void expect_older_generation_rejected_unless_rolled_back();
-  StubEndpoint& expect_removal_under_request_in_flight();
+  StubEndpoint& expect_removal_with_request_in_flight();
   void expect_readded_endpoint_used_at_new_address(const StubEndpoint& removed);
   void expect_moved_endpoint_used_at_new_address(StubEndpoint& moved);
-  void expect_requests_follow_removed_class_team_and_group();
+  void expect_removal_of_class_team_and_group_applied();
   void expect_burst_of_versions_answered();
   void expect_limits_applied();
-  void expect_size_bounded();
+  void expect_message_size_limit_enforced();
 
   ControlledGateway gateway_;
   ControlService service_;
@@ -59,12 +59,12 @@
 
 void ControlPlaneVersions::expect_bad_resources_rejected() {
   pb::Members duplicate_name = gateway_.members(2);
-  auto& list = endpoint_list(duplicate_name, protocol());
+  auto& list = mutable_endpoints(duplicate_name, protocol());
   list.at(1).set_name(list.at(0).name());
   expect_contains(push_under_load(duplicate_name, "bad"), "[1].name: 'm0' stands twice; keep one");
-  pb::Members nobody;
-  nobody.set_generation(2);
-  expect_contains(push_under_load(nobody, "nobody"), "set may_be_empty if that is meant");
+  pb::Members empty_list;
+  empty_list.set_generation(2);
+  expect_contains(push_under_load(empty_list, "empty"), "set may_be_empty if that is meant");
   pb::Contracts below_range = ControlledGateway::contracts(2);
   below_range.mutable_team(0)->mutable_budget()->set_per_second(-1);
   expect_contains(push_under_load(below_range, "below"),
@@ -74,7 +74,7 @@
   bad.mutable_team(0)->set_name("other");
   expect_contains(service_.await_ack(service_.push({&good, &bad}, "one-bad")),
                   "'nothing' is no class of the settings");
-  expect_contains(push_under_load(ControlledGateway::contracts(0), "old"), "no generation");
+  expect_contains(push_under_load(ControlledGateway::contracts(0), "none"), "no generation");
 }
 
 void ControlPlaneVersions::expect_unknown_resources_rejected() {
@@ -104,9 +104,9 @@
   load_->expect_all_served();
 }
 
-// An endpoint with a request in flight is removed: the request still gets its one response, and the
-// endpoint gets no new requests. Returns the removed endpoint.
-StubEndpoint& ControlPlaneVersions::expect_removal_under_request_in_flight() {
+// Removes the endpoint with a request in flight, or another one if that is the primary: the request
+// still gets its one response, and the endpoint gets no new requests. Returns the removed endpoint.
+StubEndpoint& ControlPlaneVersions::expect_removal_with_request_in_flight() {
   GatewayHarness& harness = gateway_.harness;
   const auto waiting = harness.connect_client();
   load_->pause();
@@ -118,17 +118,19 @@
     removed = harness.endpoints[1].get();  // the group keeps its primary
   removed->listed_status = ListedStatus::Removed;
   const std::string error = service_.push_and_await_ack(gateway_.members(6), "m6");
-  require(error.empty(), "version m6 is rejected: " + error);
+  require(error.empty(), "version m6 was rejected: " + error);
   run_main_loop_for(std::chrono::milliseconds(250));
   const int request_count = removed->request_count;
   load_->resume();
   load_->await_responses(60);
-  // The harness checks that no second attempt was in flight meanwhile.
+  // The stub endpoints check that no second attempt was in flight meanwhile.
   const ClientResult result = waiting->await_response();
   require(result == ClientResult::Rejected,
-          "the request in flight ends as " + testing::PrintToString(result));
+          "the request in flight ended as " + testing::PrintToString(result) + ", not as Rejected");
   require(removed->request_count == request_count,
-          "the removed endpoint " + removed->name + " gets requests");
+          "endpoint " + removed->name + " got " +
+              std::to_string(removed->request_count - request_count) +
+              " requests after its removal");
   return *removed;
 }
 
@@ -154,9 +156,9 @@
   ASSERT_EQ(moved.request_count, request_count);
 }
 
-// The class is removed, then the team, then the whole group: each request fails or is rejected
-// once, until the group is listed again.
-void ControlPlaneVersions::expect_requests_follow_removed_class_team_and_group() {
+// Removes the class, then the team and then the whole group. Each request fails or is rejected
+// once, and requests are served again when the group is listed again.
+void ControlPlaneVersions::expect_removal_of_class_team_and_group_applied() {
   ASSERT_EQ(push_under_load(gateway_.contracts(6, {"save"}), "c6"), "");
   load_->await_result(ClientResult::Failed);
   pb::Contracts other_team = ControlledGateway::contracts(7);
@@ -184,7 +186,7 @@
     ASSERT_EQ(service_.await_ack(nonce), "");
 }
 
-// New limits apply to requests that arrive after them.
+// A new limit on the size of a message applies to requests that arrive after it.
 void ControlPlaneVersions::expect_limits_applied() {
   pb::Limits limits;
   limits.set_generation(1);
@@ -193,13 +195,14 @@
   Request large = keyed_write("large");
   large.idempotency_key.assign(80 * 1024, 'k');
   const auto sender = gateway_.harness.connect_client();
-  run_main_loop_for(std::chrono::milliseconds(60));  // the gateway applies at most once in 50 ms
+  run_main_loop_for(
+      std::chrono::milliseconds(60));  // the gateway applies versions at most once in 50 ms
   sender->write(protocol().encode_request(large));
   load_->wait_until(
       [&] {
         return sender->closed_by_gateway;
       },
-      "the oversized request to be rejected");
+      "the connection of the oversized request to be closed");
   // It was never accepted as a request, so the error does not count as a response.
   gateway_.harness.response_count -= static_cast<int>(sender->responses.size());
   limits.set_generation(2);
@@ -207,11 +210,11 @@
   expect_contains(push_under_load(limits, "l2"), "message_kib: is out of range; give 64 to 16384");
 }
 
-// The gateway accepts 10,000 more endpoints in other groups; a message over the limit ends the
+// The gateway accepts 10,000 more endpoints in other groups; a message longer than 4 MiB ends the
 // stream.
-void ControlPlaneVersions::expect_size_bounded() {
+void ControlPlaneVersions::expect_message_size_limit_enforced() {
   pb::Members many = gateway_.members(11);
-  auto& list = endpoint_list(many, protocol());
+  auto& list = mutable_endpoints(many, protocol());
   for (int i = 0; i < 10'000; ++i) {
     pb::Member& member = *list.Add();
     member.set_name("extra-" + std::to_string(i));
@@ -240,23 +243,24 @@
   expect_bad_resources_rejected();
   expect_unknown_resources_rejected();
   expect_older_generation_rejected_unless_rolled_back();
-  StubEndpoint& removed = expect_removal_under_request_in_flight();
+  StubEndpoint& removed = expect_removal_with_request_in_flight();
   StubEndpoint& second = *gateway_.harness.endpoints[1];
   StubEndpoint& third = *gateway_.harness.endpoints[2];
   expect_readded_endpoint_used_at_new_address(removed);
   expect_moved_endpoint_used_at_new_address(&removed == &third ? second : third);
-  expect_requests_follow_removed_class_team_and_group();
+  expect_removal_of_class_team_and_group_applied();
   expect_burst_of_versions_answered();
   expect_limits_applied();
-  expect_size_bounded();
+  expect_message_size_limit_enforced();
   load_->pause();
   gateway_.harness.expect_invariants_and_running();
 }
 
 class ControlPlaneDependencies : public GatewayIntegrationTest {};
 
-// Contracts that name a group, and the endpoints of that group, arrive in any order or not at all.
-// The list defines PostgreSQL's groups.
+// Contracts may name only groups that have endpoints, and for PostgreSQL the endpoint list says
+// which groups those are. The gateway applies contracts and the list together, in whichever order
+// they arrive, and rejects the one that arrives without the other.
 TEST_P(ControlPlaneDependencies, AppliesDependentResourcesTogetherOrNotAtAll) {
   ControlledGateway gateway(protocol());
   ControlService service;
@@ -267,7 +271,7 @@
   contracts.mutable_team(0)->add_group(7);
   pb::Members members = gateway.members(1);
   pb::Member& member = *members.add_postgres();
-  member.set_name("far");
+  member.set_name("in-group-7");
   member.set_address("127.0.0.1:9");
   member.set_group(7);
 
--- a/tests/integration/mongo_protocol.cpp
+++ b/tests/integration/mongo_protocol.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint32_t kOpMsg = 2013;
 
 constexpr std::size_t kHeaderBytes = 16;
-constexpr std::size_t kOpMsgDocumentOffset = 21;
+constexpr std::size_t kOpMsgDocumentOffset = 21;  // after the flag bits and the section's kind
 
 // MongoDB's error codes.
 constexpr int kUnknownError = 8;
@@ -47,7 +47,7 @@
          encode_little_endian(operation);
 }
 
-std::string mongo_message(const std::string& document, std::uint32_t response_to) {
+std::string encode_op_msg(const std::string& document, std::uint32_t response_to) {
   constexpr std::uint32_t kMessageId = 77;
   constexpr std::uint32_t kNoFlagBits = 0;
   constexpr char kBodySection = '\0';
@@ -71,10 +71,11 @@
                   static_cast<int>(*to_integer(*find(document, "maxTimeMS"))), command == "insert"};
   if (const auto key = find(annotations, "k"))
     request.idempotency_key = key->value;
-  // A replica responds only to reads that allow it.
+  // A replica responds only to reads whose read preference allows replicas.
   const std::string_view read_mode = find(find(document, "$readPreference")->value, "mode")->value;
   if (!request.is_write && read_mode != "primaryPreferred")
-    report_callback_failure("a read was sent with read preference " + std::string(read_mode));
+    report_callback_failure("the gateway sent read " + request.id + " with read preference " +
+                            std::string(read_mode) + ", not primaryPreferred");
   return request;
 }
 
@@ -82,10 +83,11 @@
 public:
   const char* name() const override { return "mongo"; }
 
-  std::string client_handshake() const override {  // as drivers open: OP_QUERY on admin.$cmd
+  // Drivers open a connection with a command in an OP_QUERY message on admin.$cmd.
+  std::string client_handshake() const override {
     constexpr std::uint32_t kSecondaryOk = 4;
     constexpr std::uint32_t kSkipNone = 0;
-    constexpr std::uint32_t kReturnOne = 0xffffffff;  // -1
+    constexpr std::uint32_t kReturnOne = 0xffffffff;  // -1: one document, without a cursor
     const std::string application =
         Writer()
             .append_document("application", Writer().append_string("name", "portal").finish())
@@ -120,16 +122,17 @@
         .append_document("comment", annotations.finish());
     command.append_document("$readPreference", Writer().append_string("mode", "primary").finish());
     command.append_document("lsid", Writer().append_string("id", "session-1").finish());
-    return mongo_message(command.finish(), 0);
+    return encode_op_msg(command.finish(), 0);
   }
 
   std::optional<ClientResponse> decode_response(std::string& input) const override {
     while (const auto message = extract_message(input)) {
       if (read_u32(message->data() + 12) == kOpReply)
-        continue;  // to the handshake
+        continue;  // the reply to the handshake
       const std::string document = message->substr(kOpMsgDocumentOffset);
       if (!gorsebeam::mongo::is_well_formed(document)) {
-        report_callback_failure("the gateway sent a client a malformed document");
+        report_callback_failure("the gateway sent a client a malformed document of " +
+                                std::to_string(document.size()) + " bytes");
         return std::nullopt;
       }
       ClientResponse response;
@@ -151,7 +154,8 @@
       return std::nullopt;
     const std::string document = message->substr(kOpMsgDocumentOffset);
     if (!gorsebeam::mongo::is_well_formed(document)) {
-      report_callback_failure("the gateway sent an endpoint a malformed document");
+      report_callback_failure("the gateway sent an endpoint a malformed document of " +
+                              std::to_string(document.size()) + " bytes");
       return std::nullopt;
     }
     last_message_id_ = read_u32(message->data() + 4);
@@ -181,7 +185,7 @@
     case ScriptedResponse::Duplicate:
       return encode_value(value) + encode_value("a copy");
     case ScriptedResponse::MalformedReport:
-      return mongo_message(Writer()
+      return encode_op_msg(Writer()
                                .append_double("ok", 1)
                                .append_string("value", value)
                                .append_string("operationTime", "nonsense")
@@ -192,13 +196,13 @@
     }
   }
 
-  std::string encode_unsolicited_message() const override { return encode_value("unasked"); }
+  std::string encode_unsolicited_message() const override { return encode_value("unsolicited"); }
 
 private:
   std::string encode_hello_reply(const ReplicationStatus& replication) const {
     const std::string last =
         Writer().append_date("lastWriteDate", now_ms() - replication.lag_ms).finish();
-    return mongo_message(Writer()
+    return encode_op_msg(Writer()
                              .append_bool("isWritablePrimary", replication.is_primary)
                              .append_bool("secondary", !replication.is_primary)
                              .append_document("lastWrite", last)
@@ -208,7 +212,7 @@
   }
 
   std::string encode_error(int code) const {
-    return mongo_message(Writer()
+    return encode_op_msg(Writer()
                              .append_double("ok", 0)
                              .append_string("errmsg", "scripted")
                              .append_int32("code", code)
@@ -217,13 +221,13 @@
   }
 
   std::string encode_value(const std::string& value) const {
-    return mongo_message(Writer().append_double("ok", 1).append_string("value", value).finish(),
+    return encode_op_msg(Writer().append_double("ok", 1).append_string("value", value).finish(),
                          last_message_id_);
   }
 
   std::string encode_success(const ReplicationStatus& replication, const std::string& value) const {
     const std::int64_t seconds = (now_ms() - replication.lag_ms) / 1000;
-    return mongo_message(
+    return encode_op_msg(
         Writer()
             .append_double("ok", 1)
             .append_string("value", value)
@@ -232,7 +236,8 @@
         last_message_id_);
   }
 
-  mutable std::uint32_t last_message_id_ = 0;  // of the message that the next response answers
+  // The id of the last message that an endpoint has read, to which the next response belongs.
+  mutable std::uint32_t last_message_id_ = 0;
 };
 
 }  // namespace
--- a/tests/integration/stub_endpoint.cpp
+++ b/tests/integration/stub_endpoint.cpp
@@ -19,7 +19,7 @@
       : endpoint(owner), stream(Stream::adopt(std::move(socket), *this)) {}
 
   void received() override {
-    if (resets_after_idle_time())
+    if (close_after_idle_time())
       return;
     input.append(stream->input().view());
     stream->input().consume(stream->input().size());
@@ -29,12 +29,12 @@
 
   void ended(const std::string&) override { end_attempt(); }
 
-  bool resets_after_idle_time() {
+  bool close_after_idle_time() {
     const gint64 now = g_get_monotonic_time();
     const gint64 idle_time = now - std::exchange(last_used_at, now);
-    if (endpoint.idle_reset_ms == 0 || idle_time < endpoint.idle_reset_ms * gint64{1000})
+    if (endpoint.idle_close_ms == 0 || idle_time < endpoint.idle_close_ms * gint64{1000})
       return false;
-    ++endpoint.idle_reset_count;
+    ++endpoint.idle_close_count;
     stream->close();
     return true;
   }
@@ -59,7 +59,7 @@
 
   [[nodiscard]] ScriptedResponse next_response(const Request& request) const {
     if (request.is_write && !endpoint.replication.is_primary)
-      return ScriptedResponse::RejectNotPrimary;  // independent of the script
+      return ScriptedResponse::RejectNotPrimary;  // whatever the script says
     std::deque<ScriptedResponse>& script = endpoint.harness_.script;
     if (script.empty())
       return ScriptedResponse::Succeed;
@@ -73,7 +73,8 @@
     ++endpoint.request_count;
     for (const auto& earlier : harness.attempts)
       if (earlier.request.id == request.id && earlier.in_flight)
-        report_callback_failure("two attempts of request " + request.id + " are in flight at once");
+        report_callback_failure("request " + request.id + " has attempts in flight at " +
+                                earlier.endpoint->name + " and " + endpoint.name + " at once");
     const ScriptedResponse response = next_response(request);
     const bool may_have_run = response != ScriptedResponse::RejectNotPrimary &&
                               response != ScriptedResponse::RejectOverloaded;
@@ -115,7 +116,8 @@
         accept(std::move(socket));
       }) {
   const auto error = listener_.listen("127.0.0.1:0");
-  require(!error, error ? "a stub endpoint cannot listen: " + error->message : std::string());
+  require(!error, error ? "endpoint " + name + " cannot listen on 127.0.0.1:0: " + error->message
+                        : std::string());
   address = listener_.address();
 }
 
--- a/tests/integration/test_harness.cpp
+++ b/tests/integration/test_harness.cpp
@@ -39,7 +39,7 @@
 
 std::string make_temporary_folder() {
   std::string name = "/tmp/gorsebeam-integration-XXXXXX";
-  require(mkdtemp(name.data()) != nullptr, "a temporary folder cannot be made");
+  require(mkdtemp(name.data()) != nullptr, "cannot create a temporary folder in /tmp");
   return name;
 }
 
@@ -237,7 +237,7 @@
 }
 
 Request unknown_class_request(const std::string& id) {
-  return {id, "unheard-of", "", 2000, false, ""};
+  return {id, "undefined", "", 2000, false, ""};
 }
 
 Request keyed_write(const std::string& id) {
@@ -263,7 +263,8 @@
 }
 
 void expect_contains(const std::string& text, const std::string& part) {
-  ASSERT_NE(text.find(part), std::string::npos) << "'" << text << "' lacks '" << part << "'";
+  ASSERT_NE(text.find(part), std::string::npos)
+      << "'" << text << "' does not contain '" << part << "'";
 }
 
 }  // namespace test_harness
--- a/tests/mongo_command_parser_test.cpp
+++ b/tests/mongo_command_parser_test.cpp
@@ -1,4 +1,4 @@
-// Commands and requests of MongoDB clients, from bytes.
+// Tests how messages of MongoDB clients are parsed into commands, and commands into requests.
 #include "mongo/command_parser.h"
 
 #include "frontend/session_hash.h"
@@ -32,7 +32,7 @@
         .append_string("cluster", "7");
   }
 
-  /// A command with a comment.
+  /// Returns the command `name` with a comment.
   static Writer command(const std::string& name, const Writer& comment) {
     return Writer().append_string(name, "facts").append_document("comment", comment.finish());
   }
@@ -41,11 +41,11 @@
   parse(const Writer& command) const {
     message_ = encode_op_msg(command.finish(), 1, 0);
     const auto parsed = parse_command(read_message(message_, message_.size()).value());
-    return parse_request(parsed.value(), {indexes_, classes_});
+    return parse_request(parsed.value(), {class_indexes_, classes_});
   }
 
   const std::vector<RequestClass> classes_ = make_classes();
-  const std::map<std::string, std::size_t> indexes_{{"any", 0}, {"session", 1}, {"save", 2}};
+  const std::map<std::string, std::size_t> class_indexes_{{"any", 0}, {"session", 1}, {"save", 2}};
   const Writer lsid_ =
       Writer().append_document("lsid", Writer().append_string("id", "s1").finish());
   mutable std::string message_;
@@ -102,7 +102,7 @@
   }
 }
 
-TEST_F(MongoCommandParser, ReadsTermsOfRequest) {
+TEST_F(MongoCommandParser, ReadsRequestFields) {
   Writer read = command("find", comment("session"));
   read.append_int32("maxTimeMS", 1500).append_document("lsid", find(lsid_.finish(), "lsid")->value);
   const auto parsed = parse(read);
@@ -115,7 +115,8 @@
   EXPECT_EQ(parsed.value().time_limit, 1500ms);
   EXPECT_FALSE(parsed.value().is_single_attempt);
 
-  // The class sets the limit where the client sets none, and only some classes have sessions.
+  // The time limit is that of the class if the client sets none. Requests of the class "any" belong
+  // to no session.
   for (const Writer& unlimited : {command("find", comment("any")),
                                   command("find", comment("any")).append_int32("maxTimeMS", 0)}) {
     const auto result = parse(unlimited);
@@ -125,7 +126,7 @@
   }
 }
 
-TEST_F(MongoCommandParser, AcceptsEitherKeyOfAWriteAndCommentsAsText) {
+TEST_F(MongoCommandParser, AcceptsEitherIdempotencyKeyAndTextComments) {
   EXPECT_TRUE(parse(command("insert", comment("save").append_string("k", "key"))));
   Writer retryable = command("insert", comment("save"));
   retryable.append_document("lsid", find(lsid_.finish(), "lsid")->value)
@@ -137,7 +138,7 @@
   EXPECT_EQ(text.value().request.id, "t");
 }
 
-TEST_F(MongoCommandParser, RejectsWhatTheGatewayDoesNotServe) {
+TEST_F(MongoCommandParser, RejectsUnsupportedAndInvalidCommands) {
   const Writer any = comment("any");
 
   struct Case {
