--- a/tests/fleet/simulated_fleet.h
+++ b/tests/fleet/simulated_fleet.h
@@ -28,20 +28,21 @@
 public:
   SimulatedFleet(const FaultScript& script, Mutant mutant);
 
-  /// Runs the script up to kRunEnd. Throws RuleViolation.
+  /// Runs the script up to kRunEnd. Throws RuleViolation at the first violation of a rule.
   void run();
 
   [[nodiscard]] const EventDigest& digest() const { return digest_; }
 
   [[nodiscard]] const HistoryChecker& checker() const { return checker_; }
 
-  /// Actions that the receiver rejected because of their token.
+  /// The number of actions that the receiver rejected because of their token.
   [[nodiscard]] std::uint64_t rejected_actions() const { return rejected_actions_; }
 
-  /// Messages between gateways.
-  [[nodiscard]] std::uint64_t messages_of_leader() const { return messages_of_leader_; }
+  /// The number of Raft messages that leaders sent and of lease responses.
+  [[nodiscard]] std::uint64_t messages_from_leader() const { return messages_from_leader_; }
 
-  [[nodiscard]] std::uint64_t messages_of_others() const { return messages_of_others_; }
+  /// The number of Raft messages that other nodes sent and of lease requests.
+  [[nodiscard]] std::uint64_t messages_from_others() const { return messages_from_others_; }
 
 private:
   struct Gateway {
@@ -55,18 +56,19 @@
     Process process;
     SimulatedDisk disk;
 
-    // Replaced at each start.
-    std::unique_ptr<raft::Node> node;  ///< Only of a voter.
+    // The objects that are replaced at each start of the process.
+    std::unique_ptr<raft::Node> node;  ///< Null if the gateway is not a voter.
     leases::LeaseTable table;
     std::unique_ptr<leases::LeaseManager> manager;
     std::unique_ptr<leases::LeaseClient> client;
-    // The deadlines for which a timer is scheduled.
+    // The last deadlines for which a timer was scheduled; the epoch once that timer has run.
     TimePoint node_deadline{};
     TimePoint manager_deadline{};
     TimePoint client_deadline{};
 
-    /// The lease manager that gets the requests while it responds.
+    /// The gateway whose lease manager responded last.
     std::string last_responder;
+    /// Whether no response has arrived since the last request, or since the start of the run.
     bool awaits_response = true;
   };
 
@@ -86,21 +88,21 @@
   // Raft (simulated_fleet_raft.cpp).
   void run_node(Gateway& gateway, const NodeEvent& event);
   void perform(Gateway& gateway, const raft::Action& action);
-  void deliver(Gateway& sender, const raft::Message& message);
+  void send(Gateway& sender, const raft::Message& message);
   void persist(Gateway& gateway, const raft::PersistState& write);
   void report_persisted(Gateway& gateway, std::uint64_t number);
   void apply(Gateway& gateway, const raft::LogEntry& entry);
   void restore(Gateway& gateway, const raft::Snapshot& snapshot);
-  void observe_role(Gateway& gateway, const raft::RoleChanged& change);
+  void record_role_change(Gateway& gateway, const raft::RoleChanged& change);
 
-  // Leases.
+  // Leases (simulated_fleet_leases.cpp).
   void run_manager(Gateway& gateway, const ManagerEvent& event);
   void run_client(Gateway& gateway, const ClientEvent& event);
   void perform(Gateway& gateway, const leases::ManagerAction& action);
   void confirm_leadership(Gateway& gateway);
-  void deliver(Gateway& sender, const leases::LeaseResponse& response);
-  void deliver(Gateway& sender, const leases::LeaseRequest& request);
-  void send(Gateway& from, Gateway& to, const Callback& callback);
+  void send(Gateway& sender, const leases::LeaseResponse& response);
+  void send(Gateway& sender, const leases::LeaseRequest& request);
+  void transmit(Gateway& from, Gateway& to, const Callback& callback);
   void schedule_actions(Gateway& gateway);
   void start_action(Gateway& gateway, const std::string& role);
   void receive_action(const std::string& role, leases::FencingToken token);
@@ -108,16 +110,16 @@
 
   /// Schedules `tick` for the state machine's next deadline, once for each deadline.
   template <typename StateMachine, typename Tick>
-  void arm_timer(Gateway& gateway, const StateMachine& machine, TimePoint& armed,
+  void arm_timer(Gateway& gateway, const StateMachine& machine, TimePoint& scheduled_deadline,
                  const Tick& tick) {
     const TimePoint deadline = machine.next_deadline();
-    if (deadline == kNever || deadline == armed)
+    if (deadline == kNever || deadline == scheduled_deadline)
       return;
-    armed = deadline;
-    const Callback callback = [&machine, &armed, deadline, tick] {
+    scheduled_deadline = deadline;
+    const Callback callback = [&machine, &scheduled_deadline, deadline, tick] {
       if (machine.next_deadline() != deadline)
         return;
-      armed = TimePoint{};
+      scheduled_deadline = TimePoint{};
       tick();
     };
     gateway.process.schedule(gateway.clock.wake_time(deadline), callback);
@@ -135,8 +137,8 @@
   HistoryChecker checker_;
   EventDigest digest_;
   std::uint64_t rejected_actions_ = 0;
-  std::uint64_t messages_of_leader_ = 0;
-  std::uint64_t messages_of_others_ = 0;
+  std::uint64_t messages_from_leader_ = 0;
+  std::uint64_t messages_from_others_ = 0;
 };
 
 }  // namespace gorsebeam::simulation
--- a/tests/persistence_tracker_test.cpp
+++ b/tests/persistence_tracker_test.cpp
@@ -12,7 +12,7 @@
 constexpr Index kStoredLogIndex = 5;
 constexpr TimePoint kRetryAt{1000ms};
 
-/// A vote for a candidate; the term tells votes apart.
+/// Returns a vote for the candidate; tests tell votes apart by their terms.
 Message make_vote(const std::string& candidate, Term term) {
   return {"voter", candidate, term, VoteResponse{true}};
 }
@@ -68,7 +68,7 @@
   tracker.hold(make_vote("candidate", 1));
   static_cast<void>(tracker.start_write(kStoredLogIndex));
 
-  tracker.fail(kRetryAt);
+  tracker.record_failure(kRetryAt);
   tracker.hold(make_vote("candidate", 2));
   EXPECT_EQ(tracker.retry_at(), kRetryAt);
   EXPECT_FALSE(tracker.is_persisted(0));
