--- a/src/connection_admission/connection_admission.cpp
+++ b/src/connection_admission/connection_admission.cpp
@@ -7,7 +7,8 @@
 namespace gorsebeam::connection_admission {
 namespace {
 
-// Clients of the platform may rely on an idle connection for 2 s unless all capacity is in use.
+// Clients of the platform may rely on an idle connection for 2 s. It is closed earlier only while
+// all capacity is in use, or after a single request while more than half of the capacity is in use.
 constexpr Duration kMinIdleTime = 2050ms;
 constexpr Duration kMinUnusedTime = 200ms;
 // In recorded traffic, nine of ten second requests on a connection followed sooner than this.
--- a/src/connection_admission/connection_admission.h
+++ b/src/connection_admission/connection_admission.h
@@ -33,8 +33,8 @@
 [[nodiscard]] std::vector<std::size_t> rank_evictable(std::vector<IdleConnection> idle,
                                                       TimePoint now);
 
-/// Ranks the connections that may be closed at any time, while `connected` of at most
-/// `max_connections` are open. In order:
+/// Ranks the connections that may be closed even if no new connection needs the capacity, while
+/// `connected` connections are open and `max_connections` are the limit. They are, in this order:
 ///  - while all capacity is in use, those without an answered request, idle for 0.2 s;
 ///  - above a quarter of the capacity, those idle for 2.05 s;
 ///  - above half of the capacity, those with one answered request, idle for 0.1 s.
--- a/src/connection_pool/connection_pool.cpp
+++ b/src/connection_pool/connection_pool.cpp
@@ -37,14 +37,15 @@
     return;
   entry.address = address;
   while (!entry.idle.empty())
-    discard(*entry.idle.back());  // it is connected to the old address
+    discard(*entry.idle.back());  // the connection leads to the old address
 }
 
 void ConnectionPool::remove_endpoint(EndpointId endpoint) {
   const auto found = endpoints_.find(endpoint);
   if (found == endpoints_.end())
     return;
-  // Without an address no connection is opened; the entry is erased with its last connection.
+  // No connection is opened while the address is empty; the entry is erased with its last
+  // connection.
   found->second.address.clear();
   const std::vector<PooledConnection*> idle = found->second.idle;
   for (PooledConnection* connection : idle)
--- a/src/connection_pool/connection_pool.h
+++ b/src/connection_pool/connection_pool.h
@@ -2,7 +2,7 @@
 /// request at a time, kept idle for the next one, and closed before the endpoint would close it.
 ///
 /// The pool does not depend on a wire protocol; an `UpstreamProtocol` translates for each
-/// connection. Runs on the main loop's thread.
+/// connection. Runs on the event loop's thread.
 #pragma once
 
 #include "idle_lifetime_estimator.h"
@@ -50,7 +50,7 @@
 private:
   /// The connections to one endpoint.
   struct EndpointConnections {
-    std::string address;                  ///< Empty if it was removed or never added.
+    std::string address;                  ///< Empty if the endpoint was removed or never added.
     std::vector<PooledConnection*> idle;  ///< Ordered by when they became idle.
     std::size_t count = 0;                ///< All connections, idle or assigned.
   };
--- a/src/connection_pool/idle_lifetime_estimator.cpp
+++ b/src/connection_pool/idle_lifetime_estimator.cpp
@@ -6,8 +6,9 @@
 namespace {
 
 constexpr Duration kFirstIntervalEnd = 25ms;  // a shorter idle time counts as not idle
-constexpr double kMinSamples = 8;             // uses in an interval, below which it sets no limit
-// How far the share of broken connections may exceed that of connections that were not idle.
+constexpr double kMinSamples = 8;             // an interval with fewer uses sets no limit
+// How far the share of broken connections in an interval may exceed the share of broken ones among
+// the connections that were not idle.
 constexpr double kMaxExcessFailureRatio = 0.1;
 constexpr Duration kDecayTime = 20s;
 
--- a/src/connection_pool/idle_lifetime_estimator.h
+++ b/src/connection_pool/idle_lifetime_estimator.h
@@ -42,7 +42,8 @@
   [[nodiscard]] static std::size_t interval_of(Duration idle_time);
   void decay(TimePoint now);
 
-  std::array<Interval, kIntervals> intervals_;  ///< Each ends at twice the previous end.
+  /// Each interval ends at twice the end of the one before; the last one has no end.
+  std::array<Interval, kIntervals> intervals_;
   TimePoint decayed_at_{};
 };
 
--- a/src/connection_pool/pooled_connection.cpp
+++ b/src/connection_pool/pooled_connection.cpp
@@ -226,7 +226,7 @@
 
 void PooledConnection::handle_timer() {
   if (!assignment_) {
-    owner_.discard(*this);  // its idle time or its opening took too long
+    owner_.discard(*this);  // the connection was idle or being opened for too long
     return;
   }
   const bool is_past_deadline = net::now() >= assignment_->deadline;
--- a/src/connection_pool/pooled_connection.h
+++ b/src/connection_pool/pooled_connection.h
@@ -1,7 +1,7 @@
 /// One connection of the pool. It connects to its endpoint, writes one request at a time, and reads
 /// the response.
 ///
-/// Runs on the main loop's thread.
+/// Runs on the event loop's thread.
 #pragma once
 
 #include "connection_state_machine.h"
@@ -134,8 +134,9 @@
   /// The current assignment, from `assign` until it ends. It is present in every state but Idle,
   /// unless it ended while the connection was still being opened.
   std::optional<Assignment> assignment_;
-  std::optional<TimePoint> idle_since_;  ///< When it last became idle; empty if never.
-  Duration idle_time_before_request_{};  ///< Before the current request; 0 if not reused.
+  std::optional<TimePoint> idle_since_;  ///< When the connection last became idle; empty if never.
+  /// How long the connection was idle before the current request; 0 for its first request.
+  Duration idle_time_before_request_{};
 };
 
 }  // namespace gorsebeam::connection_pool
--- a/src/discovery/json_object_splitter.h
+++ b/src/discovery/json_object_splitter.h
@@ -52,7 +52,7 @@
   std::size_t scanned_size_ = 0;  // number of bytes of text_ that were scanned
   std::size_t depth_ = 0;         // number of open braces and brackets; 0: between two objects
   bool is_in_string_ = false;
-  bool is_escaped_ = false;     // whether a backslash precedes in a string
+  bool is_escaped_ = false;     // whether a backslash escapes the next character of the string
   bool is_blank_line_ = false;  // whether the line has had only white space so far
 };
 
--- a/src/discovery/revision_filter.h
+++ b/src/discovery/revision_filter.h
@@ -56,7 +56,7 @@
   /// earlier event takes precedence. Returns false if the entry is outdated.
   [[nodiscard]] bool record_entry(proxy::ListedEndpoint& entry, std::int64_t revision,
                                   bool is_newest);
-  /// Whether `event`, which is from an earlier epoch, made the endpoint draining or removed, and
+  /// Whether `event` is from an earlier epoch and listed the endpoint as draining or removed, while
   /// `endpoint` is listed as up but has not restarted since.
   [[nodiscard]] bool is_still_unavailable(const LastWatchEvent& event,
                                           const Endpoint& endpoint) const;
--- a/src/frontend/client_connection.cpp
+++ b/src/frontend/client_connection.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 // A client that sends no complete message gets an error or a close within 3 s of connecting.
-constexpr Duration kMaxMessageTime = 5s / 2;
-constexpr Duration kMaxResponseWriteTime = 5s;        // longer than any deadline
+constexpr Duration kMaxMessageTime = 2s;
+constexpr Duration kMaxResponseWriteTime = 5s;        // longer than the usual deadlines
 constexpr std::size_t kMaxMessagesPerIteration = 16;  // from one connection
 // The framing that a message of the maximum size may have in addition.
 constexpr std::size_t kMaxFramingBytes = 1024;
@@ -65,7 +65,8 @@
 
 // Bounds the memory that a client can occupy: the messages after a pending request stay in the
 // kernel. While memory allows it, more is read, so that the disconnection of a client that sends
-// many messages is noticed. Beyond that the end of its sending side is watched without reading.
+// many messages is noticed. Beyond that limit, nothing is read, and only the end of the client's
+// sending side is watched.
 void ClientConnection::limit_read_ahead() {
   const FrontendLimits& limits = frontend_.limits();
   const bool has_memory = net::total_buffered_bytes() <= limits.max_buffered_bytes / 2;
@@ -94,9 +95,9 @@
   close(CloseReason::PeerClosed);
 }
 
-// A request may be answered within `begin_request`, so that messages are parsed in a loop here and
-// not by recursion. The loop is bounded, because hundreds of commands that are written at once must
-// not delay the other connections; the rest is parsed in the next iteration of the event loop.
+// A request may be answered within `begin_request`. Messages are therefore parsed in a loop here
+// and not by recursion. The loop is bounded, because hundreds of commands that are written at once
+// must not delay the other connections; the rest is parsed in the next iteration of the event loop.
 void ClientConnection::process_input() {
   std::size_t messages = 0;
   while (state_ == State::AwaitingInput && stream_->all_written()) {
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -1,6 +1,6 @@
 /// The base class of client connections, from which each protocol's connection derives. It handles
 /// one request at a time, bounds the buffers, and closes so that the client can read the last
-/// response. All functions run on the main loop's thread.
+/// response. All functions run on the event loop's thread.
 #pragma once
 
 #include "close_reason.h"
@@ -91,8 +91,9 @@
   [[nodiscard]] TimePoint earliest_arrival() const;
 
   /// Passes the request, which is in the first `size` bytes of the input, to the broker. Returns
-  /// false if a request with this id is pending already. The request is rejected if the frontend is
-  /// stopping. If the client has disconnected, the request is dropped with its connection.
+  /// false if the broker does not accept the id of the request (see
+  /// `proxy::RequestBroker::begin_request`). The request is rejected if the frontend is stopping.
+  /// If the client has disconnected, the request is dropped with its connection.
   [[nodiscard]] bool begin_request(Request request, std::size_t size);
 
   /// Called when the response to the pending request has been written and its input consumed.
--- a/src/frontend/close_reason.h
+++ b/src/frontend/close_reason.h
@@ -11,7 +11,7 @@
   Idle,         ///< It was idle while too many connections were open.
   Evicted,      ///< It was idle, and a new connection needed the capacity.
   Shutdown,     ///< The gateway is stopping.
-  Overdue,      ///< As `ErrorSent`, but the error could not be sent completely.
+  Overdue,      ///< The gateway rejected it; no error was sent, as earlier output was unread.
   Exception,    ///< An exception, which is a defect in the gateway.
 };
 
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -79,7 +79,7 @@
   }
   ClientConnection* key = connection.get();
   connections_[key] = std::move(connection);
-  // Spare descriptors are limited: further connections stay in the kernel's queue.
+  // The number of descriptors is limited, so further connections stay in the kernel's queue.
   if (is_full())
     listener_->pause();
 }
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -32,7 +32,7 @@
   std::size_t max_buffered_bytes = 16 << 20;
 };
 
-/// Owns the client connections of one protocol. All functions run on the main loop's thread.
+/// Owns the client connections of one protocol. All functions run on the event loop's thread.
 class Frontend {
 public:
   using ConnectionFactory =
--- a/src/frontend/request_admission.h
+++ b/src/frontend/request_admission.h
@@ -1,5 +1,5 @@
 /// Admits the requests of one client connection: applies the client's time limit and the contract
-/// of its team to each of them. All functions run on the main loop's thread.
+/// of its team to each of them. All functions run on the event loop's thread.
 #pragma once
 
 #include "parsed_request.h"
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -175,14 +175,14 @@
   const GatewayConfig& config = read.value();
   if (const auto reason = restart_reason(config))
     return log_rejected_reload(config_.operator_file_path + ": " + *reason);
-  // This is the last step that can fail, because it changes the running process.
+  // This is the last step that can reject the reload, because it changes the running process.
   if (const auto error = move_mongo_listener(config))
     return log_rejected_reload(error->message);
   apply_config(config);
 }
 
-// The router identifies endpoints by their names and keeps their state; pending requests are not
-// affected.
+// An endpoint that is listed again under its name keeps its id, and the router keeps its state;
+// pending requests are not affected.
 void Gateway::apply_config(const GatewayConfig& config) {
   apply_operator_file(config.operator_file.gateway);
   if (config.platform.restart_only_settings != config_.platform.restart_only_settings)
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -18,7 +18,7 @@
 
 namespace gorsebeam::gateway {
 
-/// All functions run on the main loop's thread.
+/// All functions run on the event loop's thread.
 class Gateway {
 public:
   /// Throws settings::FormatError if the process's limit on open files is too low.
@@ -30,8 +30,8 @@
   /// Starts to listen; returns an error if a frontend cannot listen.
   [[nodiscard]] std::optional<net::ListenError> start();
 
-  /// Runs until a signal ends the process: until all requests are answered, or the deadline of the
-  /// shutdown has passed.
+  /// Runs until SIGTERM or SIGINT has started the shutdown and either all client connections are
+  /// closed or the deadline of the shutdown has passed.
   void run();
 
 private:
@@ -64,12 +64,12 @@
   GatewayConfig config_;
   net::MainLoopHandle loop_;
   proxy::ContractEnforcer contracts_;
-  std::shared_ptr<const gorsebeam::sql_classifier::SqlClassifier>
-      classifier_;  ///< Null while statements are not parsed.
+  /// Null while statements are not parsed.
+  std::shared_ptr<const gorsebeam::sql_classifier::SqlClassifier> classifier_;
   std::unique_ptr<ProtocolPath> postgres_;
   std::unique_ptr<ProtocolPath> mongo_;  ///< Null if MongoDB is not served.
-  std::unique_ptr<discovery::EndpointWatch>
-      endpoint_watch_;  ///< Null if the file lists the endpoints.
+  /// Null if the operators' file lists the PostgreSQL endpoints.
+  std::unique_ptr<discovery::EndpointWatch> endpoint_watch_;
   std::unique_ptr<control_plane::ControlPlaneClient> control_plane_;
   net::Timer stop_accepting_timer_;
   net::Timer drain_timer_;
--- a/src/gateway/protocol_path.h
+++ b/src/gateway/protocol_path.h
@@ -20,7 +20,8 @@
                connection_pool::UpstreamProtocolFactory make_upstream_protocol,
                const ResourceShare& share, frontend::Frontend::ConnectionFactory make_connection);
 
-  /// Applies the operators' limits; none exceeds the path's share.
+  /// Applies the operators' limits. The numbers of connections and the size of the buffers stay
+  /// within the path's share, whatever the limits are.
   void apply_limits(const config::pb::Limits& limits);
 
   /// Whether no client connection and no open request is left.
--- a/src/gateway/resource_shares.h
+++ b/src/gateway/resource_shares.h
@@ -16,8 +16,8 @@
 
 /// The share of each of `protocol_count` protocols. `max_sockets` is reduced to the process's limit
 /// on open files; throws settings::FormatError if that is too low. Spare descriptors are reserved
-/// for the listeners, discovery, logs and accepted connections that are to be rejected. Half of
-/// each share is for clients, half for endpoints.
+/// for the listeners, discovery, the control service and logs. Half of each share is for endpoints,
+/// half for clients, including the client connections that are to be rejected or that linger.
 ResourceShare compute_share(std::size_t max_sockets, std::size_t memory_mib,
                             std::size_t protocol_count);
 
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -182,7 +182,7 @@
   // If the call that connects failed at once, it has consumed the error of the socket. The socket
   // is then not connected although no error is found here.
   if (!succeeded || g_socket_is_connected(socket_.get()) == FALSE)
-    return fail(error ? error->message : "not connected");
+    return fail(error ? error->message : "the connection was not established");
   connecting_ = false;
   writable_source_.reset();
   watch_readable();
--- a/src/proxy/endpoint_directory.cpp
+++ b/src/proxy/endpoint_directory.cpp
@@ -8,7 +8,7 @@
 
 // The router uses this id to mean that there is no endpoint.
 constexpr EndpointId kReservedEndpointId = 0xffffffff;
-constexpr std::size_t kIdDigits = 8;  // hexadecimal digits of a 32-bit id
+constexpr std::size_t kIdDigits = 8;  // the hexadecimal digits of a 32-bit id
 
 /// The 32-bit FNV-1a hash of `text`.
 std::uint32_t hash_of(const std::string& text) {
--- a/src/proxy/endpoint_directory.h
+++ b/src/proxy/endpoint_directory.h
@@ -1,9 +1,10 @@
 /// Maps names of endpoints to ids.
 ///
-/// All gateways must order endpoints in the same way, so an id is derived from the name: it is the
-/// last eight characters if these are hexadecimal digits, as in the names that discovery lists, and
-/// a hash of the name otherwise. If another endpoint has that id, the next free one is assigned.
-/// Performs no I/O; runs on one thread; holds one entry for each endpoint of the list.
+/// All gateways must order endpoints in the same way, so an id is derived from the name: if the
+/// name is longer than eight characters and ends in eight lower-case hexadecimal digits, as the
+/// names that discovery lists do, the id is the number that these digits form; otherwise it is a
+/// hash of the name. If another endpoint has that id, the next free one is assigned. Performs no
+/// I/O; runs on one thread; holds one entry for each endpoint of the list.
 #pragma once
 
 #include "gorsebeam/router.h"
--- a/src/proxy/endpoint_registry.cpp
+++ b/src/proxy/endpoint_registry.cpp
@@ -9,8 +9,8 @@
 EndpointList EndpointRegistry::apply(EndpointList::Kind kind,
                                      const std::vector<ListedEndpoint>& endpoints,
                                      Upstream& upstream) {
-  // If removed endpoints may serve, one that is removed without a drain may still get requests, so
-  // that it stays known.
+  // If removed endpoints may serve, an endpoint that is removed without a drain may still get
+  // requests. It therefore stays known.
   const bool removal_is_binding = !settings_.removed_endpoints_may_serve;
   // A full list can omit an endpoint that was never listed as removed. Its connections and table
   // entries must not stay behind.
--- a/src/proxy/input_freshness.h
+++ b/src/proxy/input_freshness.h
@@ -12,15 +12,16 @@
 /// requests.
 constexpr Duration kMaxEndpointListAge = 20ms;
 
-/// The greatest age of an unread response when something is decided. The router takes the role and
-/// position in a response as known 0.1 s after the response was written.
+/// The greatest age of an unread response when something is decided. It is well below 0.1 s, the
+/// `Settings::assumed_response_delay` of the gateway, after which a client counts as knowing a
+/// response that its endpoint wrote.
 constexpr Duration kMaxResponseAge = 40ms;
 
 class InputFreshness {
 public:
   /// Whether the endpoint list must be read at `now`. A change to the list is in force once
-  /// discovery wrote it to the gateway's connection, so that nothing may be sent on an outdated
-  /// list after a pause of the process.
+  /// discovery wrote it to the gateway's connection, so nothing may be sent on an outdated list
+  /// after a pause of the process.
   [[nodiscard]] bool is_endpoint_list_stale(TimePoint now) const {
     return now - endpoint_list_read_at_ >= kMaxEndpointListAge;
   }
--- a/src/proxy/interfaces.h
+++ b/src/proxy/interfaces.h
@@ -1,7 +1,7 @@
 /// The interfaces between the request broker, the frontends, the upstream and the source of the
 /// endpoint list.
 ///
-/// All functions run on the main loop's thread and do not block. The interfaces do not depend on a
+/// All functions run on the event loop's thread and do not block. The interfaces do not depend on a
 /// wire protocol: request and response bodies are bytes.
 ///
 /// Ownership:
--- a/src/proxy/invariant_guard.cpp
+++ b/src/proxy/invariant_guard.cpp
@@ -24,7 +24,7 @@
   return "unknown";
 }
 
-// If removed endpoints may serve, one that was removed without a drain keeps its status.
+// If removed endpoints may serve, an endpoint that is removed without a drain keeps its status.
 void InvariantGuard::record_listed(EndpointId endpoint, GroupId group, EndpointStatus status) {
   ListedEndpointState& state = endpoints_[endpoint];
   state.group = group;
--- a/src/proxy/invariant_guard.h
+++ b/src/proxy/invariant_guard.h
@@ -1,9 +1,9 @@
 /// Checks each send, retry and rejection against invariants, from what the broker has observed.
 ///
-/// The guard is a second check that does not depend on the router's reasons. What the guard denies,
-/// the gateway does not do, even if the router decided it, and counts it as a violation, which is a
-/// defect of the gateway. Performs no I/O; runs on one thread; holds one entry for each endpoint of
-/// the list.
+/// The guard is a second check that does not depend on the router's reasons. The gateway does not
+/// do what the guard forbids, even if the router decided it. A decision that the guard forbids
+/// counts as a violation, which is a defect of the gateway. Performs no I/O; runs on one thread;
+/// holds one entry for each endpoint of the list.
 #pragma once
 
 #include "gorsebeam/router.h"
--- a/src/proxy/request_broker.cpp
+++ b/src/proxy/request_broker.cpp
@@ -12,8 +12,8 @@
 namespace gorsebeam::proxy {
 namespace {
 
-// The age of a request from which its client's connection is checked before an attempt is written.
-// The check is a system call, which a request that was just read does not need.
+// The client's connection is checked before an attempt is written if the request is at least this
+// old. The check is a system call, which a request that was just read does not need.
 constexpr Duration kClientCheckAge = 20ms;
 
 AttemptResult make_result(const InFlightAttempt& attempt, const UpstreamResponse& response) {
@@ -121,8 +121,8 @@
     return false;
   TrackedRequest& request = *requests_.find(attempt->request_id);
   const TimePoint now = net::now();
-  // The router has not seen an endpoint list that was just read, so that a send which that list
-  // forbids is not a violation.
+  // The router has not seen an endpoint list that was just read. A send that this list forbids is
+  // therefore no violation.
   if (queue_.has_endpoint_list() && guard_.check_endpoint(attempt->endpoint))
     return false;
   if (has_client_disconnected(request, now))
--- a/src/wire/framing.h
+++ b/src/wire/framing.h
@@ -8,7 +8,7 @@
 /// Why no message could be parsed.
 enum class FramingError {
   Incomplete,  ///< The message has not been received completely.
-  Malformed,   ///< The length prefix is out of bounds.
+  Malformed,   ///< The length prefix is out of bounds, or the bytes are not the expected message.
 };
 
 template <typename Message>
