--- a/tests/fault_soak/fake_client.h
+++ b/tests/fault_soak/fake_client.h
@@ -13,10 +13,11 @@
 
 namespace fault_soak {
 
-/// The context and the process must outlive it.
+/// Sends requests to one gateway and reports each request and its end to the oracle. The context
+/// and the process must outlive the client.
 class FakeClient : gorsebeam::net::Stream::Events {
 public:
-  /// An idle client connects and sends no request.
+  /// `Idle`: the client connects but sends no request.
   enum class Behavior { SendsRequests, Idle };
 
   FakeClient(SoakContext& context, int gateway, const GatewayProcess& process, Behavior behavior);
@@ -25,17 +26,18 @@
 
   void connect();
   /// Sends a request if none is in flight.
-  void send_next();
+  void send_next_request();
 
 private:
-  enum class AfterReconnect { SendNext, SendAgain };
+  /// `ResendRequest`: sends `request_` again, under a new id.
+  enum class AfterReconnect { SendNextRequest, ResendRequest };
 
   void received() override;
   void ended(const std::string&) override;
 
   [[nodiscard]] test_harness::Request draw_request(const std::string& id);
   void send(const std::string& id);
-  void send_next_after(Millis delay);
+  void send_next_request_after(Millis delay);
   void disconnect();
   void reconnect(AfterReconnect next);
 
@@ -47,10 +49,10 @@
   const Behavior behavior_;
   std::shared_ptr<gorsebeam::net::Stream> stream_;
   std::string input_;
-  std::string request_id_;  ///< In flight; empty: none.
+  std::string request_id_;  ///< Of the request in flight; empty if there is none.
   test_harness::Request request_;
   ServiceClass service_class_ = ServiceClass::Idempotent;
-  Millis deadline_ = 0;
+  Millis deadline_ = 0;  ///< Of `request_`.
 };
 
 }  // namespace fault_soak
--- a/tests/fault_soak/oracle.cpp
+++ b/tests/fault_soak/oracle.cpp
@@ -15,10 +15,10 @@
   state.started_at = at;
 }
 
-void Oracle::gateway_killed(int gateway) {
+void Oracle::gateway_exited(int gateway) {
   for (auto& [id, request] : requests_) {
     if (request.gateway == gateway)
-      request.is_closed = true;
+      request.is_finished = true;
   }
 }
 
@@ -51,8 +51,10 @@
   gateways_[gateway].draining_since.emplace(endpoint, at);
 }
 
-// A pause is no excuse: the gateway reads a list that was written during the pause before it acts.
-void Oracle::check_endpoint(int gateway, int endpoint, const std::string& traffic, Millis at) {
+// A pause of the process does not extend the time limit: after the pause, the gateway has to read
+// the list that was sent in the meantime before it sends traffic.
+void Oracle::check_draining_endpoint(int gateway, int endpoint, const std::string& traffic,
+                                     Millis at) {
   const std::map<int, Millis>& draining_since = gateways_[gateway].draining_since;
   const auto found = draining_since.find(endpoint);
   if (found == draining_since.end())
@@ -60,8 +62,10 @@
   const Millis elapsed = at - found->second;
   if (elapsed > kDrainGrace + kRecordSlack)
     report("drain",
-           traffic + " by gateway " + std::to_string(gateway) + " at endpoint " +
-               std::to_string(endpoint) + ", " + std::to_string(elapsed) + " ms after the notice",
+           traffic + " of gateway " + std::to_string(gateway) + " arrived at endpoint " +
+               std::to_string(endpoint) + " " + std::to_string(elapsed) +
+               " ms after the endpoint was listed as draining; the limit is " +
+               std::to_string(kDrainGrace + kRecordSlack) + " ms",
            at);
 }
 
@@ -77,44 +81,46 @@
 void Oracle::response_received(const std::string& id, Millis at) {
   const auto found = requests_.find(id);
   if (found == requests_.end())
-    return report("unknown", "a response to no request", at);
+    return report("unknown", "a response to request " + id + ", which no client sent", at);
   Request& request = found->second;
-  request.is_closed = true;
+  request.is_finished = true;
   ++request.response_count;
   if (request.response_count > 1)
-    report("responses", "request " + id + " got two responses", at);
+    report("responses",
+           "request " + id + " got " + std::to_string(request.response_count) + " responses", at);
   const Gateway& gateway = gateways_[request.gateway];
   const Millis paused = paused_between(gateway, request.sent_at, at);
   if (at > request.deadline + kResponseSlack + kRecordSlack + paused)
     report("lost",
            "request " + id + " got its response " + std::to_string(at - request.deadline) +
-               " ms after its deadline",
+               " ms after its deadline; the limit is " +
+               std::to_string(kResponseSlack + kRecordSlack + paused) + " ms",
            at);
 }
 
 void Oracle::client_disconnected(const std::string& id, Millis at) {
   Request& request = requests_[id];
   request.disconnected_at = at;
-  request.is_closed = true;
+  request.is_finished = true;
 }
 
-bool Oracle::is_past_termination(const Gateway& gateway, const Request& request) {
+bool Oracle::was_sent_after_termination(const Gateway& gateway, const Request& request) {
   return gateway.terminated_at > 0 && request.sent_at > gateway.terminated_at + kTerminationGrace;
 }
 
 ConnectionClose Oracle::connection_ended(const std::string& id, Millis at) {
   Request& request = requests_[id];
-  if (request.is_closed)
+  if (request.is_finished)
     return ConnectionClose::Other;
-  request.is_closed = true;
+  request.is_finished = true;
   const Gateway& gateway = gateways_[request.gateway];
   const Millis open_for = at - request.sent_at - paused_between(gateway, request.sent_at, at);
-  if (open_for < kCrossingTime + kRecordSlack && request.last_attempt_at == 0)
-    return ConnectionClose::CrossedRequest;
-  if (!is_past_termination(gateway, request))
+  if (open_for < kCloseRaceTime + kRecordSlack && request.last_attempt_at == 0)
+    return ConnectionClose::RacedRequest;
+  if (!was_sent_after_termination(gateway, request))
     report("lost",
-           "the connection of request " + id + " was closed after " +
-               std::to_string(at - request.sent_at) + " ms",
+           "the connection of request " + id + " was closed without a response " +
+               std::to_string(at - request.sent_at) + " ms after the request",
            at);
   return ConnectionClose::Other;
 }
@@ -123,29 +129,32 @@
   ++attempt_count_;
   const auto found = requests_.find(id);
   if (found == requests_.end())
-    return report("unknown", "an attempt of no request: " + id, at);
+    return report("unknown", "an attempt of request " + id + ", which no client sent", at);
   Request& request = found->second;
-  check_endpoint(request.gateway, endpoint, "request " + id, at);
+  check_draining_endpoint(request.gateway, endpoint, "request " + id, at);
   if (!request.in_flight.empty())
     report("duplicate", "two attempts of request " + id + " are in flight", at);
   check_retry(request, id, at);
   if (request.disconnected_at > 0 && at > request.disconnected_at + kDisconnectGrace + kRecordSlack)
     report("lost",
-           "an attempt of request " + id + ", " + std::to_string(at - request.disconnected_at) +
-               " ms after its client disconnected",
+           "an attempt of request " + id + " arrived " +
+               std::to_string(at - request.disconnected_at) +
+               " ms after its client disconnected; the limit is " +
+               std::to_string(kDisconnectGrace + kRecordSlack) + " ms",
            at);
-  check_forwarded_time(request, id, timeout, at);
+  check_forwarded_timeout(request, id, timeout, at);
   request.in_flight.insert(endpoint);
   request.last_attempt_at = at;
 }
 
-void Oracle::check_forwarded_time(const Request& request, const std::string& id, Millis timeout,
-                                  Millis at) {
+void Oracle::check_forwarded_timeout(const Request& request, const std::string& id, Millis timeout,
+                                     Millis at) {
   const Millis time_left = request.deadline - at;
   if (timeout > time_left + kDeadlineSlack + kRecordSlack)
     report("deadline",
-           "request " + id + " was forwarded with " + std::to_string(timeout) + " ms of " +
-               std::to_string(time_left),
+           "request " + id + " was forwarded with a timeout of " + std::to_string(timeout) +
+               " ms, but its deadline was in " + std::to_string(time_left) + " ms; the limit is " +
+               std::to_string(time_left + kDeadlineSlack + kRecordSlack) + " ms",
            at);
 }
 
@@ -153,9 +162,16 @@
   if (request.may_have_run_since == 0 || request.service_class == ServiceClass::Idempotent)
     return;
   if (request.service_class == ServiceClass::SingleShot)
-    return report("duplicate", "single-shot request " + id + " was retried", at);
+    return report("duplicate",
+                  "single-shot request " + id + " was retried after an attempt that may have run",
+                  at);
   if (at - request.may_have_run_since > deduplication_window_ + kDeadlineSlack + kRecordSlack)
-    report("duplicate", "keyed request " + id + " was retried after its window", at);
+    report("duplicate",
+           "keyed request " + id + " was retried " +
+               std::to_string(at - request.may_have_run_since) +
+               " ms after an attempt that may have run; the limit is " +
+               std::to_string(deduplication_window_ + kDeadlineSlack + kRecordSlack) + " ms",
+           at);
 }
 
 void Oracle::attempt_ended(int endpoint, const std::string& id, Effect effect) {
@@ -169,20 +185,23 @@
 }
 
 void Oracle::health_check_arrived(int gateway, int endpoint, Millis at) {
-  check_endpoint(gateway, endpoint, "a health check", at);
+  check_draining_endpoint(gateway, endpoint, "a health check", at);
 }
 
 void Oracle::check_overdue(Millis at) {
   for (auto& [id, request] : requests_) {
-    if (request.is_closed)
+    if (request.is_finished)
       continue;
     const Gateway& gateway = gateways_[request.gateway];
     const Millis paused = paused_between(gateway, request.sent_at, at);
     if (at < request.deadline + kResponseSlack + kRecordSlack + paused)
       continue;
-    request.is_closed = true;
-    if (!is_past_termination(gateway, request))
-      report("lost", "request " + id + " has no response", at);
+    request.is_finished = true;
+    if (!was_sent_after_termination(gateway, request))
+      report("lost",
+             "request " + id + " has no response " + std::to_string(at - request.deadline) +
+                 " ms after its deadline",
+             at);
   }
 }
 
