--- a/tests/fault_soak/fault_injector.cpp
+++ b/tests/fault_soak/fault_injector.cpp
@@ -61,12 +61,12 @@
 
 void FaultInjector::log_fault(const std::string& kind, const std::string& detail) {
   ++context_.report.fault_counts[kind];
-  context_.report.fault_log.push_back(std::to_string(now_ms() - started_at_) + " " + kind + " " +
-                                      detail);
+  context_.report.fault_log.push_back(std::to_string(now_ms() - started_at_) + " ms: " + kind +
+                                      " " + detail);
 }
 
 void FaultInjector::log_fault(const std::string& kind, int target, Millis duration) {
-  log_fault(kind, std::to_string(target) + " for " + std::to_string(duration));
+  log_fault(kind, std::to_string(target) + " for " + std::to_string(duration) + " ms");
 }
 
 void FaultInjector::publish_endpoints() {
--- a/tests/fault_soak/main.cpp
+++ b/tests/fault_soak/main.cpp
@@ -70,8 +70,8 @@
   std::printf("; longest iteration of the soak's event loop %lld ms; violations: %zu\n",
               static_cast<long long>(report.longest_iteration), report.violations.size());
   for (const fault_soak::Violation& violation : report.violations)
-    std::printf("  %lld %s: %s\n", static_cast<long long>(violation.at), violation.rule.c_str(),
-                violation.detail.c_str());
+    std::printf("  at %lld ms, rule %s: %s\n", static_cast<long long>(violation.at),
+                violation.rule.c_str(), violation.detail.c_str());
 }
 
 void write_logs(const std::string& folder, const SoakSettings& settings,
--- a/tests/fault_soak/soak_context.h
+++ b/tests/fault_soak/soak_context.h
@@ -28,7 +28,7 @@
 
 struct SoakReport {
   std::vector<Violation> violations;
-  std::vector<std::string> fault_log;        ///< A line for each injected fault.
+  std::vector<std::string> fault_log;        ///< A line for each fault: its time, kind and target.
   std::map<std::string, int> fault_counts;   ///< The number of faults of each kind.
   std::map<std::string, int> result_counts;  ///< By result: `served`, `rejected`, `failed`.
   std::size_t requests = 0;
