--- a/src/config_versions/version_tracker.cpp
+++ b/src/config_versions/version_tracker.cpp
@@ -254,10 +254,10 @@
 
 void VersionTracker::reject(const DiscoveryResponse& response, const RejectionError& error,
                             Actions& actions) {
-  const std::string running =
+  const std::string acknowledged =
       response.type ? acknowledged_version_of(*response.type) : std::string();
   actions.emplace_back(
-      DiscoveryRequest{response.type, response.type_url, running, response.nonce, error});
+      DiscoveryRequest{response.type, response.type_url, acknowledged, response.nonce, error});
   actions.emplace_back(VersionRejected{identity_of(response), error.message});
 }
 
--- a/src/grpc/frame_rate_limiter.cpp
+++ b/src/grpc/frame_rate_limiter.cpp
@@ -5,8 +5,8 @@
 namespace gorsebeam::grpc {
 
 FrameRateLimiter::LimitStatus FrameRateLimiter::count_control_frame(TimePoint now) {
-  if (now - second_started_at_ >= 1s) {
-    second_started_at_ = now;
+  if (now - interval_started_at_ >= 1s) {
+    interval_started_at_ = now;
     control_frames_ = 0;
     previous_data_frames_ = std::exchange(data_frames_, 0);
   }
--- a/src/grpc/frame_rate_limiter.h
+++ b/src/grpc/frame_rate_limiter.h
@@ -24,18 +24,18 @@
   /// Counts a data frame in either direction.
   void count_data_frame() { ++data_frames_; }
 
-  /// Counts a control frame of the peer. Returns whether the frames of this second are within the
-  /// limit.
+  /// Counts a control frame of the peer. Returns whether the control frames of the current
+  /// interval are within the limit.
   [[nodiscard]] LimitStatus count_control_frame(TimePoint now);
 
 private:
-  /// The frames of the current second.
+  /// The frames of the current interval.
   int control_frames_ = 0;
   int data_frames_ = 0;
-  /// The data frames of the previous second, as the control frames that they cause may arrive
+  /// The data frames of the previous interval, as the control frames that they cause may arrive
   /// later.
   int previous_data_frames_ = 0;
-  TimePoint second_started_at_{};
+  TimePoint interval_started_at_{};
 };
 
 }  // namespace gorsebeam::grpc
