--- a/src/grpc/session.cpp
+++ b/src/grpc/session.cpp
@@ -66,7 +66,9 @@
     if (limit_status == FrameRateLimiter::LimitStatus::WithinLimit)
       return 0;
     session.fail({Code::TooManyControlFrames,
-                  "the peer floods the connection with frames that carry no data"});
+                  "the peer floods the connection with frames that carry no data: more than " +
+                      std::to_string(kBaseControlFramesPerSecond) + " in one second and " +
+                      std::to_string(kControlFramesPerDataFrame) + " for each data frame"});
     return NGHTTP2_ERR_CALLBACK_FAILURE;
   }
 
@@ -128,7 +130,8 @@
 Session::Session(const std::string& authority, const std::string& path) {
   const CallbacksHandle callbacks = SessionCallbacks::make();
   nghttp2_session* session = nullptr;
-  // nghttp2's default limit on unsent acknowledgements, 1000, is above the limit on control frames.
+  // nghttp2's limit on unsent acknowledgements keeps its default of 1000, which is above the number
+  // of control frames that a peer may send in one second without data frames.
   nghttp2_session_client_new(&session, callbacks.get(), this);
   session_.reset(session);
   submit_settings();
@@ -178,7 +181,9 @@
   const ssize_t used = nghttp2_session_mem_recv(
       session_.get(), reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
   if (used < 0)
-    fail({Code::ProtocolViolation, nghttp2_strerror(static_cast<int>(used))});
+    fail({Code::ProtocolViolation,
+          std::string("the received bytes cannot be processed as HTTP/2: ") +
+              nghttp2_strerror(static_cast<int>(used))});
 }
 
 std::optional<std::string> Session::next_message() {
--- a/src/inventory/yaml_inventory.cpp
+++ b/src/inventory/yaml_inventory.cpp
@@ -178,7 +178,7 @@
     return builder.make_error(line_of(error.mark), "yaml", error.msg);
   } catch (const std::ios_base::failure& error) {
     // Reading throws if the path can be opened but not read, as with a folder.
-    return FileError{std::nullopt, 0, std::nullopt, error.what()};
+    return FileError{path, 0, std::nullopt, std::string("cannot be read: ") + error.what()};
   }
   return builder.release_endpoints();
 }
--- a/src/settings/file_error.cpp
+++ b/src/settings/file_error.cpp
@@ -26,7 +26,7 @@
   try {
     return std::string{std::istreambuf_iterator<char>(file), {}};
   } catch (const std::exception& error) {
-    return FileError{std::nullopt, 0, std::nullopt, error.what()};
+    return FileError{path, 0, std::nullopt, std::string("cannot be read: ") + error.what()};
   }
 }
 
--- a/src/settings/file_error.h
+++ b/src/settings/file_error.h
@@ -11,8 +11,8 @@
 
 /// An error in a file, as an operator reads it.
 struct FileError {
-  std::optional<std::string> file;   ///< Path as it was given; absent for errors of the system.
-  std::size_t line = 0;              ///< From 1; 0 if the error concerns no single line.
+  std::optional<std::string> file;  ///< Path as it was given; absent if the error concerns no file.
+  std::size_t line = 0;             ///< From 1; 0 if the error concerns no single line.
   std::optional<std::string> field;  ///< Absent if the error concerns no single field.
   std::string message;               ///< What is wrong and, where possible, how to correct it.
 
--- a/src/simulator_adapter/event_reader.cpp
+++ b/src/simulator_adapter/event_reader.cpp
@@ -91,7 +91,8 @@
   request.id = body.read_string("op_id");
   const auto request_class = profile.class_indexes.find(body.read_string("tier_class"));
   if (request_class == profile.class_indexes.end())
-    body.throw_invalid("tier_class", "the name of a class in the settings");
+    body.throw_invalid("tier_class", "the name of a class in the settings, but is '" +
+                                         body.read_string("tier_class") + "'");
   request.class_index = request_class->second;
   const Json* realm = body.find("realm");
   if (realm && realm->IsString()) {
--- a/src/snapshot_store/snapshot_codec.cpp
+++ b/src/snapshot_store/snapshot_codec.cpp
@@ -41,7 +41,7 @@
   if (error)
     return SnapshotError{Code::InvalidContent,
                          "the snapshot is not valid with the current configuration: " +
-                             error->to_string()};
+                             value.GetDescriptor()->name() + ": " + error->to_string()};
   AcceptedVersion accepted;
   accepted.running = xds::make_file_version(value);
   accepted.running.version = part.version();
--- a/tests/snapshot_codec_test.cpp
+++ b/tests/snapshot_codec_test.cpp
@@ -126,7 +126,7 @@
   ASSERT_FALSE(versions);
   EXPECT_EQ(versions.error().code, SnapshotError::Code::InvalidContent);
   EXPECT_EQ(versions.error().message, "the snapshot is not valid with the current configuration: "
-                                      "team[0].class[0].name: 'any' is no class of the "
+                                      "Contracts: team[0].class[0].name: 'any' is no class of the "
                                       "settings; use one that is");
 }
 
