--- a/src/config/validation.h
+++ b/src/config/validation.h
@@ -19,7 +19,8 @@
 /// Index of each request class in the platform's settings, by the class's name.
 using ClassIndexes = std::map<std::string, std::size_t>;
 
-/// What messages are validated against. It does not change while the process runs.
+/// What messages are validated against. Messages of a control service are validated against the
+/// context that the gateway started with; a reloaded operators' file has a context of its own.
 struct ValidationContext {
   ClassIndexes classes;  ///< The classes that contracts may name.
   /// The operator lists PostgreSQL's endpoints as members; otherwise they come from discovery.
--- a/src/config/validation_helpers.h
+++ b/src/config/validation_helpers.h
@@ -18,8 +18,8 @@
 /// Returns `parent` with one more step; `index` is the index in a repeated field, else -1.
 [[nodiscard]] FieldPath append_step(FieldPath parent, const char* field, int index = -1);
 
-/// A name must not be empty, must be at most `kMaxNameBytes` long and must not contain control
-/// characters, which could break a line of the log.
+/// A name must not be empty, must be at most `kMaxNameBytes` long and must not contain characters
+/// below 0x20 (control characters), which could break a line of the log.
 [[nodiscard]] std::optional<ValidationError> validate_name(const std::string& name,
                                                            const FieldPath& path);
 
--- a/src/config_versions/actions.h
+++ b/src/config_versions/actions.h
@@ -26,7 +26,8 @@
 /// Apply the content.
 struct ApplyConfiguration {
   Bodies bodies;
-  /// For each type, whether its content differs from the previous ApplyConfiguration action.
+  /// For each type, whether its content differs from that in the previous ApplyConfiguration
+  /// action. In the first action, all types are marked.
   std::array<bool, kResourceTypeCount> changed{};
 };
 
--- a/src/config_versions/configuration.h
+++ b/src/config_versions/configuration.h
@@ -133,7 +133,9 @@
 struct DiscoveryRequest {
   std::optional<ResourceType> type;
   std::string type_url;
-  /// The version that the gateway runs.
+  /// In an ACK, the version that it acknowledges. In a subscription or a NACK, the version of the
+  /// type that was acknowledged last, or empty if there is none; a version of the operators' file,
+  /// which has no name, may have replaced it since.
   std::string version;
   /// The nonce of the response that the request acknowledges or rejects.
   std::string nonce;
--- a/src/config_versions/stream_backoff.cpp
+++ b/src/config_versions/stream_backoff.cpp
@@ -5,7 +5,8 @@
 namespace gorsebeam::config_versions {
 namespace {
 
-// More doublings are not needed, as the bound has reached its maximum before, and could overflow.
+// The bound reaches its maximum with fewer doublings; without this limit, the power of two could
+// overflow.
 constexpr int kMaxDoublings = 30;
 
 }  // namespace
--- a/src/config_versions/version_tracker.h
+++ b/src/config_versions/version_tracker.h
@@ -8,7 +8,8 @@
 ///
 /// Invariants, checked by tests/version_tracker_history_test.cpp and model/versions.pml:
 ///  - each running version was accepted as a whole, and the types are valid together;
-///  - no older generation replaces a newer one, except a rollback that names the newest one;
+///  - no older generation replaces a newer one, except by a rollback that names the newest accepted
+///    generation or a later one;
 ///  - after the loss of the stream, an attempt to connect follows within `max_reconnect_backoff`;
 ///  - each response of a stream is acknowledged or rejected at most once, and exactly once if the
 ///    stream lasts for another `dependency_timeout`.
@@ -123,7 +124,8 @@
   Validator validator_;
   StreamLifecycle stream_;
   AcceptedVersions accepted_;
-  /// The version of each type that was last acknowledged to the control service, on any stream.
+  /// The version of each type that was last acknowledged to the control service, on any stream. A
+  /// restored snapshot sets it to the version in the snapshot.
   std::array<std::string, kResourceTypeCount> acknowledged_versions_;
   PendingResponses pending_;
   ApplyScheduler apply_scheduler_;
--- a/src/control_plane/control_plane_client.h
+++ b/src/control_plane/control_plane_client.h
@@ -1,7 +1,7 @@
 /// Connects the version tracker to its environment: passes the operators' file, the messages of the
 /// control service and the time to the tracker, and executes the tracker's actions on the gRPC
 /// channel, the snapshot, the log and the gateway. Without a configured control service it opens no
-/// connection and writes no snapshot.
+/// connection, and neither reads nor writes a snapshot.
 #pragma once
 
 #include "configuration_update.h"
@@ -35,7 +35,8 @@
   /// Disconnects from the control service. No version is applied afterwards.
   void stop();
 
-  /// Applies the operators' file after it was read again. Changes nothing on an error.
+  /// Applies the operators' file after it was read again. If its content is not valid together with
+  /// the running versions, changes nothing and returns the error.
   [[nodiscard]] std::optional<config_versions::ValidationError>
   reload_file(const config::OperatorFile& file);
 
--- a/src/control_plane/snapshot_manager.h
+++ b/src/control_plane/snapshot_manager.h
@@ -11,7 +11,7 @@
 namespace gorsebeam::control_plane {
 
 /// All functions run on the main loop's thread; `restore` blocks on the disk, `write` does not.
-/// Both report their results in the log.
+/// `restore` logs its result unless there is no snapshot, and `write` logs only errors.
 class SnapshotManager {
 public:
   SnapshotManager();
--- a/src/grpc/frame_rate_limiter.h
+++ b/src/grpc/frame_rate_limiter.h
@@ -24,8 +24,8 @@
   /// Counts a data frame in either direction.
   void count_data_frame() { ++data_frames_; }
 
-  /// Counts a control frame of the peer. Returns whether the control frames of the current
-  /// interval are within the limit.
+  /// Counts a control frame of the peer. Returns whether the control frames of the current interval
+  /// are within the limit.
   [[nodiscard]] LimitStatus count_control_frame(TimePoint now);
 
 private:
--- a/src/logging/log_record.cpp
+++ b/src/logging/log_record.cpp
@@ -57,7 +57,8 @@
   return static_cast<unsigned char>(c) < 0x20 || c == 0x7f;
 }
 
-/// `value` with control characters replaced, in quotation marks unless it is a single word.
+/// `value` with each control character replaced by '?' and a backslash before each '"'. It is put
+/// in quotation marks if it is empty or contains a control character, a space, '"' or '='.
 std::string quoted_if_needed(const std::string& value) {
   std::string escaped;
   bool is_plain = !value.empty();
--- a/src/logging/log_record.h
+++ b/src/logging/log_record.h
@@ -30,8 +30,8 @@
 [[nodiscard]] const char* status_name(AttemptStatus status);
 
 /// Formats a record as text, such as "endpoint_ejected endpoint=7 reason=consecutive_timeouts". A
-/// value that is not a single word is quoted, and control characters are replaced by '?', so that
-/// no value can start a new line.
+/// value that is empty or contains a space, a quotation mark, '=' or a control character is quoted.
+/// Control characters are replaced by '?', so that no value can start a new line.
 [[nodiscard]] std::string to_text(const LogRecord& record);
 
 }  // namespace gorsebeam::logging
--- a/src/mongo/client_connection.cpp
+++ b/src/mongo/client_connection.cpp
@@ -187,8 +187,8 @@
   CommandRewriter rewriter_;
   std::uint32_t last_sent_id_ = 0;
   std::uint32_t message_id_ = 0;  ///< The request id of the client's message being handled.
-  std::size_t message_size_ = 0;  ///< The size of that message in bytes.
-  CommandKind pending_command_kind_ = CommandKind::Read;  ///< The command of the pending request.
+  std::size_t message_size_ = 0;  ///< The size in bytes of the client's message being handled.
+  CommandKind pending_command_kind_ = CommandKind::Read;  ///< The kind of the pending command.
 };
 
 }  // namespace
--- a/src/mongo/command_parser.h
+++ b/src/mongo/command_parser.h
@@ -38,7 +38,8 @@
   UnsupportedOpcode,  ///< The message is neither OP_MSG nor OP_QUERY.
   MalformedMessage,   ///< The message is a malformed OP_MSG.
   MalformedQuery,     ///< The message is a malformed OP_QUERY.
-  ReplyForbidden,     ///< It forbids a reply (moreToCome), but each request gets a final answer.
+  /// The message forbids a reply (moreToCome), but each request gets a final answer.
+  ReplyForbidden,
 };
 
 /// Returns the error text for the client. It is not sent for `ReplyForbidden`.
--- a/src/mongo/upstream_protocol.cpp
+++ b/src/mongo/upstream_protocol.cpp
@@ -198,7 +198,7 @@
     if (!op_msg)
       return FramingError::Malformed;
     if ((op_msg->flags & kMoreToCome) != 0)
-      return FramingError::Malformed;  // announces further replies that answer no request
+      return FramingError::Malformed;  // the flag announces further replies without a request
     return Reply{op_msg->body, op_msg->sections, message.size};
   }
 
--- a/src/postgres/client_connection.cpp
+++ b/src/postgres/client_connection.cpp
@@ -122,7 +122,7 @@
     switch (kind) {
     case MessageKind::Query:
       return handle_query(message);
-    case MessageKind::Terminate:  // a response may not have been sent yet
+    case MessageKind::Terminate:  // earlier responses may still have to be written
       return close_when_written(frontend::CloseReason::ClientEnded);
     case MessageKind::Sync:
       phase_ = Phase::Serving;
@@ -207,7 +207,7 @@
   StatementRewriter rewriter_;
   Phase phase_ = Phase::AwaitingStartup;
   std::size_t statement_size_ = 0;  ///< The size in bytes of the pending statement's text.
-  DeadlineField deadline_;          ///< The place of the deadline in that text.
+  DeadlineField deadline_;          ///< The place of the deadline in the pending statement's text.
 };
 
 }  // namespace
--- a/src/postgres/statement_rewriter.cpp
+++ b/src/postgres/statement_rewriter.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 
 namespace gorsebeam::postgres {
-namespace {}  // namespace
 
 proxy::ByteSpans StatementRewriter::rewrite(std::string_view text, const DeadlineField& deadline,
                                             Duration time_left) {
--- a/src/simulator_adapter/session.h
+++ b/src/simulator_adapter/session.h
@@ -40,7 +40,7 @@
   TimePoint now_{};
   std::map<std::int64_t, RouterInstance> instances_;  // By the simulator's number for the router.
   EndpointBuffers endpoint_buffers_;
-  std::vector<Action> actions_;  // Empty between events; a member so that its memory is reused.
+  std::vector<Action> actions_;  // The last event's actions; a member so that its memory is reused.
 };
 
 }  // namespace gorsebeam::simulator_adapter
--- a/src/snapshot_store/snapshot_error.h
+++ b/src/snapshot_store/snapshot_error.h
@@ -20,14 +20,16 @@
     /// A newer version of the program wrote the snapshot, with a schema that this one does not
     /// know.
     UnsupportedSchema,
-    /// The content is not valid with the current platform configuration.
+    /// The content is not valid with the gateway's current configuration, or has a field that this
+    /// version of the program does not know.
     InvalidContent,
     /// A system call failed.
     SystemError,
   };
 
   Code code = Code::SystemError;
-  /// A clause for the log that describes the error, with the path where it is known.
+  /// A clause for the log that describes the error, with the path where it is known; empty
+  /// for NotFound.
   std::string message;
 };
 
--- a/src/xds/discovery_codec.cpp
+++ b/src/xds/discovery_codec.cpp
@@ -21,7 +21,8 @@
   return {RejectionError::Code::InvalidResponse, std::move(message)};
 }
 
-// Parses one resource and checks its type and fields, without regard to the other resources.
+// Parses one resource. Returns an error, which starts with `error_prefix`, if the resource is of
+// another type than `type_url` or has a field that is not in this version's schema.
 template <typename Message>
 common::Result<Message, RejectionError> parse_resource(const google::protobuf::Any& any,
                                                        const std::string& type_url,
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -14,7 +14,8 @@
   return "type.googleapis.com/" + Message::descriptor()->full_name();
 }
 
-// The order of map fields is undefined; the deterministic serialization sorts them.
+// Protobuf writes the entries of a map field in no defined order. Deterministic serialization sorts
+// them, so that equal messages have equal bytes.
 std::string serialize_deterministically(const google::protobuf::Message& message) {
   std::string bytes;
   {
