--- a/src/raft/node_messages.cpp
+++ b/src/raft/node_messages.cpp
@@ -12,11 +12,12 @@
   return last_log_index >= state_.last_log_index();
 }
 
-// Leader stickiness (thesis, 4.2.3): a node that was isolated must not depose a working leader.
+// Leader stickiness (Raft thesis, section 4.2.3): a node that has heard from a leader recently
+// grants no vote, so that a node that was isolated cannot depose a working leader.
 bool Node::has_heard_from_leader(TimePoint now) const {
   if (role_ == Role::Leader)
     return true;
-  return !leader_.empty() && now - leader_heard_at_ < settings_.min_election_timeout;
+  return !leader_.empty() && now - last_leader_message_at_ < settings_.min_election_timeout;
 }
 
 void Node::handle_message(TimePoint now, const Message& message, Actions& actions) {
@@ -42,7 +43,7 @@
   if (message.term < state_.current_term)
     reject_stale_message(message, actions);
   else
-    handle_in_current_term(now, message, actions);
+    handle_current_term_message(now, message, actions);
   persist_if_changed(actions);
 }
 
@@ -66,7 +67,7 @@
       });
   if (has_empty_state_.size() + 1 < settings_.voters.size() || !all_are_empty)
     return;
-  persistence_.mark_changed();  // The next start must find a state.
+  persistence_.mark_changed();  // The next start of this node has to find a state.
   change_role(now, Role::Follower, "", actions);
   persist_if_changed(actions);
 }
@@ -82,7 +83,8 @@
   if (!granted)
     return send(std::move(response), actions);
   response.term = message.term;
-  // That this node has left recovery must be on stable storage before it supports a candidate.
+  // Before this node supports a candidate, the state that ends its recovery must be on stable
+  // storage.
   send_after_persist(std::move(response), actions);
 }
 
@@ -103,14 +105,15 @@
     send(make_message(message.from, AppendEntriesResponse{}), actions);
 }
 
-void Node::handle_in_current_term(TimePoint now, const Message& message, Actions& actions) {
+void Node::handle_current_term_message(TimePoint now, const Message& message, Actions& actions) {
   if (const auto* vote = std::get_if<VoteRequest>(&message.body))
     return handle_vote_request(now, message, *vote, actions);
   if (const auto* vote_response = std::get_if<VoteResponse>(&message.body))
     return handle_vote_response(now, message, *vote_response, actions);
   if (const auto* append_response = std::get_if<AppendEntriesResponse>(&message.body))
     return handle_append_response(now, message, *append_response, actions);
-  // Two leaders of one term violate an invariant; this node cannot resolve it.
+  // A message of a second leader of the same term violates election safety. This leader cannot
+  // resolve that and ignores the message.
   if (role_ == Role::Leader)
     return;
   if (const auto* append = std::get_if<AppendEntriesRequest>(&message.body)) {
@@ -149,17 +152,17 @@
 
 void Node::follow_leader(TimePoint now, const Message& message, Actions& actions) {
   become_follower(now, message.term, message.from, actions);
-  leader_heard_at_ = now;
+  last_leader_message_at_ = now;
   reset_election_timer(now);
 }
 
 void Node::append_entries(const Message& message, const AppendEntriesRequest& request,
                           Actions& actions) {
   const Index previous = request.previous_log_index;
-  const Index last_new = previous + request.entries.size();
+  const Index last_new_index = previous + request.entries.size();
   for (std::size_t i = 0; i < request.entries.size(); ++i)
     if (request.entries[i].index != previous + 1 + i)
-      return;  // Malformed: the entries of a leader have no gap.
+      return;  // The request is malformed: a leader's entries have no gaps.
   AppendEntriesResponse response;
   response.heartbeat_round = request.heartbeat_round;
   const Index last = state_.last_log_index();
@@ -172,14 +175,14 @@
   if (contradicts_committed_log(request.entries))
     return;
   merge_entries(request.entries);
-  commit_index_ = std::max(commit_index_, std::min(request.leader_commit, last_new));
+  commit_index_ = std::max(commit_index_, std::min(request.leader_commit, last_new_index));
   apply_committed(actions);
   response.success = true;
-  response.match_index = std::max(last_new, std::min(commit_index_, state_.last_log_index()));
+  response.match_index = std::max(last_new_index, std::min(commit_index_, state_.last_log_index()));
   send_after_persist(make_message(message.from, response), actions);
 }
 
-// A committed entry never changes.
+// Returns whether an entry differs from the committed one at its index, which never changes.
 bool Node::contradicts_committed_log(const std::vector<LogEntry>& entries) const {
   return std::any_of(entries.begin(), entries.end(), [this](const LogEntry& entry) {
     const bool is_committed = entry.index > state_.snapshot.index && entry.index <= commit_index_;
@@ -202,9 +205,9 @@
                             Actions& actions) {
   const Snapshot& snapshot = request.snapshot;
   if (snapshot.index > commit_index_) {
-    const bool log_holds_it = state_.term_at(snapshot.index) == snapshot.term &&
-                              snapshot.index <= state_.last_log_index();
-    if (log_holds_it) {
+    const bool log_contains_snapshot_entry = state_.term_at(snapshot.index) == snapshot.term &&
+                                             snapshot.index <= state_.last_log_index();
+    if (log_contains_snapshot_entry) {
       state_.compact_to(snapshot);
     } else {
       truncate_log_from(state_.snapshot.index + 1);
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -32,7 +32,7 @@
 namespace gorsebeam::simulation {
 namespace {
 
-/// Sums over several runs.
+/// The results of several runs, added up.
 struct Totals {
   std::uint64_t actions = 0;
   std::uint64_t rejected_actions = 0;
@@ -46,7 +46,8 @@
   }
 };
 
-/// Runs one script. Returns the rule that was violated; none: the run is added to `totals`.
+/// Runs one script. Returns the violation, or nothing if every rule held; in that case the run is
+/// added to `totals`.
 std::optional<std::string> run_script(const FaultScript& script, Mutant mutant, Totals& totals) {
   try {
     SimulatedFleet fleet(script, mutant);
@@ -63,19 +64,20 @@
   return ratio(time, 1ms);
 }
 
-/// In milliseconds; 0 if there are no times. `sorted_times` is in ascending order.
-double percentile(const std::vector<Duration>& sorted_times, double share) {
+/// Returns the percentile in milliseconds, or 0 if there are no times. `sorted_times` is in
+/// ascending order.
+double percentile(const std::vector<Duration>& sorted_times, double fraction) {
   if (sorted_times.empty())
     return 0;
   const auto last = static_cast<double>(sorted_times.size() - 1);
-  return to_milliseconds(sorted_times[static_cast<std::size_t>(share * last)]);
+  return to_milliseconds(sorted_times[static_cast<std::size_t>(fraction * last)]);
 }
 
 int run_script_file(const std::string& path) {
   std::ifstream file(path);
   const std::optional<FaultScript> script = read_fault_script(file);
   if (!script) {
-    std::cerr << path << " is not a script\n";
+    std::cerr << "cannot read a fault script from " << path << '\n';
     return 1;
   }
   Totals totals;
@@ -98,7 +100,7 @@
     if (violation)
       std::cout << "detected at seed " << seed << ": " << *violation << '\n';
     else
-      std::cout << "NOT detected\n";
+      std::cout << "NOT detected within " << seeds << " seeds\n";
     all_detected = all_detected && violation.has_value();
   }
   return all_detected ? 0 : 1;
@@ -112,12 +114,12 @@
   SimulatedFleet fleet(script, Mutant::None);
   fleet.run();
   const double seconds = ratio(kRunEnd.time_since_epoch(), 1s);
-  const double of_leader = static_cast<double>(fleet.messages_of_leader()) / seconds;
-  const double of_others = static_cast<double>(fleet.messages_of_others()) / seconds;
+  const double from_leader = static_cast<double>(fleet.messages_from_leader()) / seconds;
+  const double from_others = static_cast<double>(fleet.messages_from_others()) / seconds;
   std::cout << script.gateways << " gateways, " << kVoters << " voters, lease " << std::fixed
             << std::setprecision(0) << to_milliseconds(kLeaseDuration)
-            << " ms, heartbeat 100 ms: the leader sends " << std::setprecision(1) << of_leader
-            << " messages a second, each other gateway " << of_others / (script.gateways - 1)
+            << " ms, heartbeat 100 ms: the leader sends " << std::setprecision(1) << from_leader
+            << " messages a second, each other gateway " << from_others / (script.gateways - 1)
             << '\n';
   return 0;
 }
@@ -144,7 +146,7 @@
             << percentile(times, 1) << ", lease " << to_milliseconds(kLeaseDuration) << '\n';
 }
 
-/// Runs seeds, which are independent, on several threads.
+/// Runs the simulations of several seeds, which are independent, on several threads.
 class SeedRunner {
 public:
   SeedRunner(std::uint64_t first, std::uint64_t seeds) : first_(first), seeds_(seeds) {}
@@ -154,7 +156,7 @@
     std::vector<std::thread> threads;
     for (unsigned worker = 0; worker < workers; ++worker)
       threads.emplace_back([this, worker, workers] {
-        run_share(worker, workers);
+        run_worker(worker, workers);
       });
     for (std::thread& thread : threads)
       thread.join();
@@ -171,7 +173,7 @@
 private:
   // Each worker runs every `workers`th seed and stops at its first violation, so the lowest seed
   // that violates a rule is among those found.
-  void run_share(unsigned worker, unsigned workers) {
+  void run_worker(unsigned worker, unsigned workers) {
     Totals totals;
     std::optional<std::string> violation;
     std::uint64_t seed = first_ + worker;
@@ -204,8 +206,9 @@
 }
 
 int print_usage() {
-  std::cerr << "simulation SEEDS [FIRST] | --script FILE | --cost GATEWAYS | --mutants SEEDS | "
-               "--digest SEEDS\n";
+  std::cerr
+      << "usage: simulation SEEDS [FIRST] | --script FILE | --cost GATEWAYS | --mutants SEEDS | "
+         "--digest SEEDS\n";
   return 1;
 }
 
