--- a/src/router/health_check_scheduler.cpp
+++ b/src/router/health_check_scheduler.cpp
@@ -46,8 +46,10 @@
     EndpointState& endpoint = endpoints_.at(id);
     if (!endpoint.is_usable())
       continue;
-    const bool check_can_readmit = !endpoint.needs_recovery_attempt || endpoint.may_have_restarted;
-    if (endpoint.is_ejected && check_can_readmit)
+    // A check cannot readmit an endpoint that needs a recovery attempt, but may show that an
+    // endpoint which may have restarted did not.
+    const bool check_is_useful = !endpoint.needs_recovery_attempt || endpoint.may_have_restarted;
+    if (endpoint.is_ejected && check_is_useful)
       check(endpoint, 4 * kHealthCheckGap);
     refresh_position(endpoint, group, request_class);
   }
--- a/src/router/router_state.cpp
+++ b/src/router/router_state.cpp
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-RouterState::RouterState(Settings checked_settings, std::uint64_t seed)
-    : settings(checked(std::move(checked_settings))), classes(settings.classes),
+RouterState::RouterState(Settings unchecked_settings, std::uint64_t seed)
+    : settings(checked(std::move(unchecked_settings))), classes(settings.classes),
       roles(event, endpoints), outliers(event, settings, endpoints, roles),
       health_checks(event, settings, endpoints), sessions(settings),
       timers(seed, settings.clock_resolution) {}
--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -21,7 +21,7 @@
 /// Owned by the router. The modules refer to each other, so it is neither copied nor moved.
 struct RouterState {
   /// Throws std::invalid_argument, whose message names the invalid setting.
-  RouterState(Settings checked_settings, std::uint64_t seed);
+  RouterState(Settings unchecked_settings, std::uint64_t seed);
   RouterState(const RouterState&) = delete;
   RouterState& operator=(const RouterState&) = delete;
 
--- a/tests/router/router_endpoint_list_test.cpp
+++ b/tests/router/router_endpoint_list_test.cpp
@@ -52,7 +52,7 @@
   EXPECT_EQ(used, (std::set<EndpointId>{2, 3}));
 }
 
-TEST(RouterEndpointList, EndpointOfUnknownGroupGetsNoRequestOfOthers) {
+TEST(RouterEndpointList, EndpointGetsNoRequestOfOtherGroups) {
   RouterHarness harness;
   harness.list_healthy_group();
   Endpoint other_group = make_endpoint(9);
--- a/tests/router/router_replication_position_test.cpp
+++ b/tests/router/router_replication_position_test.cpp
@@ -128,13 +128,13 @@
 
 TEST(RouterReplicationPosition, SessionReadNeedsOnlyAnsweredWritesWhereLostAnswersDoNotCount) {
   const Duration elapsed = 500ms;
-  const std::optional<Duration> never;
-  EXPECT_TRUE(
-      (WriteThenRead{kKeyedWrite, std::nullopt, elapsed, never}.is_read_served_by_replica()));
-  EXPECT_TRUE((WriteThenRead{kPlainWrite, AttemptStatus::Reset, elapsed, never}
+  const std::optional<Duration> no_assumed_delay;
+  EXPECT_TRUE((WriteThenRead{kKeyedWrite, std::nullopt, elapsed, no_assumed_delay}
                    .is_read_served_by_replica()));
-  EXPECT_FALSE(
-      (WriteThenRead{kKeyedWrite, AttemptStatus::Ok, elapsed, never}.is_read_served_by_replica()));
+  EXPECT_TRUE((WriteThenRead{kPlainWrite, AttemptStatus::Reset, elapsed, no_assumed_delay}
+                   .is_read_served_by_replica()));
+  EXPECT_FALSE((WriteThenRead{kKeyedWrite, AttemptStatus::Ok, elapsed, no_assumed_delay}
+                    .is_read_served_by_replica()));
 }
 
 TEST(RouterReplicationPosition, ForgottenWritesAreRequiredOfAllSessions) {
@@ -148,7 +148,7 @@
   };
 
   write(7);
-  harness.send_request(kSessionRead, 8);  // It never wrote, so any replica may serve it.
+  harness.send_request(kSessionRead, 8);  // Session 8 never wrote: any replica may serve it.
   EXPECT_NE(harness.attempted_endpoint(), kNoEndpoint);
   EXPECT_NE(harness.attempted_endpoint(), 1U);
 
