--- a/include/gorsebeam/actions.h
+++ b/include/gorsebeam/actions.h
@@ -35,7 +35,7 @@
   OutOfTime,      ///< No further attempt could be answered in time.
   AttemptsUsed,   ///< It has had all attempts that it may have.
   UnsafeToRetry,  ///< An attempt may have run, and its class allows no other.
-  NoPrimary,      ///< Its group had no known primary in the first half of its time.
+  NoPrimary,      ///< Its group still has no known primary after half of its time.
 };
 
 /// The final answer to a request: rejected, and safe to send again.
@@ -56,10 +56,9 @@
   TimePoint at{};
 };
 
-/// Asks discovery for the endpoint list and its changes. Needed where the list is polled
+/// Asks discovery for the endpoint list. Emitted only where the list is polled
 /// (`DiscoveryMode::Poll`): the program starts one poll for each of these actions. Where discovery
-/// pushes changes, a program that keeps a watch on the list at all times, as the gateway does, has
-/// nothing to do.
+/// pushes changes, the program itself keeps a watch on the list at all times, as the gateway does.
 struct WatchEndpoints {};
 
 using Action = std::variant<StartAttempt, SendHealthCheck, CancelAttempt, RejectRequest,
--- a/include/gorsebeam/log_messages.h
+++ b/include/gorsebeam/log_messages.h
@@ -13,14 +13,14 @@
   EndpointId endpoint = 0;
 };
 
-/// An endpoint that was its group's primary reports that it is a replica.
+/// An endpoint that was its group's primary reports that it is a replica, or refuses a write.
 struct PrimaryDemoted {
   GroupId group = 0;
   EndpointId endpoint = 0;
 };
 
-/// A group's primary did not answer or could not be reached. The group's writes wait for evidence
-/// of its primary.
+/// A group's primary did not answer, could not be reached, or is draining or removed. The group's
+/// writes wait for evidence of its primary.
 struct PrimarySuspected {
   GroupId group = 0;
   EndpointId endpoint = 0;
@@ -29,7 +29,8 @@
 /// Why an endpoint was ejected.
 enum class EjectionReason { ConsecutiveTimeouts, ConnectionFailure, ErrorRatio };
 
-/// An endpoint gets no reads until it answers a recovery attempt or a health check.
+/// An endpoint was ejected: it gets no reads but recovery attempts until it answers one of these.
+/// After a connection failure, any other answer or a health check readmits it too.
 struct EndpointEjected {
   EndpointId endpoint = 0;
   EjectionReason reason = EjectionReason::ConsecutiveTimeouts;
--- a/include/gorsebeam/router.h
+++ b/include/gorsebeam/router.h
@@ -32,9 +32,9 @@
 
   /// Whether an attempt that the router started may still be written to its endpoint. A connection
   /// can be established long after the decision, so the program asks again right before the write.
-  /// False if the request has ended, the endpoint is draining or removed, the time for a retry is
-  /// over, or the evidence that the endpoint is current has expired; the attempt then ends as
-  /// AttemptStatus::NotSent.
+  /// False if the request has ended, its deadline or the time for a retry has passed, the endpoint
+  /// is draining or removed, or the evidence that the endpoint is current has expired; the attempt
+  /// then ends as AttemptStatus::NotSent.
   [[nodiscard]] bool is_attempt_allowed(TimePoint now, const std::string& request_id,
                                         EndpointId endpoint);
 
--- a/include/gorsebeam/settings.h
+++ b/include/gorsebeam/settings.h
@@ -42,7 +42,9 @@
   Duration clock_resolution = 1ns;  ///< The shortest time between two events that differ in time.
 
   DiscoveryMode discovery_mode = DiscoveryMode::Push;
-  Duration max_list_age{};  ///< DiscoveryMode::Poll only: the list is polled when it is older.
+  /// DiscoveryMode::Poll only: the age from which the list is due for a poll. The router does not
+  /// use it: it polls after a cached list and after a failed poll.
+  Duration max_list_age{};
   ListedRole listed_role = ListedRole::None;
 
   SessionTokenSource session_token_source = SessionTokenSource::Router;
@@ -57,7 +59,8 @@
   bool load_reports_contain_positions = false;  ///< Reports contain a replication position.
   bool load_reports_contain_roles = false;      ///< Reports contain the endpoint's role.
   bool health_checks_allowed = true;
-  double health_check_cost = 0.24;  ///< The cost of one, relative to a read's value; 0: free.
+  /// The cost of one health check, relative to a read's value; 0: free.
+  double health_check_cost = 0.24;
 
   bool cancellation_allowed = false;
   bool hedging_allowed = false;      ///< A second copy of a late read may be sent in parallel.
--- a/include/gorsebeam/types.h
+++ b/include/gorsebeam/types.h
@@ -15,7 +15,7 @@
 /// Identifies a replica group: one primary and its replicas.
 using GroupId = std::uint32_t;
 
-/// Which data the reads of a class must see, or that its requests write.
+/// Which data the reads of a class must see, or that the class consists of writes.
 enum class ConsistencyLevel {
   Eventual,          ///< Data of any age.
   BoundedStaleness,  ///< Data at most `RequestClass::max_staleness` old when the read is sent.
--- a/src/router/attempt_observer.cpp
+++ b/src/router/attempt_observer.cpp
@@ -9,9 +9,9 @@
 
 void AttemptObserver::record_answer(EndpointState& endpoint, const AttemptResult& result) {
   const TimePoint now = state_.event.now;
-  // A read that started before a change of the primary reports the old role. It is ignored, as each
-  // such answer would send all waiting writes to an endpoint that now rejects them, until their
-  // attempts are used up.
+  // A read that started before a change of the primary reports the old role. This role is ignored
+  // if the endpoint has answered as a replica since the read started, as each such answer would
+  // send all waiting writes to an endpoint that now rejects them, until their attempts are used up.
   if (result.role == Role::Replica)
     endpoint.answered_as_replica_at = now;
   const bool claims_primary =
--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -77,8 +77,9 @@
   request.is_hedged = true;
 }
 
-// Called for a read for which no replica is admitted. The read waits while health checks request
-// positions, and goes to the primary once a longer wait would miss its latency objective.
+// Called for a read for which no replica is admitted. The read waits while a position may arrive
+// that proves a replica current. It goes to the primary if none may arrive, or once a longer wait
+// would miss its latency objective.
 void Dispatcher::await_current_replica(PendingRequest& request) {
   const bool position_may_arrive = positions_.request_positions(request);
   const Duration work = to_duration(2 * state_.typical_latency(request));
--- a/src/router/endpoint_list_updater.h
+++ b/src/router/endpoint_list_updater.h
@@ -6,12 +6,12 @@
 
 namespace gorsebeam::router {
 
-/// Also schedules the polls of the list where discovery is polled.
+/// Applies lists as they arrive, and schedules the polls of the list where discovery is polled.
 class EndpointListUpdater {
 public:
   explicit EndpointListUpdater(RouterState& state) : state_(state) {}
 
-  /// Applies a full list, a delta or a failed poll.
+  /// Applies a cached or full list or a delta, or schedules a repeat of a failed poll.
   void apply(const EndpointList& list);
 
 private:
--- a/src/router/endpoint_selection.cpp
+++ b/src/router/endpoint_selection.cpp
@@ -11,7 +11,8 @@
 namespace gorsebeam::router {
 namespace {
 
-constexpr EndpointId kNoEndpoint = std::numeric_limits<EndpointId>::max();  // the reserved id
+// Stands for no endpoint: the id that `EndpointId` reserves.
+constexpr EndpointId kNoEndpoint = std::numeric_limits<EndpointId>::max();
 
 bool needs_current_data(const RequestClass& request_class) {
   return request_class.consistency == ConsistencyLevel::BoundedStaleness ||
--- a/src/router/endpoint_table.h
+++ b/src/router/endpoint_table.h
@@ -61,22 +61,24 @@
   std::optional<EndpointId> primary;  ///< By the newest evidence.
   /// The time to which that evidence applies. Kept when the primary becomes unknown.
   TimePoint primary_evidence_at = kUnknownTime;
-  bool primary_suspected = false;  ///< The primary did not answer, so writes wait.
+  /// The primary did not answer, could not be reached, or is draining or removed, so writes wait.
+  bool primary_suspected = false;
   /// Whether reads with a staleness bound arrive at longer intervals than the bound, so that the
   /// positions known at one read are too old for the next.
   bool sparse_bounded_reads = true;
   TimePoint last_bounded_read_at = kUnknownTime;
   /// Whether something changed that may allow the waiting requests to be sent.
   bool is_dispatchable = false;
-  TimePoint last_discovery_at = kUnknownTime;  ///< When a write was last sent to find the primary.
+  /// When a request was last sent to find the primary.
+  TimePoint last_discovery_at = kUnknownTime;
   /// Limits the rate of dispatches, as thousands of requests may wait.
   TimePoint last_dispatch_at{};
   std::set<std::uint64_t> waiting;  ///< Sequence numbers of requests with no attempt in flight.
 };
 
 /// Owns all endpoint states and groups. Its size is bounded by the listed endpoints, those removed
-/// within the last minute, and the groups of open requests. A reference to an endpoint or a group
-/// stays valid until the table forgets it.
+/// within the last minute, and the endpoints and groups of open requests. A reference to an
+/// endpoint or a group stays valid until the table forgets it.
 class EndpointTable {
 public:
   using Endpoints = std::map<EndpointId, EndpointState>;
@@ -118,7 +120,7 @@
   /// Records that something changed which may allow the waiting requests of a group to be sent.
   void mark_dispatchable(GroupId id);
 
-  /// Removes and returns the group that was marked first, if any.
+  /// Returns the group that was marked first and removes its mark; empty if no group is marked.
   [[nodiscard]] std::optional<GroupId> pop_dispatchable();
 
   /// Forgets the endpoints that were removed from the list at least a minute ago, except those
--- a/src/router/health_check_scheduler.h
+++ b/src/router/health_check_scheduler.h
@@ -9,7 +9,8 @@
 
 namespace gorsebeam::router {
 
-/// The shortest time between two health checks of one endpoint.
+/// The shortest time between two health checks of one endpoint, where the caller of
+/// `HealthCheckScheduler::check` gives no other.
 constexpr Duration kHealthCheckGap = 100ms;
 
 /// Whether a health check counts against the budget.
@@ -28,7 +29,8 @@
 
   /// Adds a request's share to the budget. If `read_needs_own_check`, no other read will use the
   /// result of a health check for this read, and the share is the value that the check has for this
-  /// read alone. That value rises with `primary_saturation`, which is in [0, 1].
+  /// read alone, divided by its cost, and at most 1. That value rises with `primary_saturation`,
+  /// which is in [0, 1].
   void accrue_budget(bool read_needs_own_check, double primary_saturation);
 
   /// Sends a health check if one is allowed, none is in flight and the last is at least `gap` ago.
--- a/src/router/load_admission.cpp
+++ b/src/router/load_admission.cpp
@@ -30,12 +30,12 @@
 }
 
 // An endpoint in slow start keeps its share in the hash, and a primary keeps its writes, but only a
-// fraction of these requests are sent. The hash of its id decides whether a request belongs to the
-// fraction at every endpoint, so that the rest does not overload the next endpoint. The fraction is
-// the endpoint's present capacity; if the list contained its start, it is that capacity times the
-// square root of the overload factor, as typical work needs less than the settings assume. The
-// fraction is lower while the endpoint's pool is overloaded, as clients retry rejected requests.
-// Trade-off: an endpoint that does the work of several may still be overloaded.
+// fraction of these requests are sent. The hash of a request's id decides whether it belongs to the
+// fraction, at all endpoints alike, so that the rest does not overload the next endpoint. The
+// fraction is the endpoint's present capacity; if the list contained its start, it is that capacity
+// times the square root of the overload factor, as typical work needs less than the settings
+// assume. The fraction is lower while the endpoint's pool is overloaded, as clients retry rejected
+// requests. Trade-off: an endpoint that does the work of several may still be overloaded.
 bool LoadAdmission::admits_during_slow_start(const EndpointState& endpoint,
                                              const PendingRequest& request) {
   const double capacity = slow_start_capacity(endpoint, state_.settings, state_.event.now);
--- a/src/router/load_estimator.h
+++ b/src/router/load_estimator.h
@@ -51,7 +51,7 @@
   static void record(DecayingLoad& own, DecayingLoad& pool, double objective_fraction,
                      TimePoint now);
 
-  /// The load `target` divided by the endpoint's estimated load; above 1 for an endpoint with free
+  /// The target load divided by the endpoint's estimated load; above 1 for an endpoint with free
   /// capacity. `own` and `pool` must be decayed to the present.
   [[nodiscard]] static double headroom(const DecayingLoad& own, const DecayingLoad& pool,
                                        double target);
--- a/src/router/outlier_ejection.cpp
+++ b/src/router/outlier_ejection.cpp
@@ -12,10 +12,10 @@
 // The weight of a new sample in the error ratio, so that about the last ten answers count.
 constexpr double kErrorSmoothing = 0.1;
 
-// An endpoint with a higher error ratio is ejected.
+// A replica with a higher error ratio is ejected.
 constexpr double kMaxErrorRatio = 0.25;
 
-// An endpoint that answers sooner after its first broken connection did not restart.
+// An endpoint that answers within this time after its first broken connection did not restart.
 constexpr Duration kMinRestartTime = 300ms;
 
 // The upper limit of the recovery backoff, as outages last seconds to tens of seconds.
@@ -108,7 +108,8 @@
     back_off_recovery(endpoint);
   // A single broken connection may be chance: endpoints reset some connections and continue to run,
   // also while they are ejected for being slow. Two in a row eject an endpoint, as two timeouts do,
-  // because all connections to an endpoint that is down break.
+  // because all connections to an endpoint that is down break. A connection that times out ejects
+  // the endpoint at once.
   const bool immediate = kind == ConnectionFailureKind::Immediate;
   if (immediate) {
     ++endpoint.connection_breaks;
--- a/src/router/outlier_ejection.h
+++ b/src/router/outlier_ejection.h
@@ -13,7 +13,7 @@
 /// What ends an ejection.
 enum class RecoveryCondition {
   HealthCheck,  ///< A health check or any answer.
-  Attempt,      ///< Only the answer to a request, as a health check proves little.
+  Attempt,      ///< Only the answer to a recovery attempt, as a health check proves little.
 };
 
 /// How a connection failed.
@@ -36,8 +36,8 @@
   /// restarted.
   void readmit(EndpointState& endpoint);
 
-  /// Records an answered attempt: resets the count of failures and the backoff, and readmits the
-  /// endpoint unless only a recovery attempt can.
+  /// Records an answered attempt, unless it was overdue: resets the count of failures. Also resets
+  /// the backoff and readmits the endpoint, unless only a recovery attempt can readmit it.
   void record_answer(EndpointState& endpoint, const UpstreamAttempt& attempt);
 
   /// Postpones the next recovery attempt by the backoff, and doubles the backoff.
--- a/src/router/primary_discovery.cpp
+++ b/src/router/primary_discovery.cpp
@@ -3,7 +3,7 @@
 namespace gorsebeam::router {
 namespace {
 
-// The shortest time between two writes that are sent to find a group's primary.
+// The shortest time between two requests that are sent to find a group's primary.
 constexpr Duration kDiscoveryInterval = kHealthCheckGap;
 
 // A position that an endpoint reported within this time is recent evidence that it is running.
@@ -11,10 +11,11 @@
 
 }  // namespace
 
-// Where health checks report roles, all endpoints of the group are checked. Otherwise one waiting
-// write at a time is sent to the endpoints, the one with the highest replication position first: an
-// endpoint that is not the primary refuses it without executing it. Each such attempt counts
-// against the limit of the write.
+// Where health checks report roles, all endpoints of the group are checked, and a request waits for
+// their reports for kHealthCheckGap. After that, and where no roles are reported, one waiting
+// request at a time is sent to the endpoints, the one with the highest replication position first:
+// an endpoint that is not the primary refuses a write without executing it. Each such attempt
+// counts against the request's limit of attempts.
 void PrimaryDiscovery::discover_for(PendingRequest& request) {
   ReplicaGroup& group = state_.group_of(request);
   check_roles(group);
@@ -71,7 +72,7 @@
   return !selector_.was_attempted(request, id);
 }
 
-// The primary may get a request a second time if evidence since the first attempt shows that it is
+// The primary may get a request a second time if evidence since the last attempt shows that it is
 // still the primary, as it may have broken one connection and continue to serve. Otherwise the
 // write would never succeed, as no other endpoint accepts it.
 bool PrimaryDiscovery::has_evidence_since_attempt(const PendingRequest& request) const {
--- a/src/router/primary_discovery.h
+++ b/src/router/primary_discovery.h
@@ -10,8 +10,8 @@
 
 namespace gorsebeam::router {
 
-/// Discovers a primary by health checks where they report roles, otherwise by sending one waiting
-/// write at a time.
+/// Discovers a primary by health checks where they report roles. Where they do not, or show no
+/// primary in time, one waiting request at a time is sent to an endpoint.
 class PrimaryDiscovery {
 public:
   PrimaryDiscovery(RouterState& state, const EndpointSelector& selector, LoadAdmission& admission,
--- a/src/router/replication_positions.h
+++ b/src/router/replication_positions.h
@@ -9,7 +9,8 @@
 namespace gorsebeam::router {
 
 /// Records that an endpoint reported at `reported_at` that it has applied the log up to `position`.
-/// An older position changes nothing, as an endpoint never goes back in the log.
+/// An older position updates only the time of the last report, as an endpoint never goes back in
+/// the log.
 void advance_replication_position(EndpointTable& endpoints, EndpointState& endpoint,
                                   ReplicationPosition position, TimePoint reported_at);
 
--- a/src/router/retry_policy.cpp
+++ b/src/router/retry_policy.cpp
@@ -9,13 +9,14 @@
 namespace {
 
 // An attempt is overdue after at least this many times the median latency of its class. One answer
-// in fifty takes longer if latencies are distributed exponentially.
+// in 64 takes longer if latencies are distributed exponentially.
 constexpr double kOverdueFactor = 6;
 
 // The hedged requests that each request adds to the budget; bounds the load that hedging adds.
 constexpr double kHedgeShare = 0.02;
 
-// The first backoff after a primary rejected an attempt; doubles with each attempt.
+// Half of the backoff after a primary rejected the first attempt of a request. The backoff doubles
+// with each attempt.
 constexpr Duration kRejectionBackoff = 5 * kRequestCheckInterval;
 
 }  // namespace
--- a/src/router/retry_policy.h
+++ b/src/router/retry_policy.h
@@ -14,7 +14,7 @@
   Free,      ///< A hedge outside the budget, as the endpoint of the attempt was ejected.
 };
 
-/// Also holds the budget for hedged requests.
+/// Applies the rules for retries and hedged requests, and holds the budget for hedged requests.
 class RetryPolicy {
 public:
   explicit RetryPolicy(RouterState& state) : state_(state) {}
@@ -28,7 +28,7 @@
   /// Whether a hedge may be sent now, while an attempt is in flight.
   [[nodiscard]] HedgeDecision decide_hedge(const PendingRequest& request) const;
 
-  /// How long after its start an attempt of the request at the endpoint counts as timed out.
+  /// How long after its start an attempt of the request at the endpoint is overdue.
   [[nodiscard]] Duration overdue_after(const PendingRequest& request, EndpointId id);
 
   /// Whether the request has attempts left, by the settings and its contract.
--- a/src/router/role_evidence.h
+++ b/src/router/role_evidence.h
@@ -11,7 +11,8 @@
 
 /// A statement about an endpoint's role.
 struct RoleEvidence {
-  /// Evidence from an answer to a request ends the suspicion of a primary; a load report does not.
+  /// Evidence from an answer to a request ends the suspicion of a primary. Evidence from a load
+  /// report ends it only if it changes the group's primary.
   enum class Source { Answer, Report };
 
   bool is_primary = false;
@@ -29,8 +30,8 @@
   /// primary.
   void record_role_evidence(EndpointState& endpoint, const RoleEvidence& evidence);
 
-  /// Records that an endpoint did not answer or could not be reached. If it is its group's primary,
-  /// writes wait until evidence shows which endpoint is the primary.
+  /// Records that an endpoint did not answer, could not be reached, or is draining or removed. If
+  /// it is its group's primary, writes wait until evidence shows which endpoint is the primary.
   void suspect_primary(const EndpointState& endpoint);
 
 private:
--- a/src/router/session_requirements.h
+++ b/src/router/session_requirements.h
@@ -8,7 +8,8 @@
 
 namespace gorsebeam::router {
 
-/// Also records the sessions' writes where this router is the source of session tokens.
+/// Reads session tokens from requests, or, where this router is their source, determines them from
+/// the writes that it records.
 class SessionRequirements {
 public:
   explicit SessionRequirements(const Settings& settings);
--- a/src/session_tokens/session_writes.h
+++ b/src/session_tokens/session_writes.h
@@ -1,7 +1,8 @@
 /// The replication position that the reads of each session require to see the session's own writes.
 ///
 /// The module reads no clock and performs no I/O: the caller passes the time. It is not
-/// thread-safe. Positions and times are Unix nanoseconds.
+/// thread-safe. Positions and times count from the same epoch, as the time stands in for the
+/// position of a commit that is not known.
 ///
 /// A write may take effect before its response reaches this gateway: the endpoint may have
 /// committed it and answered, while the response is delayed or lost. The session may learn of the
@@ -26,7 +27,7 @@
 /// How an attempt of a write ended.
 enum class WriteResult {
   Committed,    ///< Answered as committed.
-  Unknown,      ///< Not answered; it may have run.
+  Unknown,      ///< Not confirmed; it may have run.
   NotExecuted,  ///< Proven never to have run.
 };
 
--- a/tests/router/endpoint_fixture.h
+++ b/tests/router/endpoint_fixture.h
@@ -23,7 +23,7 @@
     event_.actions = &actions_;
   }
 
-  /// Adds an endpoint to the group that is up and not ejected.
+  /// Adds an endpoint that is up and not ejected to the group.
   EndpointState& add_endpoint(EndpointId id) {
     EndpointState& endpoint = endpoints_.find_or_create(id);
     endpoint.listing.id = id;
--- a/tests/router/policy_fixture.h
+++ b/tests/router/policy_fixture.h
@@ -42,7 +42,7 @@
     state_.endpoints.group(0).primary_evidence_at = kStart;
   }
 
-  /// Adds an endpoint to group 0 that is up, not ejected and current.
+  /// Adds an endpoint that is up, not ejected and current to group 0.
   EndpointState& add_endpoint(EndpointId id) {
     EndpointState& endpoint = state_.endpoints.find_or_create(id);
     endpoint.listing.id = id;
@@ -52,7 +52,7 @@
     return endpoint;
   }
 
-  /// Adds an open request of a class that has just arrived, with a deadline in two seconds.
+  /// Adds an open request that has just arrived, with a deadline in two seconds.
   PendingRequest& add_request(std::size_t class_index) {
     Request request;
     request.id = "request-" + std::to_string(next_request_++);
--- a/tests/router/router_harness.h
+++ b/tests/router/router_harness.h
@@ -35,7 +35,7 @@
 /// An endpoint of group 0 that is up.
 Endpoint make_endpoint(EndpointId id, TimePoint started_at = {});
 
-/// The same, listed as draining.
+/// An endpoint of group 0 that is listed as draining.
 Endpoint make_draining_endpoint(EndpointId id);
 
 /// Whether an attempt's end is also the final answer to its request.
@@ -73,8 +73,8 @@
   std::string send_request(std::size_t class_index, std::optional<std::uint64_t> session = {},
                            Duration session_token_age = 0ms);
 
-  /// Ends an attempt. In answers, endpoint 1 reports that it is the primary, and every other
-  /// endpoint that it is a replica.
+  /// Ends an attempt. If the status is Ok or Misdirected, endpoint 1 reports that it is the
+  /// primary, and every other endpoint that it is a replica.
   void end_attempt(const std::string& request_id, EndpointId endpoint, AttemptStatus status,
                    RequestState state = RequestState::Open, Duration elapsed = 10ms,
                    std::uint32_t attempt = 0);
--- a/tests/router/router_health_check_test.cpp
+++ b/tests/router/router_health_check_test.cpp
@@ -81,8 +81,8 @@
   return count;
 }
 
-// Most such reads go to the primary without a health check. Once primaries answer as slowly as the
-// target load allows, each read checks a replica first, whatever the check costs.
+// Most sparse bounded reads go to the primary without a health check. Once primaries answer as
+// slowly as the target load allows, each read checks a replica first, whatever the check costs.
 TEST(RouterHealthCheck, SparseBoundedReadsAvoidSaturatedPrimary) {
   // Ten health checks may be sent at once, and each request adds a tenth of one.
   EXPECT_LE(count_sparse_reads_served_by_replicas(20ms), 22);
--- a/tests/router/router_random_histories_test.cpp
+++ b/tests/router/router_random_histories_test.cpp
@@ -1,7 +1,7 @@
-/// Plays random histories and checks in each step that no action breaks a rule: nothing
-/// goes to an endpoint that is leaving, no request has two attempts in flight where hedging is off,
-/// none is attempted after its final answer, and none is repeated where its class does not allow
-/// it.
+/// Plays random histories and checks in each step that no action breaks a rule: nothing is sent to
+/// an endpoint that is draining or removed, no request has two attempts in flight where hedging is
+/// off, none is attempted after its final answer, and none is repeated where its class does not
+/// allow it.
 #include "router_harness.h"
 
 #include <array>
--- a/tests/router/router_rejection_test.cpp
+++ b/tests/router/router_rejection_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST(RouterRejection, RejectsUnservedRequestBeforeItsDeadline) {
-  RouterHarness harness;  // It knows no endpoint.
+  RouterHarness harness;  // The router knows no endpoint.
   const std::string id = harness.send_request(kEventualRead);
   harness.actions.clear();
   harness.run_timers_for(2000ms);
