--- a/tests/version_tracker_test.cpp
+++ b/tests/version_tracker_test.cpp
@@ -188,7 +188,7 @@
   EXPECT_EQ(value_of(applied.back().bodies[2]), 200);
 }
 
-TEST_F(VersionTrackerTest, PingsASilentServiceThenConnectsToTheNextAddress) {
+TEST_F(VersionTrackerTest, ConnectsToTheNextAddressAfterATimeoutAndPingsASilentService) {
   create_tracker(2);
   start();
   EXPECT_EQ(drain<OpenStream>().at(0).address, "a0");
@@ -202,7 +202,7 @@
   EXPECT_EQ(drain<DiscoveryRequest>().size(), kResourceTypeCount);
   advance(settings_.stream.keepalive_interval);
   EXPECT_EQ(drain<SendPing>().size(), 1U);
-  tracker_->on_bytes_received(now_);  // the acknowledgement
+  tracker_->on_bytes_received(now_);  // the acknowledgement of the ping
   advance(settings_.stream.keepalive_interval);
   EXPECT_EQ(drain<SendPing>().size(), 1U);
   advance(settings_.stream.keepalive_interval);
