--- a/model/leases.pml
+++ b/model/leases.pml
@@ -2,9 +2,9 @@
  * time and does not notice, and its successor. Every step may take any time, as no timeout bounds it. All clocks run
  * at the same rate; the simulation in tests/fleet covers clock drift. Assertions check:
  *   mutual exclusion   no two gateways have a valid token at the same time
- *   fencing            no action is accepted under a token lower than one before
- * Run: spin -run model/leases.pml. CI (.ci/model) does so, and requires that the assertions fail for each variant
- * without one of the protections. */
+ *   fencing            no action is accepted under a token lower than one accepted before
+ * Run: spin -run -noclaim -m200000 model/leases.pml. CI (.ci/model) does so, and requires that the assertions fail for
+ * each variant without one of the protections. */
 #define LEASE 2
 #define LAST_TICK 3 /* one tick after a whole lease */
 #define MAX_TOKEN 3
--- a/model/versions.pml
+++ b/model/versions.pml
@@ -5,7 +5,8 @@
  *   ordered     no older generation replaces a newer one without a rollback that names the newest (assert)
  *   answered    each response is answered exactly once, unless its stream is lost first (assert and ltl)
  *   reconnects  after the loss of a stream the tracker opens a stream again (ltl)
- * Run: spin -run -ltl NAME model/versions.pml; .ci/model does so for each property, and for models with a fault.
+ * Run: spin -run -noclaim model/versions.pml for the assertions, and spin -run -ltl NAME -a model/versions.pml for each
+ * ltl property NAME. CI (.ci/model) does so, and requires that models with a fault violate a property.
  * tests/version_tracker_history_test.cpp checks the same properties of the code itself. */
 #define MAX_GENERATION 3 /* generations 1..3; contracts of generation g need members of generation g or later */
 #define NONE 0
--- a/src/leases/lease_client.h
+++ b/src/leases/lease_client.h
@@ -25,7 +25,7 @@
 
 enum class LossReason {
   Expired,   ///< The lease has expired by this gateway's clock.
-  Released,  ///< A response no longer names the role, or this gateway has resigned.
+  Released,  ///< A response does not name the role with this token, or this gateway has resigned.
 };
 
 /// The gateway must not act under the token any more.
@@ -50,7 +50,9 @@
   /// Call it at `next_deadline`, or at any other time.
   void tick(TimePoint now, ClientActions& actions);
 
-  /// Replaces the held leases by those of the response; ignores a response that is not newer.
+  /// Replaces the held leases by those of the response. Ignores a response to another holder, one
+  /// whose request is no longer tracked or not newer than the last answered request, and every
+  /// response after `resign`.
   void handle_response(TimePoint now, const LeaseResponse& response, ClientActions& actions);
 
   /// Gives up all roles at once and acquires none afterwards.
--- a/src/leases/lease_manager.h
+++ b/src/leases/lease_manager.h
@@ -25,6 +25,7 @@
 ///
 /// Bounds: there are at most kMaxRoles roles. The manager keeps one record for each holder that
 /// sent a request within the last ten leases, and at most one pending request of each holder.
+/// The FlapHistory of a gateway is kept for ten leases after the gateway is no longer avoided.
 #pragma once
 
 #include "leases/lease_table.h"
@@ -71,7 +72,8 @@
   /// it started can be answered.
   void handle_confirmation_started(std::uint64_t round);
 
-  /// Reports that this node led when `round`, or an earlier one, started.
+  /// Reports that this node led when `round` and all earlier rounds started, and answers the
+  /// requests that these rounds confirm.
   void handle_leadership_confirmed(TimePoint now, std::uint64_t round, ManagerActions& actions);
 
   /// Reports that the grant of `role` in the table has changed.
--- a/src/leases/lease_table.h
+++ b/src/leases/lease_table.h
@@ -12,7 +12,7 @@
 namespace gorsebeam::leases {
 
 struct Grant {
-  std::string holder;  ///< Empty if the role was never granted or was given up.
+  std::string holder;  ///< Empty if the role was never granted, or was last granted to no holder.
   FencingToken token = 0;
 };
 
@@ -24,8 +24,8 @@
                                                  FencingToken expected_token);
 
   /// Applies the command of the log entry at `index`, which becomes the fencing token of the grant.
-  /// Returns the role whose grant changed, or nothing if the command is outdated, is not a grant or
-  /// would add a role beyond kMaxRoles.
+  /// Returns the role whose grant changed, or nothing if the command is outdated, is no well-formed
+  /// grant or would add a role beyond kMaxRoles.
   std::optional<std::string> apply(std::uint64_t index, const std::string& command);
 
   /// Returns the current grant, which is empty for a role that was never granted.
--- a/src/raft/node.h
+++ b/src/raft/node.h
@@ -203,7 +203,8 @@
   TimePoint deadline_ = kNever;
   TimePoint last_leader_message_at_ = TimePoint(-Duration::max());
   std::uint64_t recovery_attempt_ = 0;
-  /// While recovering: for each node that replied, whether its state was empty.
+  /// While recovering: for each node that replied, whether any of its replies reported an empty
+  /// state.
   std::map<std::string, bool> has_empty_state_;
   /// As a pre-candidate or candidate: the nodes that granted their votes.
   std::set<std::string> granted_votes_;
--- a/tests/connection_state_machine_test.cpp
+++ b/tests/connection_state_machine_test.cpp
@@ -5,6 +5,7 @@
 #include <gtest/gtest.h>
 
 #include <array>
+#include <string>
 
 using namespace gorsebeam;
 using namespace gorsebeam::connection_pool;
@@ -56,7 +57,7 @@
       {State::ReceivingResponse, false, false, true, true},
   }};
   for (const Case& expected : kCases) {
-    SCOPED_TRACE(static_cast<int>(expected.state));
+    SCOPED_TRACE("state " + std::to_string(static_cast<int>(expected.state)));
     const ConnectionStateMachine machine = machine_in(expected.state);
     EXPECT_EQ(machine.state(), expected.state);
     EXPECT_EQ(machine.is_opening(), expected.is_opening);
@@ -112,7 +113,9 @@
   for (const Case& expected : kCases) {
     const ConnectionStateMachine machine = machine_in(expected.state);
     EXPECT_EQ(machine.status_at_timeout(expected.kind, expected.deadline), expected.status)
-        << "state " << static_cast<int>(expected.state);
+        << "state " << static_cast<int>(expected.state) << ", request kind "
+        << static_cast<int>(expected.kind) << ", deadline state "
+        << static_cast<int>(expected.deadline);
   }
 }
 
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -96,7 +96,7 @@
       "all a+ b+");
   EXPECT_EQ(filtered(filter, 44, false, {endpoint("a", kDraining)}), " a~");
   EXPECT_EQ(filtered(filter, 42, false, {endpoint("a", kUp), endpoint("b", kDraining)}),
-            " b~");  // newer than the last event of b
+            " b~");  // the entry of b is newer than the last event of b
   EXPECT_EQ(filtered(filter, 43, true, {endpoint("a", kUp), endpoint("c", kUp)}),
             " c+");  // b is not removed
   EXPECT_EQ(filtered(filter, 45, false, {endpoint("a", kRemoved)}), " a-");
--- a/tests/fake_control_plane/control_service.h
+++ b/tests/fake_control_plane/control_service.h
@@ -21,7 +21,8 @@
   std::string node;
 };
 
-/// The server runs on threads of libgrpc++. Call the functions only from the test's thread.
+/// The server runs on threads of libgrpc++. Call the functions only from the test's thread, except
+/// for push(), which may be called from any thread.
 class ControlService {
 public:
   ControlService();
--- a/tests/fake_control_plane/faulty_proxy.cpp
+++ b/tests/fake_control_plane/faulty_proxy.cpp
@@ -91,7 +91,8 @@
     : proxy_(std::make_unique<Proxy>(service_address)) {
   const auto error = proxy_->listener.listen("127.0.0.1:0");
   test_harness::require(!error,
-                        error ? "the proxy cannot listen: " + error->message : std::string());
+                        error ? "the faulty proxy cannot listen on 127.0.0.1:0: " + error->message
+                              : std::string());
 }
 
 FaultyProxy::~FaultyProxy() = default;
--- a/tests/fake_control_plane/scripted_peer.cpp
+++ b/tests/fake_control_plane/scripted_peer.cpp
@@ -41,7 +41,8 @@
     : server_(std::make_unique<Server>(std::move(bytes))) {
   const auto error = server_->listener.listen("127.0.0.1:0");
   test_harness::require(!error,
-                        error ? "the peer cannot listen: " + error->message : std::string());
+                        error ? "the scripted peer cannot listen on 127.0.0.1:0: " + error->message
+                              : std::string());
 }
 
 ScriptedPeer::~ScriptedPeer() = default;
--- a/tests/fleet/fault_script.h
+++ b/tests/fleet/fault_script.h
@@ -48,7 +48,7 @@
 /// fault.
 void print_fault_script(const FaultScript& script, std::ostream& out);
 /// Reads what print_fault_script() prints. Returns nothing if the first line is malformed or a
-/// fault has an unknown kind; reading ends at another line that is malformed.
+/// fault has an unknown kind. A line that is malformed otherwise ends the script without an error.
 [[nodiscard]] std::optional<FaultScript> read_fault_script(std::istream& in);
 
 }  // namespace gorsebeam::simulation
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -1,8 +1,8 @@
 /// Runs simulated fleets and checks their histories (deterministic simulation testing, as in
 /// FoundationDB).
 ///
-///   simulation SEEDS [FIRST]      runs SEEDS seeds from FIRST on; prints the fault script of the
-///                                 first seed that violates a rule
+///   simulation [SEEDS [FIRST]]    runs SEEDS seeds (default: 1000) from FIRST (default: 1) on;
+///                                 prints the fault script of the lowest seed that violates a rule
 ///   simulation --script FILE      runs a printed script
 ///   simulation --cost GATEWAYS    prints the messages per second without faults, of the leader
 ///                                 and of the other gateways
@@ -207,7 +207,7 @@
 
 int print_usage() {
   std::cerr
-      << "usage: simulation SEEDS [FIRST] | --script FILE | --cost GATEWAYS | --mutants SEEDS | "
+      << "usage: simulation [SEEDS [FIRST]] | --script FILE | --cost GATEWAYS | --mutants SEEDS | "
          "--digest SEEDS\n";
   return 1;
 }
--- a/tests/frontend_accept_test.cpp
+++ b/tests/frontend_accept_test.cpp
@@ -131,7 +131,7 @@
 TEST_F(FullFrontend, PollsOneIdleConnectionAtAnAccept) {
   ASSERT_FALSE(frontend_.listen("127.0.0.1:0"));
   connect_clients(kCapacity);
-  run_loop_for(100ms);  // a connection is evicted only after 50 ms
+  run_loop_for(100ms);  // a connection is evicted only once it was idle for 50 ms
   const int calls_before = poll_calls;
 
   connect_clients(kNewClients);
--- a/tests/postgres_upstream_protocol_test.cpp
+++ b/tests/postgres_upstream_protocol_test.cpp
@@ -54,8 +54,8 @@
 TEST(PostgresUpstreamProtocol, IgnoresReportOfZeros) {
   const LoadReport zero_report = parse_health_check_report("x0=0.000,x1=0");
   EXPECT_FALSE(zero_report.replication_position);
-  // If it were read as "not the primary", each gateway that starts would conclude that no group has
-  // a primary.
+  // If a report of zeros were read as "not the primary", each gateway that starts would conclude
+  // that no group has a primary.
   EXPECT_FALSE(zero_report.is_primary);
 }
 
--- a/tests/raft_test.cpp
+++ b/tests/raft_test.cpp
@@ -207,7 +207,7 @@
     if (cluster.propose(leader, "command"))
       ++accepted;
 
-  EXPECT_LE(accepted, 8U);
+  EXPECT_LE(accepted, 8U);  // twice `max_log_entries`
 }
 
 }  // namespace
--- a/tests/reconnect_backoff_test.cpp
+++ b/tests/reconnect_backoff_test.cpp
@@ -59,8 +59,9 @@
   EXPECT_LE(few.next_delay(WatchEnd::Closed), 250ms);
 }
 
-// The gateway counts as notified of the changes that a silent watch lost 6 s after the watch's last
-// byte, however many gateways share the service.
+// From 6 s after the last byte of a silent watch, the gateway counts as notified of the changes
+// that the watch lost, however many gateways share the service. The watch must be reopened
+// within 4.5 s, which leaves 1.5 s for the response.
 TEST(ReconnectBackoff, ReopensASilentWatchInTimeForAResponse) {
   for (const DiscoveryService service : {DiscoveryService::LocalAgent, DiscoveryService::Shared}) {
     // The timeout is longer for a shared service, where the call may wait in a queue.
@@ -70,7 +71,7 @@
       EXPECT_EQ(backoff.silence_timeout(), first_timeout);
       backoff.record_list_received();
       const Duration silence_timeout = backoff.silence_timeout();
-      EXPECT_GT(silence_timeout, 2000ms);  // the interval of the heartbeat
+      EXPECT_GT(silence_timeout, 2000ms);  // the service sends a heartbeat every 2 s
       EXPECT_LE(silence_timeout + backoff.next_delay(WatchEnd::Silent), 4500ms);
       EXPECT_EQ(backoff.silence_timeout(),
                 first_timeout);  // the reopened watch has delivered no list yet
--- a/tests/snapshot_codec_test.cpp
+++ b/tests/snapshot_codec_test.cpp
@@ -28,8 +28,8 @@
   team->mutable_budget()->set_per_second(3);
   team->mutable_budget()->set_burst(2);
   team->add_class_()->set_name("any");
-  snapshot
-      .mutable_members();  // marks the part as present, so that it is written although it is empty
+  // Marks the part of the members as present, so that it is written although it is empty.
+  snapshot.mutable_members();
   state::v1::Part* limits = snapshot.mutable_limits();
   limits->set_held(true);
   limits->set_version("l1");
--- a/tests/version_tracker_history_test.cpp
+++ b/tests/version_tracker_history_test.cpp
@@ -106,7 +106,8 @@
     actions_.clear();
     ASSERT_FALSE(validate_reference({tracker_->accepted(ResourceType::Contracts).running.body,
                                      tracker_->accepted(ResourceType::Members).running.body,
-                                     tracker_->accepted(ResourceType::Limits).running.body}));
+                                     tracker_->accepted(ResourceType::Limits).running.body}))
+        << "accepted versions that are not valid together";
     if (tracker_->is_streaming())
       return;
     unanswered_.clear();
@@ -126,7 +127,8 @@
     const std::size_t type = index_of(*response.type);
     ASSERT_TRUE(response.generation >= newest_[type] || response.rolls_back >= newest_[type] ||
                 response.generation == running_[type])
-        << "accepted an older generation without a rollback that names the newest";
+        << "accepted generation " << response.generation << ", which is older than "
+        << newest_[type] << ", without a rollback that names the newest";
     newest_[type] = std::max(newest_[type], response.generation);
     running_[type] = response.generation;
   }
@@ -139,7 +141,8 @@
       check();
     }
     if (tracker_->is_streaming()) {
-      ASSERT_TRUE(unanswered_.empty());
+      ASSERT_TRUE(unanswered_.empty())
+          << "the response with nonce " << *unanswered_.begin() << " was never answered";
     }
   }
 
