--- a/tests/ci/expect.sh
+++ b/tests/ci/expect.sh
@@ -1,5 +1,5 @@
-# Functions for the tests of the checks in .ci, which source this file. A test writes a small tree into the temporary
-# folder $work and states whether a check accepts or rejects it.
+# Functions for the tests of the checks in .ci. Each test sources this file, writes a small tree into the temporary folder
+# $work and states whether a check accepts or rejects it.
 set -eu
 ci=$(cd "$(dirname "$0")/../../.ci" && pwd)
 work=$(mktemp -d)
--- a/tests/fault_soak/fake_endpoint.cpp
+++ b/tests/fault_soak/fake_endpoint.cpp
@@ -135,7 +135,7 @@
     }));
     if (const auto error = listeners_.back()->listen("127.0.0.1:0"))
       throw std::runtime_error("fake endpoint " + std::to_string(index) +
-                               " cannot listen: " + error->message);
+                               " cannot listen on 127.0.0.1:0: " + error->message);
   }
 }
 
--- a/tests/fault_soak/fault_injector.h
+++ b/tests/fault_soak/fault_injector.h
@@ -1,5 +1,6 @@
-/// Injects faults at random times. The seed determines each fault and its target, which is a
-/// gateway or an endpoint.
+/// Injects faults at random times. Each fault and its target, which is a gateway or an endpoint,
+/// are drawn from the seed. How many numbers a fault draws depends on the state of its target, so
+/// that two runs with one seed may inject different faults.
 #pragma once
 
 #include "fake_endpoint.h"
--- a/tests/fault_soak/oracle.cpp
+++ b/tests/fault_soak/oracle.cpp
@@ -129,11 +129,18 @@
   ++attempt_count_;
   const auto found = requests_.find(id);
   if (found == requests_.end())
-    return report("unknown", "an attempt of request " + id + ", which no client sent", at);
+    return report("unknown",
+                  "an attempt of request " + id + ", which no client sent, arrived at endpoint " +
+                      std::to_string(endpoint),
+                  at);
   Request& request = found->second;
   check_draining_endpoint(request.gateway, endpoint, "request " + id, at);
   if (!request.in_flight.empty())
-    report("duplicate", "two attempts of request " + id + " are in flight", at);
+    report("duplicate",
+           "an attempt of request " + id + " arrived at endpoint " + std::to_string(endpoint) +
+               " while another is in flight at endpoint " +
+               std::to_string(*request.in_flight.begin()),
+           at);
   check_retry(request, id, at);
   if (request.disconnected_at > 0 && at > request.disconnected_at + kDisconnectGrace + kRecordSlack)
     report("lost",
@@ -200,7 +207,8 @@
     if (!was_sent_after_termination(gateway, request))
       report("lost",
              "request " + id + " has no response " + std::to_string(at - request.deadline) +
-                 " ms after its deadline",
+                 " ms after its deadline; the limit is " +
+                 std::to_string(kResponseSlack + kRecordSlack + paused) + " ms",
              at);
   }
 }
--- a/tests/fault_soak/oracle.h
+++ b/tests/fault_soak/oracle.h
@@ -20,7 +20,7 @@
 /// The longest delay with which the fake clients, endpoints and agents record an event.
 constexpr Millis kRecordSlack = 60;
 /// The time after the list that shows an endpoint as draining or removed, within which the endpoint
-/// may still get traffic.
+/// may still get traffic: the 250 ms of the gateway's settings, and 50 ms of slack.
 constexpr Millis kDrainGrace = 250 + 50;
 /// The time after a client disconnected, within which its request may still be attempted.
 constexpr Millis kDisconnectGrace = 100;
--- a/tests/integration/client_admission_test.cpp
+++ b/tests/integration/client_admission_test.cpp
@@ -65,7 +65,7 @@
   }
 
   // Clients that stay connected after one request use up the capacity of others: while more than a
-  // quarter of the capacity is in use, the gateway closes connections that have been idle for 2 s.
+  // quarter of the capacity is in use, the gateway closes connections that were idle for 2.05 s.
   static void expect_surplus_clients_evicted(GatewayHarness& harness) {
     Clients clients;
     for (int i = 0; i < 60; ++i) {
--- a/tests/integration/control_plane_test_support.cpp
+++ b/tests/integration/control_plane_test_support.cpp
@@ -4,7 +4,7 @@
 
 namespace test_harness {
 
-constexpr std::size_t kSubscriptionCount = 3;  // to endpoints, contracts and limits
+constexpr std::size_t kSubscriptionCount = 3;  // members, contracts and limits
 
 google::protobuf::RepeatedPtrField<pb::Member>& mutable_endpoints(pb::Members& members,
                                                                   const Protocol& protocol) {
--- a/tests/integration/control_snapshot_test.cpp
+++ b/tests/integration/control_snapshot_test.cpp
@@ -69,7 +69,8 @@
 
 void ControlSnapshot::expect_serves_without_folder() const {
   unlink(path_.c_str());
-  unlink((path_ + ".new").c_str());  // left by a program that was killed while it wrote a snapshot
+  // A program that was killed while it wrote a snapshot may have left this file.
+  unlink((path_ + ".new").c_str());
   ASSERT_EQ(rmdir(folder_.c_str()), 0);
   ControlledGateway gateway(protocol());
   ControlService service;
@@ -83,8 +84,8 @@
 }
 
 // The gateway restores the accepted version from its snapshot. It logs and ignores a snapshot that
-// is damaged, that has a newer schema, or that is not valid with its configuration, and it serves
-// requests without the state folder.
+// is damaged, that has a newer schema, or that is not valid with the current configuration, and it
+// serves requests without the state folder.
 TEST_P(ControlSnapshot, RestoresAcceptedVersionAndIgnoresUnusableSnapshot) {
   write_snapshot_of_accepted_version();
   // The restored contract allows no reads.
--- a/tests/integration/control_versions_test.cpp
+++ b/tests/integration/control_versions_test.cpp
@@ -203,7 +203,7 @@
         return sender->closed_by_gateway;
       },
       "the connection of the oversized request to be closed");
-  // It was never accepted as a request, so the error does not count as a response.
+  // The gateway never accepted the oversized request, so its error does not count as a response.
   gateway_.harness.response_count -= static_cast<int>(sender->responses.size());
   limits.set_generation(2);
   limits.set_message_kib(4);
--- a/tests/integration/event_loop_stall_test.cpp
+++ b/tests/integration/event_loop_stall_test.cpp
@@ -15,7 +15,7 @@
 // How long the gateway is frozen. Each is longer than a time limit of the gateway, which elapses
 // meanwhile.
 constexpr milliseconds kBeyondDrainGrace{350};        // the limit is 250 ms, with 50 ms of slack
-constexpr milliseconds kBeyondMessageDelay{2600};     // the limit is 2.5 s
+constexpr milliseconds kBeyondMessageDelay{2600};     // the limit is 2 s
 constexpr milliseconds kBeyondConnectTimeout{1600};   // the test sets 1.5 s
 constexpr milliseconds kBeyondRequestDeadline{2600};  // keyed_write() sets 2.5 s
 constexpr milliseconds kBeyondKeepalive{2200};        // the test sets 2 s
--- a/tests/integration/gateway_process.h
+++ b/tests/integration/gateway_process.h
@@ -33,7 +33,7 @@
   [[nodiscard]] bool is_running() const { return !exited_; }
 
   [[nodiscard]] std::size_t thread_count() const;
-  /// Waits for the program to exit; -1 if a signal ended it.
+  /// Waits for the program to exit and returns its exit status, -1 if a signal ended it.
   int await_exit_code();
 
   /// Reduces the pipe of the program's log to one page, so that a few lines fill it.
--- a/tests/integration/stub_endpoint.h
+++ b/tests/integration/stub_endpoint.h
@@ -46,11 +46,12 @@
   bool listed_as_primary;
   ReplicationStatus replication;
   int request_count = 0;
-  int health_check_count = 0;       ///< The handshakes that open connections do not count.
+  int health_check_count = 0;       ///< Does not include the handshakes of new connections.
   std::size_t min_value_bytes = 0;  ///< Values are padded to this length.
   bool pauses_handshakes = false;   ///< While set, no new connection gets a handshake reply.
-  int idle_close_ms = 0;            ///< Closes a connection at the first message after this idle
-                                    ///< time; 0: never.
+  /// The endpoint closes a connection that has been idle for this time, at the next message on it;
+  /// 0: never.
+  int idle_close_ms = 0;
   int idle_close_count = 0;
 
 private:
--- a/tests/integration/test_client.h
+++ b/tests/integration/test_client.h
@@ -27,7 +27,8 @@
   ClientResult await_response();
   ClientResult send_and_await(const Request& request);
 
-  /// Waits until the gateway has closed the connection; `awaited` says why it should.
+  /// Waits until the gateway has closed the connection; `awaited` names the close in the message
+  /// of a wait that fails.
   void await_close(const std::string& awaited);
   /// Waits until the kernel has accepted all written bytes.
   void await_flushed();
@@ -47,7 +48,7 @@
   std::string last_value;      ///< The value of the last response that had one.
   std::string unparsed_input;  ///< Bytes received that form no complete response yet.
   bool closed_by_gateway = false;
-  std::string close_reason;  ///< As the socket reports it; empty while the connection is open.
+  std::string close_reason;  ///< As the stream reports it; empty while the connection is open.
   std::deque<ClientResult> responses;
 
 private:
--- a/tests/integration/test_harness.h
+++ b/tests/integration/test_harness.h
@@ -23,7 +23,7 @@
   /// How long a group drops duplicates of a write with an idempotency key.
   int deduplication_window_ms = 2000;
   int keepalive_ms = 30'000;        ///< The idle time after which endpoints close connections.
-  int latency_objective_ms = 2000;  ///< Of each class; its deadline is a second later.
+  int latency_objective_ms = 2000;  ///< Of each class, whose deadline is one second longer.
   std::string listen_address = "127.0.0.1:0";
 };
 
@@ -79,24 +79,29 @@
   [[nodiscard]] StubEndpoint& await_paused_handshake() const;
   void resume_handshakes();
   void set_listed_status(ListedStatus status);
-  /// Pads the value of each further response to `bytes`.
+  /// Pads the value of each further response to at least `bytes`. Does not apply to
+  /// StubEndpoint::respond_to_open_attempts().
   void set_min_value_bytes(std::size_t bytes);
   [[nodiscard]] int attempt_count(const std::string& request_id) const;
   [[nodiscard]] int attempt_count_with_prefix(const std::string& id_prefix) const;
   /// Waits until an endpoint has seen the first attempt of the request.
   void await_first_attempt(const std::string& request_id) const;
-  /// Asserts that each request had exactly one response, one idempotency key and a bounded number
-  /// of attempts, and that no request was retried that may have run and must not run twice. The
-  /// stub endpoints check at each arrival that no two attempts of a request are in flight at once.
+  /// Asserts that there were as many responses as requests, that each attempt belongs to a request
+  /// that a client sent, that each request had one idempotency key and at most kMaxAttempts
+  /// attempts, and that no request was retried that may have run and must not run twice. The stub
+  /// endpoints check at each arrival that no two attempts of a request are in flight at once.
   void expect_invariants() const;
   /// As expect_invariants(), and the program still runs.
   void expect_invariants_and_running() const;
 
   const Protocol& protocol;
   std::vector<std::unique_ptr<StubEndpoint>> endpoints;
-  std::deque<ScriptedResponse> script;  ///< One for each next attempt; later attempts succeed.
+  /// One for each next attempt; later attempts succeed. A write at a replica takes none: it is
+  /// always rejected.
+  std::deque<ScriptedResponse> script;
   GatewayProcess gateway;
-  std::string listen_host = "127.0.0.1";  ///< The MongoDB listener's, in the operators' file.
+  /// The host in the address of the MongoDB listener, which the operators' file names.
+  std::string listen_host = "127.0.0.1";
   std::vector<Attempt> attempts;
   std::map<std::string, int> sent_requests;  ///< How often each request id was sent.
   int response_count = 0;                    ///< Final responses that clients received.
--- a/tests/integration/upstream_bytes_test.cpp
+++ b/tests/integration/upstream_bytes_test.cpp
@@ -1,4 +1,4 @@
-// Bytes from an endpoint that belong to no response, or to a response without an end.
+// Bytes from an endpoint that belong to no response, or to a response that is too long.
 #include "gateway_integration_test.h"
 
 using namespace test_harness;
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -5,7 +5,7 @@
 /// the endpoint of each request.
 ///
 /// Usage: soak [ROUNDS [SEED]]. The exit status is 0 if each request got exactly one response and
-/// the heap did not grow, and 1 otherwise.
+/// the heap grew by at most 10 %, and 1 otherwise.
 #include "virtual_time.h"
 
 #include "proxy/request_broker.h"
