--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -19,7 +19,7 @@
 
 /// The router counts a response as known to the client this long after it was written, as a
 /// response on a socket may be lost on the way.
-constexpr Duration kResponsesKnownAfter = 100ms;
+constexpr Duration kAssumedResponseDelay = 100ms;
 
 std::uint64_t parse_seed(const std::string& text) {
   constexpr int kHexadecimal = 16;
@@ -105,7 +105,7 @@
   if (body.find("known"))
     config.initial_endpoints = discovery::parse_endpoint_list(body.require("known"), "known");
   config.profile = settings::read_deployment_profile(body.require_object("settings"));
-  config.profile.settings.assumed_response_delay = kResponsesKnownAfter;
+  config.profile.settings.assumed_response_delay = kAssumedResponseDelay;
   validate_with_router(config);
   config.restart_only_settings = print_restart_only_settings(body);
   return config;
--- a/src/control_plane/control_plane_client.h
+++ b/src/control_plane/control_plane_client.h
@@ -19,7 +19,7 @@
 
 namespace gorsebeam::control_plane {
 
-/// All functions and callbacks run on the main loop's thread.
+/// All functions and callbacks run on the event loop's thread.
 class ControlPlaneClient : grpc::Channel::Events {
 public:
   /// Applies changed content, which is already validated.
--- a/src/control_plane/snapshot_manager.h
+++ b/src/control_plane/snapshot_manager.h
@@ -10,7 +10,7 @@
 
 namespace gorsebeam::control_plane {
 
-/// All functions run on the main loop's thread; `restore` blocks on the disk, `write` does not.
+/// All functions run on the event loop's thread; `restore` blocks on the disk, `write` does not.
 /// `restore` logs its result unless there is no snapshot, and `write` logs only errors.
 class SnapshotManager {
 public:
--- a/src/grpc/channel.h
+++ b/src/grpc/channel.h
@@ -1,4 +1,4 @@
-/// Runs a gRPC session over a TCP connection without TLS, on the main loop.
+/// Runs a gRPC session over a TCP connection without TLS, on the event loop.
 #pragma once
 
 #include "net/stream.h"
@@ -23,7 +23,7 @@
 /// loop's thread.
 class Channel : net::Stream::Events {
 public:
-  /// The callbacks of a channel, which the main loop calls. Each of them may close the channel or
+  /// The callbacks of a channel, which the event loop calls. Each of them may close the channel or
   /// open it again.
   class Events {
   public:
--- a/src/proxy/input_freshness.h
+++ b/src/proxy/input_freshness.h
@@ -13,8 +13,8 @@
 constexpr Duration kMaxEndpointListAge = 20ms;
 
 /// The greatest age of an unread response when something is decided. It is well below 0.1 s, the
-/// `Settings::assumed_response_delay` of the gateway, after which a client counts as knowing a
-/// response that its endpoint wrote.
+/// time after which the gateway counts as knowing the role and the position in a response that an
+/// endpoint has written.
 constexpr Duration kMaxResponseAge = 40ms;
 
 class InputFreshness {
--- a/src/snapshot_store/async_snapshot_writer.cpp
+++ b/src/snapshot_store/async_snapshot_writer.cpp
@@ -11,8 +11,8 @@
 
 namespace gorsebeam::snapshot_store {
 
-/// The data of a GTask. The task's thread reads `snapshot` and writes `error`; only the main loop's
-/// thread uses `writer`.
+/// The data of a GTask. The task's thread reads `snapshot` and writes `error`; only the event
+/// loop's thread uses `writer`.
 struct AsyncSnapshotWriter::WriteJob {
   /// Null once the writer is destroyed.
   AsyncSnapshotWriter* writer;
--- a/src/snapshot_store/async_snapshot_writer.h
+++ b/src/snapshot_store/async_snapshot_writer.h
@@ -1,4 +1,4 @@
-/// Writes snapshots on another thread, so that a slow disk does not stall the main loop.
+/// Writes snapshots on another thread, so that a slow disk does not stall the event loop.
 #pragma once
 
 #include "snapshot_error.h"
@@ -11,7 +11,7 @@
 
 /// Writes snapshots in GLib's thread pool, one at a time. Of the snapshots that are requested
 /// during a write, only the newest is written afterwards. All functions and the callback run on the
-/// main loop's thread. A write that is in progress when the writer is destroyed continues, but its
+/// event loop's thread. A write that is in progress when the writer is destroyed continues, but its
 /// callback is not called.
 class AsyncSnapshotWriter {
 public:
