--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -22,8 +22,7 @@
   endpoint.status = read_status(entry);
   listed.address = entry.read_string("host_port", "");
   if (endpoint.status != EndpointStatus::Removed && !net::parse_address(listed.address))
-    entry.throw_invalid("host_port", "a numeric address with a port from 1 to 65535, but is '" +
-                                         listed.address + "'");
+    entry.throw_invalid("host_port", "a numeric address with a port from 1 to 65535");
   endpoint.group = static_cast<GroupId>(entry.read_integer("cell", 0));
   endpoint.zone = entry.read_string("locality", "");
   endpoint.started_at = TimePoint(std::chrono::milliseconds(entry.read_integer("up_since_ms", 0)));
